--- a/egretstack/callers/_work.py
+++ b/egretstack/callers/_work.py
@@ -7,14 +7,16 @@
 from egretstack.contracts import Contract
 from egretstack.delivery import SessionRef
 from egretstack.errors import EgretError, ErrorKind
-from egretstack.ids import ModelName, ServiceName, WorkId
-from egretstack.policy import Work
+from egretstack.ids import ModelName, RequestId, ServiceName
+from egretstack.policy import SchedulingRequest
 
 PREFIX_CHARACTERS = 256
 _UNKNOWN_MODEL = ModelName("")
 
 
-def new_work(contract: Contract, body: GenerationBody, service: ServiceName | None) -> Work:
+def new_work(
+    contract: Contract, body: GenerationBody, service: ServiceName | None
+) -> SchedulingRequest:
     """Check a request against its contract; raise EgretError.
 
     `service` is the one that offers the model, or None.
@@ -30,7 +32,7 @@
             f"{contract.max_prompt_tokens}",
         )
     limit = contract.max_output_tokens
-    return Work(
+    return SchedulingRequest(
         id=_new_id(),
         account=contract.account,
         service=service,
@@ -47,9 +49,9 @@
     )
 
 
-def picked_up_work(contract: Contract, ref: SessionRef) -> Work:
+def picked_up_work(contract: Contract, ref: SessionRef) -> SchedulingRequest:
     """Make the work of a session that another entry placed; it is never placed again."""
-    return Work(
+    return SchedulingRequest(
         id=_new_id(),
         account=ref.account,
         service=ref.service,
@@ -63,5 +65,5 @@
     )
 
 
-def _new_id() -> WorkId:
-    return WorkId(secrets.token_hex(8))
+def _new_id() -> RequestId:
+    return RequestId(secrets.token_hex(8))
--- a/egretstack/ids.py
+++ b/egretstack/ids.py
@@ -21,7 +21,7 @@
 RunnerName = NewType("RunnerName", str)
 ServiceName = NewType("ServiceName", str)
 SessionId = NewType("SessionId", str)
-WorkId = NewType("WorkId", str)
+RequestId = NewType("RequestId", str)
 ZoneName = NewType("ZoneName", str)
 
 MAX_NAME_LENGTH = 63
--- a/egretstack/limits/__init__.py
+++ b/egretstack/limits/__init__.py
@@ -1,51 +1,51 @@
 """Limits of client accounts, lent by an account's home to the entries that serve it."""
 
-from egretstack.limits._entry import EntrySide, HomeAsk
+from egretstack.limits._entry import EntryLimiter, HomeQuery
 from egretstack.limits._held import Mode
-from egretstack.limits._home import HomeSide
-from egretstack.limits._homes import Homes
+from egretstack.limits._home import LimitsHome
+from egretstack.limits._homes import HomeLocator
 from egretstack.limits._messages import (
-    AskRow,
     Grant,
+    GrantRequest,
+    GrantStatus,
     LimitsAnswer,
     LimitsAsk,
-    Standing,
     make_answer,
-    make_ask,
+    make_query,
 )
-from egretstack.limits._share import Share, whole_of
+from egretstack.limits._share import Share, contract_share
 from egretstack.limits._timing import (
-    ASK_TIMEOUT_S,
-    BEAT_S,
-    FREEZE_S,
-    LIFE_S,
-    READY_WAIT_S,
-    RENEW_S,
-    VIEW_LAG_S,
+    MAX_READY_WAIT_S,
+    MAX_VIEW_LAG_S,
+    PAUSE_THRESHOLD_S,
+    QUERY_TIMEOUT_S,
+    SLICE_RENEW_S,
+    SLICE_TTL_S,
+    TICK_INTERVAL_S,
     WARM_UP_S,
 )
 
 __all__ = [
-    "ASK_TIMEOUT_S",
-    "AskRow",
-    "BEAT_S",
-    "EntrySide",
-    "FREEZE_S",
+    "QUERY_TIMEOUT_S",
+    "GrantRequest",
+    "TICK_INTERVAL_S",
+    "EntryLimiter",
+    "PAUSE_THRESHOLD_S",
     "Grant",
-    "HomeAsk",
-    "HomeSide",
-    "Homes",
-    "LIFE_S",
+    "HomeQuery",
+    "LimitsHome",
+    "HomeLocator",
+    "SLICE_TTL_S",
     "LimitsAnswer",
     "LimitsAsk",
     "Mode",
-    "READY_WAIT_S",
-    "RENEW_S",
+    "MAX_READY_WAIT_S",
+    "SLICE_RENEW_S",
     "Share",
-    "Standing",
-    "VIEW_LAG_S",
+    "GrantStatus",
+    "MAX_VIEW_LAG_S",
     "WARM_UP_S",
     "make_answer",
-    "make_ask",
-    "whole_of",
+    "make_query",
+    "contract_share",
 ]
--- a/egretstack/limits/_entry.py
+++ b/egretstack/limits/_entry.py
@@ -6,10 +6,10 @@
 from egretstack.errors import EgretError, ErrorKind
 from egretstack.ids import AccountId, InstanceId
 from egretstack.limits._held import Asked, Held, Mode
-from egretstack.limits._homes import Homes
-from egretstack.limits._messages import MAX_ROWS, LimitsAnswer, LimitsAsk, answer_grants, make_ask
-from egretstack.limits._share import NOTHING, Share, whole_of
-from egretstack.limits._timing import LIFE_S
+from egretstack.limits._homes import HomeLocator
+from egretstack.limits._messages import MAX_ROWS, LimitsAnswer, LimitsAsk, make_query, parse_answer
+from egretstack.limits._share import NO_SHARE, Share, contract_share
+from egretstack.limits._timing import SLICE_TTL_S
 
 MAX_WAITERS = 256
 """Requests of one account that wait for its home at once; more are refused."""
@@ -23,21 +23,21 @@
 
 
 @dataclass(frozen=True)
-class HomeAsk:
+class HomeQuery:
     """An ask for one home, with what was stated by account in the order of its rows."""
 
     home: InstanceId
     message: LimitsAsk
-    asked_by_account: dict[AccountId, Asked]
+    pending_by_account: dict[AccountId, Asked]
 
 
-class EntrySide:
+class EntryLimiter:
     """Decides on each request of an account here; times in seconds of the runtime's clock.
 
     `serial` has to be greater than every serial that an earlier process of this instance used.
     """
 
-    def __init__(self, own: InstanceId, homes: Homes, now_s: float, serial: int = 0) -> None:
+    def __init__(self, own: InstanceId, homes: HomeLocator, now_s: float, serial: int = 0) -> None:
         self._own = own
         self._homes = homes
         self._serial = serial
@@ -46,7 +46,7 @@
         self._asking: set[InstanceId] = set()
 
     @property
-    def accounts(self) -> int:
+    def account_count(self) -> int:
         """Tell how many accounts this entry keeps a record of."""
         return len(self._held_by_account)
 
@@ -70,13 +70,13 @@
             return False
         return self._refusal(now_s, contract.account, held) is not None
 
-    def wait(self, account: AccountId, count: int) -> None:
+    def count_waiting(self, account: AccountId, count: int) -> None:
         """Count requests that wait for the home in (1) or out (-1)."""
         held = self._held_by_account.get(account)
         if held is not None:
             held.waiting += count
 
-    def unanswered(self, now_s: float, account: AccountId) -> None:
+    def on_wait_timeout(self, now_s: float, account: AccountId) -> None:
         """Note that a request waited READY_WAIT_S for the home of its account."""
         held = self._held_by_account.get(account)
         if held is not None:
@@ -100,7 +100,7 @@
         """Count a request out."""
         self._held_by_account[account].closed(now_s)
 
-    def due(self, now_s: float) -> list[HomeAsk]:
+    def due_queries(self, now_s: float) -> list[HomeQuery]:
         """Give the asks to send now; each has to end in `answered` or `failed`."""
         if now_s - self._sweep_s > SWEEP_S:
             self._sweep(now_s)
@@ -113,19 +113,19 @@
         }
         return [self._ask(now_s, home) for home in sorted(due_homes)]
 
-    def answered(self, now_s: float, ask: HomeAsk, answer: LimitsAnswer) -> None:
+    def on_answer(self, now_s: float, ask: HomeQuery, answer: LimitsAnswer) -> None:
         """Take an answer; raise MessageError, after which `failed` has to be called."""
-        grants = answer_grants(answer, len(ask.asked_by_account))
+        grants = parse_answer(answer, len(ask.pending_by_account))
         self._asking.discard(ask.home)
-        for (account, asked), grant in zip(ask.asked_by_account.items(), grants, strict=True):
+        for (account, asked), grant in zip(ask.pending_by_account.items(), grants, strict=True):
             held = self._held_by_account.get(account)
             if held is not None:
                 held.answered(now_s, asked, grant)
 
-    def failed(self, now_s: float, ask: HomeAsk) -> None:
+    def on_failure(self, now_s: float, ask: HomeQuery) -> None:
         """Note that a home did not answer in time."""
         self._asking.discard(ask.home)
-        for account in ask.asked_by_account:
+        for account in ask.pending_by_account:
             held = self._held_by_account.get(account)
             if held is not None:
                 held.failed(now_s)
@@ -133,13 +133,13 @@
     def _held(self, now_s: float, contract: Contract) -> Held:
         held = self._held_by_account.get(contract.account)
         if held is None:
-            held = Held(now_s, whole_of(contract))
+            held = Held(now_s, contract_share(contract))
             self._held_by_account[contract.account] = held
-        held.whole = whole_of(contract)
+        held.whole = contract_share(contract)
         return held
 
     def _conservative(self, account: AccountId, held: Held) -> Share:
-        return self._homes.conservative(account, self._own, held.whole)
+        return self._homes.conservative_share(account, self._own, held.whole)
 
     def _source(self, now_s: float, held: Held, conservative: Share) -> Mode:
         """Tell by what the next request is decided."""
@@ -162,11 +162,11 @@
             return True
         # A new home counts what is open only if it is told before its warm-up ends.
         moved = held.home is not None and held.home != home
-        if moved and (held.open or held.share is not NOTHING):
+        if moved and (held.open or held.share is not NO_SHARE):
             return True
         return held.due_s <= now_s
 
-    def _ask(self, now_s: float, home: InstanceId) -> HomeAsk:
+    def _ask(self, now_s: float, home: InstanceId) -> HomeQuery:
         self._serial += 1
         self._asking.add(home)
         asked_by_account: dict[AccountId, Asked] = {}
@@ -177,7 +177,7 @@
                 asked_by_account[account] = held.ask(now_s, self._conservative(account, held))
                 held.home = home
         rows = [asked.row(account) for account, asked in asked_by_account.items()]
-        return HomeAsk(home, make_ask(self._own, self._serial, rows), asked_by_account)
+        return HomeQuery(home, make_query(self._own, self._serial, rows), asked_by_account)
 
     def _sweep(self, now_s: float) -> None:
         self._sweep_s = now_s
@@ -198,11 +198,11 @@
 
 
 def _over_concurrency(held: Held, share: Share) -> EgretError:
-    gap_s = held.close_gap_s if held.close_gap_s is not None else LIFE_S
+    gap_s = held.close_gap_s if held.close_gap_s is not None else SLICE_TTL_S
     return EgretError(
         ErrorKind.OVER_CONCURRENCY,
         f"{held.open} requests are open here; the contract allows {held.whole.slots} in all",
-        retry_after_s=_bounded(gap_s if share.slots else LIFE_S),
+        retry_after_s=_bounded(gap_s if share.slots else SLICE_TTL_S),
     )
 
 
--- a/egretstack/limits/_held.py
+++ b/egretstack/limits/_held.py
@@ -7,18 +7,18 @@
 from egretstack.ids import AccountId, InstanceId
 from egretstack.limits._demand import Demand
 from egretstack.limits._loans import only_holds
-from egretstack.limits._messages import AskRow, Grant, Standing
-from egretstack.limits._share import LEAST_BURST, NOTHING, Share, TokenBucket
+from egretstack.limits._messages import Grant, GrantRequest, GrantStatus
+from egretstack.limits._share import MIN_BURST, NO_SHARE, Share, TokenBucket
 from egretstack.limits._timing import (
-    BACKOFF_S,
-    FLIGHT_S,
-    HOLD_LIFE_S,
+    DIRECT_TOKEN_TTL_S,
     HOLD_RENEW_S,
-    IDLE_S,
-    LIFE_S,
-    READY_WAIT_S,
-    REASK_S,
-    RENEW_S,
+    HOLD_TTL_S,
+    IDLE_TIMEOUT_S,
+    MAX_READY_WAIT_S,
+    MIN_QUERY_INTERVAL_S,
+    QUERY_BACKOFF_S,
+    SLICE_RENEW_S,
+    SLICE_TTL_S,
 )
 
 _RATE_HEADROOM = 1.5
@@ -39,9 +39,9 @@
     returned: float
     whole: Share
 
-    def row(self, account: AccountId) -> AskRow:
+    def row(self, account: AccountId) -> GrantRequest:
         """Give the row of the ask."""
-        return AskRow(account, self.open, self.waiting, self.keep, self.want, self.returned)
+        return GrantRequest(account, self.open, self.waiting, self.keep, self.want, self.returned)
 
 
 class Mode(Enum):
@@ -62,7 +62,7 @@
 
     def __init__(self, now_s: float, whole: Share) -> None:
         self.whole = whole
-        self.share = NOTHING
+        self.share = NO_SHARE
         self.until_s = -inf
         self.home: InstanceId | None = None
         self.open = 0
@@ -71,7 +71,7 @@
         self.not_before_s = -inf
         self.due_s = inf
         self.close_gap_s: float | None = None
-        self.forecast_s = LIFE_S
+        self.forecast_s = SLICE_TTL_S
         self._whole_at_grant = whole
         self._bucket = TokenBucket(now_s)
         self._direct = 0
@@ -93,7 +93,7 @@
     def slice_share(self, now_s: float) -> Share:
         """Give the slice, cut to the contract in force; nothing once it has ended."""
         if now_s >= self.until_s:
-            return NOTHING
+            return NO_SHARE
         return self.share.scaled(self._whole_at_grant, self.whole).at_most(self.whole)
 
     def tokens(self, now_s: float, source: Mode, conservative: Share) -> float:
@@ -128,7 +128,7 @@
     def fill(self, now_s: float) -> None:
         """Bring the slice's bucket up to now."""
         share = self.slice_share(now_s)
-        if share is NOTHING:
+        if share is NO_SHARE:
             self._bucket.fill(now_s, 0.0, 0.0)
             return
         self._bucket.fill(now_s, share.rate, share.burst)
@@ -136,11 +136,11 @@
     def arrived(self, now_s: float) -> None:
         """Note a request, admitted or not."""
         self._demand.arrived(now_s)
-        self.due_s = min(self.due_s, now_s + RENEW_S)
+        self.due_s = min(self.due_s, now_s + SLICE_RENEW_S)
 
     def forget_old(self, now_s: float) -> None:
         """Forget a home's failure that is older than any slice, so that it is asked first."""
-        if now_s - max(self._tried_s, self._demand.last_s) > LIFE_S:
+        if now_s - max(self._tried_s, self._demand.last_s) > SLICE_TTL_S:
             self.fallback = False
             self._failures = 0
 
@@ -160,12 +160,12 @@
         holds = self.share.rate == 0 and 2 * self.open <= self.share.slots
         if holds or self._is_contested:
             # The next renewal may be far off, and others may wait for these slots.
-            self.due_s = min(self.due_s, now_s + REASK_S)
+            self.due_s = min(self.due_s, now_s + MIN_QUERY_INTERVAL_S)
 
     def is_idle(self, now_s: float) -> bool:
         """Tell whether forgetting the account loses nothing."""
         full_s = self.whole.burst / self.whole.rate
-        quiet = now_s - self._demand.last_s > IDLE_S + full_s
+        quiet = now_s - self._demand.last_s > IDLE_TIMEOUT_S + full_s
         return quiet and not self.open and not self.waiting and now_s >= self.until_s
 
     def ask(self, now_s: float, conservative: Share) -> Asked:
@@ -180,7 +180,7 @@
             returned = self._bucket.take(max(0.0, self._bucket.level - self.share.burst))
             keep = self.share
         else:
-            keep = NOTHING
+            keep = NO_SHARE
         if self.fallback:
             keep = keep.at_least(conservative)
         self._tried_s = now_s
@@ -192,14 +192,14 @@
         self._failures = 0
         self._answered_s = now_s
         self.forecast_s = grant.wait_s
-        if grant.standing is Standing.GRANTED:
+        if grant.status is GrantStatus.GRANTED:
             self._granted(now_s, asked, grant)
         else:
             self._not_granted(now_s, asked, grant)
 
     def failed(self, now_s: float) -> None:
         """Note that the home did not answer."""
-        pause_s = BACKOFF_S[min(self._failures, len(BACKOFF_S) - 1)]
+        pause_s = QUERY_BACKOFF_S[min(self._failures, len(QUERY_BACKOFF_S) - 1)]
         self._failures += 1
         self.fallback = True
         self.not_before_s = now_s + pause_s
@@ -208,12 +208,12 @@
     def unanswered(self, now_s: float) -> None:
         """Note that a request waited READY_WAIT_S for the home."""
         # A home that answered meanwhile, with too little, lends the contract to others.
-        if now_s - self._answered_s >= READY_WAIT_S:
+        if now_s - self._answered_s >= MAX_READY_WAIT_S:
             self.fallback = True
 
     def _granted(self, now_s: float, asked: Asked, grant: Grant) -> None:
-        holds = only_holds(grant.share, grant.direct, asked.open)
-        until_s = asked.sent_s + (HOLD_LIFE_S if holds else LIFE_S)
+        holds = only_holds(grant.share, grant.direct_tokens, asked.open)
+        until_s = asked.sent_s + (HOLD_TTL_S if holds else SLICE_TTL_S)
         if now_s >= until_s:
             return
         self.fill(now_s)
@@ -221,23 +221,23 @@
             self._bucket.take(inf)
         self._bucket.level += grant.tokens
         self._carry_over(asked, grant.share.burst)
-        end_s = asked.sent_s + FLIGHT_S
+        end_s = asked.sent_s + DIRECT_TOKEN_TTL_S
         self._direct_until_s = (
             min(end_s, self._direct_until_s) if self._direct_now(now_s) else end_s
         )
-        self._direct += grant.direct
+        self._direct += grant.direct_tokens
         self.share = grant.share
         self._is_contested = grant.share.slots < asked.want.slots
         self._whole_at_grant = asked.whole
         self.until_s = until_s
         kept_share, self.fallback = self.fallback, False
-        self.not_before_s = now_s + REASK_S if self._is_all(asked, grant) else now_s
-        renew_s = HOLD_RENEW_S if holds else RENEW_S
+        self.not_before_s = now_s + MIN_QUERY_INTERVAL_S if self._is_all(asked, grant) else now_s
+        renew_s = HOLD_RENEW_S if holds else SLICE_RENEW_S
         self.due_s = asked.sent_s + renew_s if self._is_needed(now_s) else inf
         if kept_share and asked.keep.burst > grant.share.burst:
             # The home is charged with all that was kept until it hears that less is. Where each
             # entry kept its share, that is the contract, and nobody would get a token meanwhile.
-            self.due_s = min(self.due_s, now_s + REASK_S)
+            self.due_s = min(self.due_s, now_s + MIN_QUERY_INTERVAL_S)
 
     def _carry_over(self, asked: Asked, most: float) -> None:
         # A home opens with an empty bucket, and gives `keep` less than it lends: a caller that was
@@ -249,16 +249,20 @@
         slots = grant.share.slots
         if slots < asked.open + asked.waiting or slots >= self.whole.slots:
             return True
-        return grant.tokens + grant.direct < asked.waiting
+        return grant.tokens + grant.direct_tokens < asked.waiting
 
     def _not_granted(self, now_s: float, asked: Asked, grant: Grant) -> None:
-        warming = grant.standing is Standing.WARMING
-        if warming and asked.sent_s < self.until_s and asked.keep is not NOTHING:
+        warming = grant.status is GrantStatus.WARMING
+        if warming and asked.sent_s < self.until_s and asked.keep is not NO_SHARE:
             # A new home lends nothing yet, but it has counted what this entry keeps.
-            self.until_s = max(self.until_s, asked.sent_s + LIFE_S)
+            self.until_s = max(self.until_s, asked.sent_s + SLICE_TTL_S)
         self.fallback = True
-        self.not_before_s = now_s + REASK_S
-        pause_s = REASK_S if not warming else min(RENEW_S, max(REASK_S, grant.wait_s))
+        self.not_before_s = now_s + MIN_QUERY_INTERVAL_S
+        pause_s = (
+            MIN_QUERY_INTERVAL_S
+            if not warming
+            else min(SLICE_RENEW_S, max(MIN_QUERY_INTERVAL_S, grant.wait_s))
+        )
         self.due_s = now_s + pause_s if self._is_needed(now_s) else inf
 
     def _is_needed(self, now_s: float) -> bool:
@@ -267,7 +271,7 @@
         if self._demand.is_low:
             return False
         has_rate = self.share.rate > 0 and now_s < self.until_s
-        return has_rate or now_s - self._demand.last_s < RENEW_S
+        return has_rate or now_s - self._demand.last_s < SLICE_RENEW_S
 
     def _want(self, now_s: float) -> Share:
         self._demand.count(now_s, self.open)
@@ -280,7 +284,7 @@
         slots = (
             ceil(max(self._demand.peak, self.open) * _SLOT_HEADROOM) + self.waiting + _SPARE_SLOTS
         )
-        return Share(rate, float(ceil(max(LEAST_BURST, rate))), slots).at_most(
+        return Share(rate, float(ceil(max(MIN_BURST, rate))), slots).at_most(
             self.whole.at_least(Share(slots=self.open))
         )
 
--- a/egretstack/limits/_home.py
+++ b/egretstack/limits/_home.py
@@ -4,30 +4,30 @@
 
 from egretstack.contracts import Contract
 from egretstack.ids import AccountId, InstanceId
-from egretstack.limits._homes import Homes
+from egretstack.limits._homes import HomeLocator
 from egretstack.limits._loans import Loans
 from egretstack.limits._messages import (
-    AskRow,
     Grant,
+    GrantRequest,
+    GrantStatus,
     LimitsAnswer,
     LimitsAsk,
-    Standing,
-    ask_rows,
     make_answer,
+    parse_query,
 )
-from egretstack.limits._share import NOTHING, whole_of
-from egretstack.limits._timing import FREEZE_S, WARM_UP_S
+from egretstack.limits._share import NO_SHARE, contract_share
+from egretstack.limits._timing import PAUSE_THRESHOLD_S, WARM_UP_S
 from egretstack.peers import MessageError
 
 SWEEP_S = 5.0
-_NO_HOME = Grant(Standing.NOT_HOME, NOTHING, 0.0, 0, 0.0)
-_UNKNOWN = Grant(Standing.UNKNOWN_ACCOUNT, NOTHING, 0.0, 0, 0.0)
+_NO_HOME = Grant(GrantStatus.NOT_HOME, NO_SHARE, 0.0, 0, 0.0)
+_UNKNOWN = Grant(GrantStatus.UNKNOWN_ACCOUNT, NO_SHARE, 0.0, 0, 0.0)
 
 
-class HomeSide:
+class LimitsHome:
     """Answers asks for the accounts whose home this instance is; times in seconds."""
 
-    def __init__(self, own: InstanceId, homes: Homes, now_s: float) -> None:
+    def __init__(self, own: InstanceId, homes: HomeLocator, now_s: float) -> None:
         self._own = own
         self._homes = homes
         self._beat_s = now_s
@@ -36,11 +36,11 @@
         self._loans_by_account: dict[AccountId, Loans] = {}
 
     @property
-    def accounts(self) -> int:
+    def account_count(self) -> int:
         """Tell how many accounts this instance keeps a record of."""
         return len(self._loans_by_account)
 
-    def beat(self, now_s: float) -> bool:
+    def tick(self, now_s: float) -> bool:
         """Note that this process runs; True when it had stood still and forgot all it lent.
 
         A home that was frozen (SIGSTOP, a paused instance) finds its records as they were, while
@@ -48,7 +48,7 @@
         double them. So it starts as a new home does; by the end of the warm-up it has read the
         instance list again, and answers NOT_HOME where it lost the account.
         """
-        frozen = now_s - self._beat_s > FREEZE_S
+        frozen = now_s - self._beat_s > PAUSE_THRESHOLD_S
         if frozen:
             self._loans_by_account.clear()
             self._fresh_s = now_s
@@ -71,8 +71,8 @@
         """
         if ask.instance != entry:
             raise MessageError(f"an ask of {entry} in another's name")
-        rows = ask_rows(ask)
-        self.beat(now_s)
+        rows = parse_query(ask)
+        self.tick(now_s)
         return make_answer(
             [self._row(now_s, entry, ask.serial, row, contract_by_account) for row in rows]
         )
@@ -82,14 +82,14 @@
         now_s: float,
         entry: InstanceId,
         serial: int,
-        row: AskRow,
+        row: GrantRequest,
         contract_by_account: Mapping[AccountId, Contract],
     ) -> Grant:
         contract = contract_by_account.get(row.account)
         if contract is None:
             self._loans_by_account.pop(row.account, None)
             return _UNKNOWN
-        since_s = self._homes.since(row.account, self._own)
+        since_s = self._homes.home_since(row.account, self._own)
         if since_s is None:
             self._loans_by_account.pop(row.account, None)
             return _NO_HOME
@@ -97,7 +97,7 @@
         loans = self._loans(row.account, open_s)
         if now_s < open_s:
             return loans.keep(now_s, entry, serial, row)
-        return loans.lend(now_s, entry, serial, row, whole_of(contract))
+        return loans.lend(now_s, entry, serial, row, contract_share(contract))
 
     def _opening(self, since_s: float) -> float:
         # The old home may have lent up to its last moment, and may learn later than this one
--- a/egretstack/limits/_homes.py
+++ b/egretstack/limits/_homes.py
@@ -5,7 +5,7 @@
 from math import ceil
 
 from egretstack.ids import AccountId, InstanceId, ZoneName
-from egretstack.limits._share import NOTHING, Share
+from egretstack.limits._share import NO_SHARE, Share
 from egretstack.membership import rendezvous
 
 VIEWS_KEPT = 16
@@ -25,7 +25,7 @@
     return rendezvous(account, instance)
 
 
-class Homes:
+class HomeLocator:
     """The live instances as this one sees them, now and a few changes ago."""
 
     def __init__(self, now_s: float) -> None:
@@ -35,7 +35,7 @@
         self._since_by_account: dict[AccountId, float | None] = {}
         self._holders_by_account: dict[AccountId, list[InstanceId]] = {}
 
-    def see(self, now_s: float, live: Live) -> None:
+    def update_view(self, now_s: float, live: Live) -> None:
         """Note the live instances; the same ones again change nothing."""
         if live == self._views[-1][1]:
             return
@@ -53,7 +53,7 @@
                 self._home_by_account[account] = found
         return found
 
-    def since(self, account: AccountId, own: InstanceId) -> float | None:
+    def home_since(self, account: AccountId, own: InstanceId) -> float | None:
         """Give since when `own` is the home of an account without a break; None if it is not."""
         if account not in self._since_by_account:
             if len(self._since_by_account) >= MAX_CACHED:
@@ -69,7 +69,7 @@
             since = seen_s
         return since
 
-    def conservative(self, account: AccountId, own: InstanceId, whole: Share) -> Share:
+    def conservative_share(self, account: AccountId, own: InstanceId, whole: Share) -> Share:
         """Give the part of `whole` that an entry uses while no home is reachable.
 
         The entries that callers of each zone are sent to first share it; the parts of all entries
@@ -82,7 +82,7 @@
             burst = int(whole.burst) // count
             return Share(whole.rate / count if burst else 0.0, float(burst), whole.slots // count)
         if own not in holders:
-            return NOTHING
+            return NO_SHARE
         count = len(holders)
         place = holders.index(own)
         burst = _portion(int(whole.burst), count, place)
--- a/egretstack/limits/_loans.py
+++ b/egretstack/limits/_loans.py
@@ -5,16 +5,16 @@
 from math import ceil
 
 from egretstack.ids import InstanceId
-from egretstack.limits._messages import AskRow, Grant, Standing
-from egretstack.limits._share import LEAST_BURST, NOTHING, Share, TokenBucket
-from egretstack.limits._timing import FLIGHT_S, HOLD_LIFE_S, LIFE_S
+from egretstack.limits._messages import Grant, GrantRequest, GrantStatus
+from egretstack.limits._share import MIN_BURST, NO_SHARE, Share, TokenBucket
+from egretstack.limits._timing import DIRECT_TOKEN_TTL_S, HOLD_TTL_S, SLICE_TTL_S
 
 MAX_ENTRIES = 2048
 """Entries that one account is lent to at once; more are refused until some have ended."""
 
 _FEW = 16
 _REFRESH_S = 0.5
-_REFUSED = Grant(Standing.GRANTED, NOTHING, 0.0, 0, LIFE_S)
+_REFUSED = Grant(GrantStatus.GRANTED, NO_SHARE, 0.0, 0, SLICE_TTL_S)
 
 
 @dataclass(frozen=True)
@@ -38,31 +38,31 @@
     def __init__(self, open_s: float) -> None:
         self.open_s = open_s
         self._loan_by_entry: dict[InstanceId, _Loan] = {}
-        self._total = NOTHING
-        self._fair = NOTHING
+        self._total = NO_SHARE
+        self._fair = NO_SHARE
         self._refresh_s = open_s
-        self._whole = NOTHING
+        self._whole = NO_SHARE
         # Tokens from before the opening may have been spent through the old home.
         self._bucket = TokenBucket(open_s)
         self._flights: deque[tuple[float, int]] = deque()
 
     def is_idle(self, now_s: float) -> bool:
         """Tell whether nothing is lent and all tokens are back, so that nothing is forgotten."""
-        if now_s < self.open_s or self._whole is NOTHING:
+        if now_s < self.open_s or self._whole is NO_SHARE:
             return not self._loan_by_entry
         self._refresh(now_s)
         return not self._loan_by_entry and self._bucket.level >= self._whole.burst
 
-    def keep(self, now_s: float, entry: InstanceId, serial: int, row: AskRow) -> Grant:
+    def keep(self, now_s: float, entry: InstanceId, serial: int, row: GrantRequest) -> Grant:
         """Let an entry keep what it has while this home is new; lend nothing more."""
         if self._is_late(entry, serial):
             return _REFUSED
         kept = row.keep.at_least(Share(slots=row.open))
-        self._charge(entry, _Loan(serial, now_s + LIFE_S, kept, row.want))
-        return Grant(Standing.WARMING, row.keep, 0.0, 0, self.open_s - now_s)
+        self._charge(entry, _Loan(serial, now_s + SLICE_TTL_S, kept, row.want))
+        return Grant(GrantStatus.WARMING, row.keep, 0.0, 0, self.open_s - now_s)
 
     def lend(
-        self, now_s: float, entry: InstanceId, serial: int, row: AskRow, whole: Share
+        self, now_s: float, entry: InstanceId, serial: int, row: GrantRequest, whole: Share
     ) -> Grant:
         """Lend an entry its part of what is left."""
         # An ask that was delayed on the way tells of a past state of the entry; charging that
@@ -72,7 +72,7 @@
         self._settle(now_s, whole)
         left = whole.left_after(self._total_without(entry))
         granted = self._target(entry, row, whole, left)
-        if granted.burst < min(LEAST_BURST, whole.burst):
+        if granted.burst < min(MIN_BURST, whole.burst):
             # Arrivals are uneven: a bucket that holds one token refuses while tokens lie unused
             # in the others. Such entries are served from the home's bucket, request by request.
             granted = Share(slots=granted.slots)
@@ -81,11 +81,11 @@
         tokens = self._bucket.take(granted.burst - row.keep.burst)
         direct = self._direct(now_s, row.waiting - tokens, left.burst - charged.burst)
         holds = only_holds(granted, direct, row.open)
-        life_s = HOLD_LIFE_S if holds else LIFE_S
+        life_s = HOLD_TTL_S if holds else SLICE_TTL_S
         self._charge(entry, _Loan(serial, now_s + life_s, charged, row.want))
         self._bucket.level = min(self._bucket.level, self._bound())
         wait_s = self._wait(row.waiting - tokens - direct, whole)
-        return Grant(Standing.GRANTED, granted, tokens, direct, wait_s)
+        return Grant(GrantStatus.GRANTED, granted, tokens, direct, wait_s)
 
     def _direct(self, now_s: float, wanted: float, room: float) -> int:
         # Tokens under way are in no bucket. Were the bucket filled up behind them, the entries
@@ -94,7 +94,7 @@
         direct = max(0, min(ceil(wanted), int(most)))
         if direct:
             self._bucket.take(float(direct))
-            self._flights.append((now_s + FLIGHT_S, direct))
+            self._flights.append((now_s + DIRECT_TOKEN_TTL_S, direct))
         return direct
 
     def _under_way(self) -> int:
@@ -112,7 +112,7 @@
         self._bucket.fill(now_s, rate, self._bound())
 
     def _settle(self, now_s: float, whole: Share) -> None:
-        if self._whole is NOTHING:
+        if self._whole is NO_SHARE:
             self._whole = whole
         few = len(self._loan_by_entry) < _FEW
         is_due = few or now_s >= self._refresh_s + _REFRESH_S
@@ -127,7 +127,7 @@
         self._end_loans(now_s)
         self._fill(now_s)
         self._refresh_s = now_s
-        total = NOTHING
+        total = NO_SHARE
         for loan in self._loan_by_entry.values():
             total += loan.charged
         self._total = total
@@ -145,7 +145,7 @@
             self._total = self._total_without(entry)
             del self._loan_by_entry[entry]
 
-    def _target(self, entry: InstanceId, row: AskRow, whole: Share, left: Share) -> Share:
+    def _target(self, entry: InstanceId, row: GrantRequest, whole: Share, left: Share) -> Share:
         want = row.want.at_most(whole)
         if not self._loan_by_entry.keys() <= {entry}:
             want = want.at_most(self._fair)
--- a/egretstack/limits/_messages.py
+++ b/egretstack/limits/_messages.py
@@ -39,7 +39,7 @@
     rows: list
 
 
-class Standing(Enum):
+class GrantStatus(Enum):
     """What the answering instance is to an account."""
 
     GRANTED = 0
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class AskRow:
+class GrantRequest:
     """One account in an ask.
 
     `keep` is the most the entry uses until it has the answer; it has bound itself to that when
@@ -79,20 +79,20 @@
     lost if they come later than FLIGHT_S after the ask. `wait_s` forecasts the next one.
     """
 
-    standing: Standing
+    status: GrantStatus
     share: Share
     tokens: float
-    direct: int
+    direct_tokens: int
     wait_s: float
 
     def packed(self) -> list:
         """Give the row as it is sent."""
         share = [_down(self.share.rate), _down(self.share.burst), self.share.slots]
-        tokens = [_down(self.tokens), self.direct]
-        return [self.standing.value, *share, *tokens, _up(self.wait_s)]
+        tokens = [_down(self.tokens), self.direct_tokens]
+        return [self.status.value, *share, *tokens, _up(self.wait_s)]
 
 
-def make_ask(instance: InstanceId, serial: int, rows: list[AskRow]) -> LimitsAsk:
+def make_query(instance: InstanceId, serial: int, rows: list[GrantRequest]) -> LimitsAsk:
     """Build an ask."""
     return LimitsAsk(instance, serial, [row.packed() for row in rows])
 
@@ -102,37 +102,37 @@
     return LimitsAnswer([grant.packed() for grant in grants])
 
 
-def ask_rows(ask: LimitsAsk) -> list[AskRow]:
+def parse_query(ask: LimitsAsk) -> list[GrantRequest]:
     """Check and read the rows of an ask; raise MessageError."""
     if len(ask.rows) > MAX_ROWS or not 0 < len(ask.instance) <= MAX_NAME_LENGTH:
         raise MessageError("an ask that is too large or has no sender")
     return [_ask_row(row) for row in ask.rows]
 
 
-def answer_grants(answer: LimitsAnswer, count: int) -> list[Grant]:
+def parse_answer(answer: LimitsAnswer, count: int) -> list[Grant]:
     """Check and read the `count` rows of an answer; raise MessageError."""
     if len(answer.rows) != count:
         raise MessageError("an answer to another ask")
     return [_grant(row) for row in answer.rows]
 
 
-def _ask_row(row: object) -> AskRow:
+def _ask_row(row: object) -> GrantRequest:
     if not isinstance(row, list) or len(row) != _ASK_FIELDS or not isinstance(row[0], str):
         raise MessageError("a row of an ask")
     if not 0 < len(row[0]) <= MAX_NAME_LENGTH:
         raise MessageError("the name of an account")
     open_now, waiting, *rest, returned = _numbers(row[1:])
     keep, want = _share(rest[:3]), _share(rest[3:])
-    return AskRow(AccountId(row[0]), open_now, waiting, keep, want, returned / _MILLI)
+    return GrantRequest(AccountId(row[0]), open_now, waiting, keep, want, returned / _MILLI)
 
 
 def _grant(row: object) -> Grant:
     if not isinstance(row, list) or len(row) != _GRANT_FIELDS:
         raise MessageError("a row of an answer")
     standing, *rest, tokens, direct, wait = _numbers(row)
-    if standing > Standing.UNKNOWN_ACCOUNT.value:
+    if standing > GrantStatus.UNKNOWN_ACCOUNT.value:
         raise MessageError("an unknown standing")
-    return Grant(Standing(standing), _share(rest), tokens / _MILLI, direct, wait / _MILLI)
+    return Grant(GrantStatus(standing), _share(rest), tokens / _MILLI, direct, wait / _MILLI)
 
 
 def _numbers(values: list) -> list[int]:
--- a/egretstack/limits/_share.py
+++ b/egretstack/limits/_share.py
@@ -49,13 +49,13 @@
         )
 
 
-NOTHING = Share()
+NO_SHARE = Share()
 
-LEAST_BURST = 2.0
+MIN_BURST = 2.0
 """Fewest tokens at once that are worth lending to an entry, unless the contract has fewer."""
 
 
-def whole_of(contract: Contract) -> Share:
+def contract_share(contract: Contract) -> Share:
     """Give all that a contract allows over the whole fleet."""
     return Share(contract.requests_per_s, float(contract.burst), contract.concurrency)
 
--- a/egretstack/policy/__init__.py
+++ b/egretstack/policy/__init__.py
@@ -20,11 +20,11 @@
     RunnerLeft,
     RunnerReported,
     RunnerSeen,
+    SchedulingRequest,
     Started,
     Tick,
-    Work,
 )
-from egretstack.policy._parts import Part
+from egretstack.policy._parts import Feature
 from egretstack.policy._registry import (
     DEFAULT_POLICY,
     ORACLE,
@@ -48,7 +48,7 @@
     "InstancesSeen",
     "LeastLoaded",
     "LengthsLearned",
-    "Part",
+    "Feature",
     "Policy",
     "PolicyEvent",
     "Progressed",
@@ -59,7 +59,7 @@
     "RunnerSeen",
     "Started",
     "Tick",
-    "Work",
+    "SchedulingRequest",
     "make_oracle",
     "make_policy",
 ]
--- a/egretstack/policy/_base.py
+++ b/egretstack/policy/_base.py
@@ -24,7 +24,7 @@
     def next_wake_s(self) -> float | None:
         """Give the time at which to send a Tick, or None."""
 
-    def summary(self) -> LengthSummary:
+    def length_summary(self) -> LengthSummary:
         """Give what other instances may learn from this one; a policy that learns nothing: none.
 
         The others are told of it in a LengthsLearned.
--- a/egretstack/policy/_book.py
+++ b/egretstack/policy/_book.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass, field
 
-from egretstack.ids import RunnerId, WorkId
+from egretstack.ids import RequestId, RunnerId
 from egretstack.lengths import LengthKey
-from egretstack.policy._messages import RunnerInfo, RunnerReported, Work
+from egretstack.policy._messages import RunnerInfo, RunnerReported, SchedulingRequest
 
 FIRST_RATE = 30.0
 """Output tokens a second of one sequence, taken until a runner's own rate is seen."""
@@ -16,7 +16,7 @@
 class Sent:
     """Work that this instance sent to a runner."""
 
-    work: Work
+    work: SchedulingRequest
     key: LengthKey
     sent_s: float
     tokens: int = 0
@@ -38,7 +38,7 @@
     """One runner."""
 
     info: RunnerInfo
-    sent: dict[WorkId, Sent] = field(default_factory=dict)
+    sent: dict[RequestId, Sent] = field(default_factory=dict)
     gone: list[tuple[float, Sent]] = field(default_factory=list)
     """Work that left, with the time, as long as a report may still count it."""
     report: RunnerReported | None = None
@@ -93,7 +93,7 @@
 
     def __init__(self) -> None:
         self.by_id: dict[RunnerId, RunnerBook] = {}
-        self._runner_by_work: dict[WorkId, RunnerId] = {}
+        self._runner_by_work: dict[RequestId, RunnerId] = {}
 
     def seen(self, info: RunnerInfo) -> None:
         """Note a runner that may get work."""
@@ -113,17 +113,19 @@
         book.report = None
         self._forget_if_empty(book)
 
-    def send(self, now_s: float, work: Work, runner_id: RunnerId, key: LengthKey) -> None:
+    def send(
+        self, now_s: float, work: SchedulingRequest, runner_id: RunnerId, key: LengthKey
+    ) -> None:
         """Note work that goes to a runner."""
         self.by_id[runner_id].sent[work.id] = Sent(work, key, now_s, at_s=now_s)
         self._runner_by_work[work.id] = runner_id
 
-    def runner_of(self, work_id: WorkId) -> RunnerBook | None:
+    def runner_of(self, work_id: RequestId) -> RunnerBook | None:
         """Give the runner that has the work."""
         runner_id = self._runner_by_work.get(work_id)
         return None if runner_id is None else self.by_id[runner_id]
 
-    def remove(self, now_s: float, work_id: WorkId) -> Sent | None:
+    def remove(self, now_s: float, work_id: RequestId) -> Sent | None:
         """Take work off its runner; give what was known of it."""
         book = self.runner_of(work_id)
         if book is None:
@@ -135,7 +137,7 @@
         self._forget_if_empty(book)
         return sent
 
-    def candidates(self, work: Work) -> list[RunnerBook]:
+    def candidates(self, work: SchedulingRequest) -> list[RunnerBook]:
         """Give the runners that serve the work's model and did not fail it before.
 
         An instance reads the reports of some runners only. One without a report would look empty
--- a/egretstack/policy/_default.py
+++ b/egretstack/policy/_default.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from egretstack.errors import ErrorKind
-from egretstack.ids import ModelName, ServiceName, WorkId
+from egretstack.ids import ModelName, RequestId, ServiceName
 from egretstack.lengths import LengthSummary
 from egretstack.policy._base import Policy
 from egretstack.policy._book import Book, RunnerBook, Sent
@@ -26,11 +26,11 @@
     RunnerLeft,
     RunnerReported,
     RunnerSeen,
+    SchedulingRequest,
     Started,
     Tick,
-    Work,
 )
-from egretstack.policy._parts import Part
+from egretstack.policy._parts import Feature
 from egretstack.policy._routing import Router
 from egretstack.policy._wait_queue import MAX_QUEUE, WaitQueue
 from egretstack.policy._waits import MIN_RETRY_S, WaitForecast
@@ -60,7 +60,7 @@
     def __init__(
         self,
         rng: random.Random,
-        left_out: frozenset[Part] = frozenset(),
+        left_out: frozenset[Feature] = frozenset(),
         fitter: Fitter | None = None,
     ) -> None:
         self._rng = rng
@@ -69,7 +69,7 @@
         self._fitter = fitter or Fitter(rng, left_out)
         self._router = Router(rng, left_out)
         self._queue = WaitQueue(
-            ageing=Part.AGEING not in left_out, floor=Part.ACCOUNT_FLOOR not in left_out
+            ageing=Feature.AGEING not in left_out, floor=Feature.ACCOUNT_FLOOR not in left_out
         )
         self._waits_by_group: dict[Group, WaitForecast] = {}
         self._reconsidered_s = 0.0
@@ -96,12 +96,12 @@
         """Give the time at which to send a Tick, or None."""
         return min((work.deadline_s for work in self._queue.works()), default=None)
 
-    def summary(self) -> LengthSummary:
+    def length_summary(self) -> LengthSummary:
         """Give what other instances may learn from this one."""
         return self._fitter.lengths.summary()
 
     def _arrived(self, event: Arrived, now_s: float) -> list[Action]:
-        work = event.work
+        work = event.request
         if work.excluded:
             # Work that lost its runner was accepted: its first start met the deadline.
             allowed_s = max(work.deadline_s, now_s + RERUN_ALLOWED_S)
@@ -109,29 +109,29 @@
         if not self._book.candidates(work):
             return [Refuse(work.id, ErrorKind.NO_RUNNER, MIN_RETRY_S)]
         actions = self._make_place(now_s, work)
-        if actions and actions[0].work_id == work.id:
+        if actions and actions[0].request_id == work.id:
             return actions
         self._queue.add(now_s, work)
         return actions + self._dispatch_ready(now_s) + self._refuse_late(now_s, work)
 
     def _progressed(self, event: Progressed, now_s: float) -> list[Action]:
-        book = self._book.runner_of(event.work_id)
+        book = self._book.runner_of(event.request_id)
         if book is None:
             return []
-        sent = book.sent[event.work_id]
+        sent = book.sent[event.request_id]
         self._fitter.lengths.progressed(sent.key, sent.tokens, event.tokens)
         book.progressed(now_s, sent, event.tokens, event.delivered)
         return []
 
     def _ended(self, event: Ended, now_s: float) -> list[Action]:
-        self._queue.remove(event.work_id, now_s)
-        sent = self._remove(now_s, event.work_id)
+        self._queue.remove(event.request_id, now_s)
+        sent = self._remove(now_s, event.request_id)
         if sent is not None and event.reason is EndReason.FINISHED and event.tokens:
             self._fitter.lengths.finished(sent.key, sent.tokens, event.tokens)
         return self._dispatch_ready(now_s)
 
     def _evicted(self, event: Evicted, now_s: float) -> list[Action]:
-        sent = self._remove(now_s, event.work_id)
+        sent = self._remove(now_s, event.request_id)
         if sent is None:
             return []
         work = replace(sent.work, deadline_s=max(sent.work.deadline_s, now_s + RERUN_ALLOWED_S))
@@ -179,18 +179,18 @@
         actions = self._dispatch_ready(now_s)
         return actions + self._reconsider(now_s, force=True)
 
-    def _remove(self, now_s: float, work_id: WorkId) -> Sent | None:
+    def _remove(self, now_s: float, work_id: RequestId) -> Sent | None:
         book = self._book.runner_of(work_id)
         if book is None:
             return None
         self._fitter.left(now_s, book, book.sent[work_id])
         return self._book.remove(now_s, work_id)
 
-    def _waits(self, work: Work) -> WaitForecast:
+    def _waits(self, work: SchedulingRequest) -> WaitForecast:
         group = (work.service, work.model)
         return self._waits_by_group.setdefault(group, WaitForecast())
 
-    def _make_place(self, now_s: float, work: Work) -> list[Action]:
+    def _make_place(self, now_s: float, work: SchedulingRequest) -> list[Action]:
         """Keep the queue bounded: of the newcomer and the last in order, one is refused."""
         if len(self._queue) < MAX_QUEUE:
             return []
@@ -215,7 +215,7 @@
                 actions.append(dispatch)
         return actions
 
-    def _dispatch(self, now_s: float, work: Work) -> Dispatch | None:
+    def _dispatch(self, now_s: float, work: SchedulingRequest) -> Dispatch | None:
         demand = self._fitter.demand(work)
         tried = self._router.sample(work, self._book.candidates(work))
         found = [self._fitter.fit(now_s, book, work, demand) for book in tried]
@@ -231,17 +231,17 @@
         self._waits(work).sent(now_s, work.value, waited_s)
         return Dispatch(work.id, book.info.id, self._priority(work))
 
-    def _priority(self, work: Work) -> int:
+    def _priority(self, work: SchedulingRequest) -> int:
         """Give the engine's priority; it preempts the lowest first.
 
         A preempted stream stops in front of its reader, other work only ends later. So streams
         are kept before everything else, and by value among themselves.
         """
-        if work.streamed and Part.READER_PRIORITY not in self._left_out:
+        if work.streamed and Feature.STREAM_PRIORITY not in self._left_out:
             return work.value + READER_PRIORITY
         return work.value
 
-    def _refuse_late(self, now_s: float, work: Work) -> list[Action]:
+    def _refuse_late(self, now_s: float, work: SchedulingRequest) -> list[Action]:
         """Refuse a newcomer that has to wait longer than it may."""
         waiting = self._queue.ordered(now_s)
         self._note_waiting(now_s, waiting)
@@ -258,12 +258,14 @@
         self._note_waiting(now_s, waiting)
         return self._late(now_s, waiting)
 
-    def _note_waiting(self, now_s: float, waiting: list[Work]) -> None:
+    def _note_waiting(self, now_s: float, waiting: list[SchedulingRequest]) -> None:
         groups = {(work.service, work.model) for work in waiting}
         for group, waits in self._waits_by_group.items():
             waits.waiting(now_s, group in groups)
 
-    def _late(self, now_s: float, waiting: list[Work], only: Work | None = None) -> list[Action]:
+    def _late(
+        self, now_s: float, waiting: list[SchedulingRequest], only: SchedulingRequest | None = None
+    ) -> list[Action]:
         actions: list[Action] = []
         ahead_by_group: dict[Group, int] = {}
         for work in waiting:
@@ -275,15 +277,15 @@
                 actions.append(self._refuse(now_s, work, ErrorKind.DEADLINE_TOO_SHORT, ahead))
         return actions
 
-    def _is_late(self, now_s: float, work: Work, ahead: int) -> bool:
+    def _is_late(self, now_s: float, work: SchedulingRequest, ahead: int) -> bool:
         if work.deadline_s <= now_s:
             return True
-        if Part.DEADLINE_FORECAST in self._left_out or work.excluded:
+        if Feature.DEADLINE_FORECAST in self._left_out or work.excluded:
             return False
         allowed_s = work.deadline_s - now_s + self._queue.waited_s(work.id, now_s)
         return self._waits(work).wait_s(now_s, ahead, work.value) >= LATE_SHARE * allowed_s
 
-    def _refuse(self, now_s: float, work: Work, kind: ErrorKind, ahead: int) -> Refuse:
+    def _refuse(self, now_s: float, work: SchedulingRequest, kind: ErrorKind, ahead: int) -> Refuse:
         waited_s = self._queue.remove(work.id, now_s)
         waits = self._waits(work)
         if work.deadline_s <= now_s:
@@ -301,7 +303,7 @@
 
     def _relieve(self, now_s: float, book: RunnerBook) -> list[Action]:
         """Take undelivered work off a runner that is about to fill, if it fits elsewhere."""
-        if Part.RELIEF in self._left_out:
+        if Feature.EVICTION in self._left_out:
             return []
         if not self._fitter.near_overflow(now_s, book):
             return []
@@ -318,7 +320,7 @@
                 return [Evict(sent.work.id)]
         return []
 
-    def _fits_elsewhere(self, now_s: float, book: RunnerBook, work: Work) -> bool:
+    def _fits_elsewhere(self, now_s: float, book: RunnerBook, work: SchedulingRequest) -> bool:
         demand = self._fitter.demand(work)
         others = [one for one in self._book.candidates(work) if one is not book]
         return any(self._fitter.fit(now_s, one, work, demand) for one in others)
--- a/egretstack/policy/_fitting.py
+++ b/egretstack/policy/_fitting.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-from egretstack.ids import AccountId, RunnerId, WorkId
+from egretstack.ids import AccountId, RequestId, RunnerId
 from egretstack.lengths import LengthKey, LengthModel
 from egretstack.policy._book import RunnerBook, Sent
 from egretstack.policy._forecast import (
@@ -16,8 +16,8 @@
     add_sent,
     demand_of,
 )
-from egretstack.policy._messages import Work
-from egretstack.policy._parts import Part
+from egretstack.policy._messages import SchedulingRequest
+from egretstack.policy._parts import Feature
 
 FORECAST_LIFE_S = 0.5
 MIN_SESSIONS = 20
@@ -48,7 +48,7 @@
 class Fitter:
     """Forecasts each runner's memory and says which work fits."""
 
-    def __init__(self, rng: random.Random, left_out: frozenset[Part]) -> None:
+    def __init__(self, rng: random.Random, left_out: frozenset[Feature]) -> None:
         self.lengths = LengthModel()
         self.instances = 1
         self._rng = rng
@@ -56,14 +56,14 @@
         self._unknown = LengthModel()
         self._kept_by_id: dict[RunnerId, _Kept] = {}
 
-    def key(self, work: Work) -> LengthKey:
+    def key(self, work: SchedulingRequest) -> LengthKey:
         """Give the key under which a work's length is learned."""
         prefix = f"{crc32(work.prefix.encode()):08x}" if work.prefix else ""
-        if Part.PREFIX_LENGTHS in self._left_out:
+        if Feature.PREFIX_LENGTHS in self._left_out:
             prefix = ""
         return LengthKey(work.service, work.model, work.account, prefix)
 
-    def demand(self, work: Work) -> Demand:
+    def demand(self, work: SchedulingRequest) -> Demand:
         """Give the demand of work that is not sent."""
         return demand_of(work, self._model().curve(self.key(work)))
 
@@ -89,7 +89,9 @@
         kept.sends += 1
         kept.demand.change(demand, 1)
 
-    def fit(self, now_s: float, book: RunnerBook, work: Work, demand: Demand) -> Fit | None:
+    def fit(
+        self, now_s: float, book: RunnerBook, work: SchedulingRequest, demand: Demand
+    ) -> Fit | None:
         """Tell whether work fits on a runner now."""
         if work.prompt_tokens >= book.capacity:
             return None
@@ -108,7 +110,7 @@
     def _has_waiting(self, book: RunnerBook) -> bool:
         # Work waits at an engine because memory ran short there, most of it preempted. What is
         # sent now takes the room that a stopped stream needs to go on: one waited for 88 s.
-        if Part.ENGINE_QUEUE in self._left_out:
+        if Feature.ENGINE_QUEUE in self._left_out:
             return False
         return book.report is not None and book.report.waiting > 0
 
@@ -123,16 +125,16 @@
     def _own_share(self, kept: _Kept, demand: Demand) -> bool:
         # Every instance sees the same room in the same late report. If each took it all, the
         # engine would get it many times over and preempt. Each takes its part, by lot.
-        if Part.SHARE_OF_ROOM in self._left_out or self.instances == 1:
+        if Feature.FREE_MEMORY_SHARE in self._left_out or self.instances == 1:
             return True
         size = max(1.0, demand.peak(self._deviations()))
         return kept.sends + kept.lot < kept.room / (self.instances * size)
 
     def _deviations(self) -> float:
-        return 0.0 if Part.SPREAD in self._left_out else QUANTILE_DEVIATIONS
+        return 0.0 if Feature.PEAK_QUANTILE in self._left_out else QUANTILE_DEVIATIONS
 
     def _model(self) -> LengthModel:
-        return self._unknown if Part.LENGTHS in self._left_out else self.lengths
+        return self._unknown if Feature.LEARNED_LENGTHS in self._left_out else self.lengths
 
     def _forecast(self, now_s: float, book: RunnerBook) -> _Kept:
         kept = self._kept_by_id.get(book.info.id)
@@ -157,7 +159,7 @@
             pooled = LengthKey(first.service, first.model)
         else:
             pooled = LengthKey(book.info.service, book.info.models[0])
-        unseen = Part.UNSEEN not in self._left_out and self.instances > 1
+        unseen = Feature.UNREPORTED_SENDS not in self._left_out and self.instances > 1
         # An instance that has just started knows no lengths. By the prior, whose longest answers
         # fill an engine, it would find no room on any that others use, and so never learn.
         known = model.sessions(pooled) >= MIN_SESSIONS
@@ -169,15 +171,17 @@
 class ExactFitter(Fitter):
     """Knows each length: the oracle's."""
 
-    def __init__(self, rng: random.Random, lengths: Mapping[WorkId, int]) -> None:
+    def __init__(self, rng: random.Random, lengths: Mapping[RequestId, int]) -> None:
         super().__init__(rng, frozenset())
         self._length_by_id = lengths
 
-    def key(self, work: Work) -> LengthKey:
+    def key(self, work: SchedulingRequest) -> LengthKey:
         """Give the key under which a work's length is learned."""
         return LengthKey(work.service, work.model, AccountId(""))
 
-    def fit(self, now_s: float, book: RunnerBook, work: Work, demand: Demand) -> Fit | None:
+    def fit(
+        self, now_s: float, book: RunnerBook, work: SchedulingRequest, demand: Demand
+    ) -> Fit | None:
         """Tell whether work fits on a runner now."""
         if work.prompt_tokens >= book.capacity or len(book.sent) >= book.info.max_batch:
             return None
--- a/egretstack/policy/_forecast.py
+++ b/egretstack/policy/_forecast.py
@@ -5,7 +5,7 @@
 
 from egretstack.lengths import Curve
 from egretstack.policy._book import RunnerBook, Sent
-from egretstack.policy._messages import Work
+from egretstack.policy._messages import SchedulingRequest
 
 AHEAD_TOKENS = (0, 64, 192, 512, 1024, 2048, 4096)
 """Points of the horizon, in output tokens of one sequence: all of a batch advance together."""
@@ -60,7 +60,7 @@
         demand.add(exp(curve.log_share(generated + ahead) - before), held + ahead, point)
 
 
-def demand_of(work: Work, curve: Curve) -> Demand:
+def demand_of(work: SchedulingRequest, curve: Curve) -> Demand:
     """Give the demand of work that is not sent yet."""
     demand = Demand()
     add_sequence(demand, curve, work.prompt_tokens, 0, work.max_output_tokens)
--- a/egretstack/policy/_least_loaded.py
+++ b/egretstack/policy/_least_loaded.py
@@ -1,6 +1,6 @@
 """The least-loaded baseline: the runner with the fewest known sequences."""
 
-from egretstack.policy._messages import RunnerInfo, Work
+from egretstack.policy._messages import RunnerInfo, SchedulingRequest
 from egretstack.policy._queued import QueuedPolicy
 
 
@@ -9,7 +9,9 @@
 
     name = "least-loaded"
 
-    def _pick(self, now_s: float, work: Work, runners: list[RunnerInfo]) -> RunnerInfo | None:
+    def _pick(
+        self, now_s: float, work: SchedulingRequest, runners: list[RunnerInfo]
+    ) -> RunnerInfo | None:
         free = [runner for runner in runners if self._load(runner) < runner.max_batch]
         if not free:
             return None
--- a/egretstack/policy/_messages.py
+++ b/egretstack/policy/_messages.py
@@ -11,19 +11,19 @@
     AccountId,
     InstanceId,
     ModelName,
+    RequestId,
     RunnerId,
     ServiceName,
-    WorkId,
     ZoneName,
 )
 from egretstack.lengths import LengthSummary
 
 
 @dataclass(frozen=True)
-class Work:
+class SchedulingRequest:
     """One generation that wants an engine. Its output length is not known."""
 
-    id: WorkId
+    id: RequestId
     account: AccountId
     service: ServiceName
     model: ModelName
@@ -58,21 +58,21 @@
 class Arrived:
     """A request passed its account's limits and wants an engine."""
 
-    work: Work
+    request: SchedulingRequest
 
 
 @dataclass(frozen=True)
 class Started:
     """The engine accepted the generation."""
 
-    work_id: WorkId
+    request_id: RequestId
 
 
 @dataclass(frozen=True)
 class Progressed:
     """The session's events reached `tokens` output tokens, `delivered` of them to the caller."""
 
-    work_id: WorkId
+    request_id: RequestId
     tokens: int
     delivered: int
 
@@ -89,7 +89,7 @@
 class Ended:
     """The work left its engine, or its caller left the queue. `tokens` were generated."""
 
-    work_id: WorkId
+    request_id: RequestId
     tokens: int
     reason: EndReason
 
@@ -138,7 +138,7 @@
     then goes on where it is.
     """
 
-    work_id: WorkId
+    request_id: RequestId
 
 
 @dataclass(frozen=True)
@@ -181,7 +181,7 @@
 class Dispatch:
     """Send the work to the runner. The engine takes higher `priority` first."""
 
-    work_id: WorkId
+    request_id: RequestId
     runner_id: RunnerId
     priority: int
 
@@ -190,7 +190,7 @@
 class Refuse:
     """Answer the work's caller at once."""
 
-    work_id: WorkId
+    request_id: RequestId
     kind: ErrorKind
     retry_after_s: float
 
@@ -199,7 +199,7 @@
 class Evict:
     """Cancel the work at its runner and put it back in the queue; nothing was delivered."""
 
-    work_id: WorkId
+    request_id: RequestId
 
 
 Action = Dispatch | Refuse | Evict
--- a/egretstack/policy/_queued.py
+++ b/egretstack/policy/_queued.py
@@ -5,7 +5,7 @@
 from functools import singledispatchmethod
 
 from egretstack.errors import ErrorKind
-from egretstack.ids import ModelName, RunnerId, WorkId
+from egretstack.ids import ModelName, RequestId, RunnerId
 from egretstack.policy._base import Policy
 from egretstack.policy._messages import (
     Action,
@@ -23,9 +23,9 @@
     RunnerLeft,
     RunnerReported,
     RunnerSeen,
+    SchedulingRequest,
     Started,
     Tick,
-    Work,
 )
 
 MAX_QUEUE = 10_000
@@ -39,9 +39,9 @@
         self._rng = rng
         self._runner_by_id: dict[RunnerId, RunnerInfo] = {}
         self._report_by_id: dict[RunnerId, RunnerReported] = {}
-        self._running_by_id: dict[RunnerId, dict[WorkId, Work]] = {}
-        self._runner_id_by_work: dict[WorkId, RunnerId] = {}
-        self._queue: dict[WorkId, Work] = {}
+        self._running_by_id: dict[RunnerId, dict[RequestId, SchedulingRequest]] = {}
+        self._runner_id_by_work: dict[RequestId, RunnerId] = {}
+        self._queue: dict[RequestId, SchedulingRequest] = {}
         self._instances = 1
 
     def handle(self, now_s: float, event: PolicyEvent) -> list[Action]:
@@ -56,7 +56,9 @@
         return min((work.deadline_s for work in self._queue.values()), default=None)
 
     @abstractmethod
-    def _pick(self, now_s: float, work: Work, runners: list[RunnerInfo]) -> RunnerInfo | None:
+    def _pick(
+        self, now_s: float, work: SchedulingRequest, runners: list[RunnerInfo]
+    ) -> RunnerInfo | None:
         """Choose a runner for the work among those that may take it, or None to wait."""
 
     @singledispatchmethod
@@ -65,7 +67,7 @@
 
     @_note.register
     def _(self, event: Arrived) -> list[Action]:
-        work = event.work
+        work = event.request
         if len(self._queue) >= MAX_QUEUE:
             return [Refuse(work.id, ErrorKind.ENGINES_FULL, FULL_RETRY_S)]
         if not self._candidates(work):
@@ -75,10 +77,10 @@
 
     @_note.register
     def _(self, event: Ended) -> list[Action]:
-        self._queue.pop(event.work_id, None)
-        runner_id = self._runner_id_by_work.pop(event.work_id, None)
+        self._queue.pop(event.request_id, None)
+        runner_id = self._runner_id_by_work.pop(event.request_id, None)
         if runner_id is not None:
-            self._running_by_id[runner_id].pop(event.work_id, None)
+            self._running_by_id[runner_id].pop(event.request_id, None)
         return []
 
     @_note.register
@@ -107,7 +109,7 @@
     def _(self, event: PolicyEvent) -> list[Action]:
         return []
 
-    def _candidates(self, work: Work) -> list[RunnerInfo]:
+    def _candidates(self, work: SchedulingRequest) -> list[RunnerInfo]:
         return [
             runner
             for runner in self._runner_by_id.values()
@@ -138,7 +140,7 @@
             actions.append(Dispatch(work.id, runner.id, work.value))
         return actions
 
-    def _ordered(self) -> list[Work]:
+    def _ordered(self) -> list[SchedulingRequest]:
         return sorted(self._queue.values(), key=lambda work: -work.value)
 
     def _load(self, runner: RunnerInfo) -> int:
--- a/egretstack/policy/_round_robin.py
+++ b/egretstack/policy/_round_robin.py
@@ -3,7 +3,7 @@
 import random
 
 from egretstack.ids import ModelName, RunnerId
-from egretstack.policy._messages import RunnerInfo, Work
+from egretstack.policy._messages import RunnerInfo, SchedulingRequest
 from egretstack.policy._queued import QueuedPolicy
 
 
@@ -16,7 +16,9 @@
         super().__init__(rng)
         self._last_by_model: dict[ModelName, RunnerId] = {}
 
-    def _pick(self, now_s: float, work: Work, runners: list[RunnerInfo]) -> RunnerInfo | None:
+    def _pick(
+        self, now_s: float, work: SchedulingRequest, runners: list[RunnerInfo]
+    ) -> RunnerInfo | None:
         last = self._last_by_model.get(work.model, RunnerId(""))
         in_turn = sorted(runners, key=lambda runner: (runner.id <= last, runner.id))
         for runner in in_turn:
--- a/egretstack/policy/_wait_queue.py
+++ b/egretstack/policy/_wait_queue.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Iterable
 
-from egretstack.ids import AccountId, WorkId
-from egretstack.policy._messages import Work
+from egretstack.ids import AccountId, RequestId
+from egretstack.policy._messages import SchedulingRequest
 
 MAX_QUEUE = 2000
 """Waiting requests of one instance."""
@@ -46,32 +46,32 @@
     def __init__(self, *, ageing: bool = True, floor: bool = True) -> None:
         self._ageing = ageing
         self._floor = floor
-        self._since_by_id: dict[WorkId, tuple[Work, float]] = {}
+        self._since_by_id: dict[RequestId, tuple[SchedulingRequest, float]] = {}
         self.use = AccountUse()
 
     def __len__(self) -> int:
         return len(self._since_by_id)
 
-    def add(self, now_s: float, work: Work) -> None:
+    def add(self, now_s: float, work: SchedulingRequest) -> None:
         """Put work in."""
         self._since_by_id[work.id] = (work, now_s)
 
-    def remove(self, work_id: WorkId, now_s: float) -> float:
+    def remove(self, work_id: RequestId, now_s: float) -> float:
         """Take work out, if it is there; give how long it waited."""
         waited_s = self.waited_s(work_id, now_s)
         self._since_by_id.pop(work_id, None)
         return waited_s
 
-    def waited_s(self, work_id: WorkId, now_s: float) -> float:
+    def waited_s(self, work_id: RequestId, now_s: float) -> float:
         """Give how long work has waited; none for work that is not here."""
         found = self._since_by_id.get(work_id)
         return 0.0 if found is None else now_s - found[1]
 
-    def works(self) -> Iterable[Work]:
+    def works(self) -> Iterable[SchedulingRequest]:
         """Give all that waits, in no order."""
         return [work for work, _ in self._since_by_id.values()]
 
-    def ordered(self, now_s: float) -> list[Work]:
+    def ordered(self, now_s: float) -> list[SchedulingRequest]:
         """Give all that waits, the first to go first."""
         accounts = {work.account for work, _ in self._since_by_id.values()}
         # Value alone would keep an account of little value out for as long as the engines are
@@ -88,7 +88,7 @@
         rows.sort(key=lambda row: row[:4])
         return [row[4] for row in rows]
 
-    def _worth(self, now_s: float, work: Work, since_s: float) -> float:
+    def _worth(self, now_s: float, work: SchedulingRequest, since_s: float) -> float:
         if not self._ageing:
             return work.value
         return work.value * (1.0 + (now_s - since_s) / AGEING_S)
--- a/egretstack/replay/_loop.py
+++ b/egretstack/replay/_loop.py
@@ -6,7 +6,7 @@
 from functools import partial
 from heapq import heappop, heappush
 
-from egretstack.ids import InstanceId, WorkId
+from egretstack.ids import InstanceId, RequestId
 from egretstack.lengths import pack_summary, unpack_summary
 from egretstack.policy import (
     Action,
@@ -24,9 +24,9 @@
     Progressed,
     RunnerLeft,
     RunnerSeen,
+    SchedulingRequest,
     Started,
     Tick,
-    Work,
 )
 from egretstack.replay._figures import Tally
 from egretstack.replay._fleet import ReplayEngine
@@ -48,7 +48,7 @@
 class _Session:
     number: int
     line: TraceLine
-    work: Work
+    work: SchedulingRequest
     entry: int
     engine: ReplayEngine | None = None
     done: int = 0
@@ -104,8 +104,8 @@
 
     def _session(self, number: int, line: TraceLine, entries: int) -> _Session:
         terms = self._site.terms(line.service)
-        work = Work(
-            id=WorkId(str(number)),
+        work = SchedulingRequest(
+            id=RequestId(str(number)),
             account=line.account,
             service=line.service,
             model=line.model,
@@ -168,7 +168,7 @@
         self._end(session, EndReason.CANCELLED)
 
     def _carry_out(self, entry: _Entry, action: Action) -> None:
-        session = self._sessions[int(action.work_id)]
+        session = self._sessions[int(action.request_id)]
         if session.over:
             return
         if isinstance(action, Dispatch):
@@ -284,7 +284,7 @@
         self._turn = self._turn % (len(self._entries) - 1) + 1
         for number, entry in enumerate(self._entries):
             giver = (number + self._turn) % len(self._entries)
-            packed = pack_summary(self._entries[giver].policy.summary())
+            packed = pack_summary(self._entries[giver].policy.length_summary())
             event = LengthsLearned(InstanceId(str(giver)), unpack_summary(packed))
             if event.summary.by_key:
                 self._tell(entry, event)
--- a/egretstack/replay/_run.py
+++ b/egretstack/replay/_run.py
@@ -3,8 +3,8 @@
 import random
 from collections.abc import Iterable
 
-from egretstack.ids import WorkId
-from egretstack.policy import ORACLE, POLICIES, Part, Policy, make_oracle, make_policy
+from egretstack.ids import RequestId
+from egretstack.policy import ORACLE, POLICIES, Feature, Policy, make_oracle, make_policy
 from egretstack.replay._figures import Figures
 from egretstack.replay._loop import ReplayLoop
 from egretstack.replay._site import Site
@@ -27,7 +27,7 @@
     *,
     entries: int,
     seed: int,
-    left_out: Iterable[Part] = (),
+    left_out: Iterable[Feature] = (),
 ) -> Figures:
     """Replay a trace under one policy; the same arguments give the same figures.
 
@@ -35,7 +35,7 @@
     request and its length. `left_out` are parts of the default policy that are taken out.
     """
     if policy == ORACLE:
-        lengths = {WorkId(str(n)): line.output_tokens for n, line in enumerate(lines)}
+        lengths = {RequestId(str(n)): line.output_tokens for n, line in enumerate(lines)}
         made: list[Policy] = [make_oracle(random.Random(f"oracle-{seed}"), lengths)]
     else:
         parts = frozenset(left_out)
--- a/egretstack/services/dispatching.py
+++ b/egretstack/services/dispatching.py
@@ -7,7 +7,7 @@
 import trio
 
 from egretstack.errors import EgretError, ErrorKind
-from egretstack.ids import RunnerId, WorkId
+from egretstack.ids import RequestId, RunnerId
 from egretstack.kernel import Kernel, Service
 from egretstack.lengths import LengthSummary
 from egretstack.objectapi import ENTRY_SERVICE, MemberState
@@ -25,9 +25,9 @@
     PolicyEvent,
     Progressed,
     Refuse,
+    SchedulingRequest,
     Started,
     Tick,
-    Work,
     make_policy,
 )
 from egretstack.services.instances import Instances
@@ -38,7 +38,7 @@
 
 @dataclass
 class _Waiting:
-    work: Work
+    work: SchedulingRequest
     may_evict: Callable[[], bool]
     decided: trio.Event = field(default_factory=trio.Event)
     action: Dispatch | Refuse | None = None
@@ -54,7 +54,7 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self._policy = make_policy(DEFAULT_POLICY, random.Random())
-        self._waiting_by_id: dict[WorkId, _Waiting] = {}
+        self._waiting_by_id: dict[RequestId, _Waiting] = {}
         self._wake = trio.Event()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
@@ -71,7 +71,7 @@
             if scope.cancelled_caught:
                 self._tell(Tick())
 
-    async def place(self, work: Work, may_evict: Callable[[], bool]) -> Placement:
+    async def place(self, work: SchedulingRequest, may_evict: Callable[[], bool]) -> Placement:
         """Wait for a runner; raise EgretError with the policy's refusal."""
         waiting = _Waiting(work, may_evict)
         self._waiting_by_id[work.id] = waiting
@@ -88,15 +88,15 @@
         """Give the client of a runner, also of a leaving one."""
         return self.kernel.get(Runners).engine(runner_id)
 
-    def started(self, work: Work) -> None:
+    def started(self, work: SchedulingRequest) -> None:
         """Tell the policy that the engine accepted the work."""
         self._tell(Started(work.id))
 
-    def progressed(self, work: Work, tokens: int, delivered: int) -> None:
+    def progressed(self, work: SchedulingRequest, tokens: int, delivered: int) -> None:
         """Tell the policy how far the work has come."""
         self._tell(Progressed(work.id, tokens, delivered))
 
-    def ended(self, work: Work, tokens: int, reason: EndReason) -> None:
+    def ended(self, work: SchedulingRequest, tokens: int, reason: EndReason) -> None:
         """Tell the policy that the work left its engine, or the queue."""
         waiting = self._waiting_by_id.pop(work.id, None)
         if reason is EndReason.FAILED and waiting is not None and waiting.placement is not None:
@@ -105,7 +105,7 @@
 
     def lengths(self) -> LengthSummary:
         """Give what this entry learned of output lengths."""
-        return self._policy.summary()
+        return self._policy.length_summary()
 
     def learned(self, event: LengthsLearned) -> None:
         """Tell the policy what another entry learned."""
@@ -137,7 +137,7 @@
         self._wake.set()
 
     def _carry_out(self, action: Action) -> None:
-        waiting = self._waiting_by_id.get(action.work_id)
+        waiting = self._waiting_by_id.get(action.request_id)
         if waiting is None:
             return
         if isinstance(action, Evict):
--- a/egretstack/services/limits.py
+++ b/egretstack/services/limits.py
@@ -8,15 +8,15 @@
 from egretstack.ids import AccountId, InstanceId
 from egretstack.kernel import Kernel, Service
 from egretstack.limits import (
-    ASK_TIMEOUT_S,
-    BEAT_S,
-    READY_WAIT_S,
-    EntrySide,
-    HomeAsk,
-    Homes,
-    HomeSide,
+    MAX_READY_WAIT_S,
+    QUERY_TIMEOUT_S,
+    TICK_INTERVAL_S,
+    EntryLimiter,
+    HomeLocator,
+    HomeQuery,
     LimitsAnswer,
     LimitsAsk,
+    LimitsHome,
 )
 from egretstack.objectapi import Member
 from egretstack.peers import Message, MessageError, Nothing, PeerGone, PeerRefused
@@ -38,11 +38,11 @@
         super().__init__(kernel)
         self._own = InstanceId(kernel.settings.text("instance", "id"))
         now_s = clock.now()
-        self._homes = Homes(now_s)
+        self._homes = HomeLocator(now_s)
         # A process that follows another on this instance starts above all its serials.
         serial = int(kernel.epoch.now() * _SERIALS_A_SECOND)
-        self.entry = EntrySide(self._own, self._homes, now_s, serial)
-        self.home = HomeSide(self._own, self._homes, now_s)
+        self.entry = EntryLimiter(self._own, self._homes, now_s, serial)
+        self.home = LimitsHome(self._own, self._homes, now_s)
         self._wake = trio.Event()
         self._answered = trio.Event()
         self._waiters: set[object] = set()
@@ -57,7 +57,7 @@
             task_status.started()
             while True:
                 self._beat(nursery)
-                with trio.move_on_after(BEAT_S):
+                with trio.move_on_after(TICK_INTERVAL_S):
                     await self._wake.wait()
                 self._wake = trio.Event()
                 await self._let_woken_run()
@@ -69,11 +69,11 @@
         holds too little of the account's limits and its home has not just said that no more is
         left.
         """
-        with trio.move_on_after(READY_WAIT_S) as scope:
+        with trio.move_on_after(MAX_READY_WAIT_S) as scope:
             while self.entry.should_wait(clock.now(), contract):
                 await self._wait(contract.account)
         if scope.cancelled_caught:
-            self.entry.unanswered(clock.now(), contract.account)
+            self.entry.on_wait_timeout(clock.now(), contract.account)
 
     def open(self, contract: Contract) -> None:
         """Count a request in; raise EgretError."""
@@ -86,12 +86,12 @@
     async def _wait(self, account: AccountId) -> None:
         waiter = object()
         self._waiters.add(waiter)
-        self.entry.wait(account, 1)
+        self.entry.count_waiting(account, 1)
         self._wake.set()
         try:
             await self._answered.wait()
         finally:
-            self.entry.wait(account, -1)
+            self.entry.count_waiting(account, -1)
             self._waiters.discard(waiter)
             self._woken.discard(waiter)
 
@@ -110,28 +110,28 @@
             await trio.lowlevel.checkpoint()
 
     def _beat(self, nursery: trio.Nursery) -> None:
-        if self.home.beat(clock.now()):
+        if self.home.tick(clock.now()):
             log(Event.LIMITS_HOME_THAWED)
-        for ask in self.entry.due(clock.now()):
+        for ask in self.entry.due_queries(clock.now()):
             nursery.start_soon(self._ask, ask)
 
-    async def _ask(self, ask: HomeAsk) -> None:
+    async def _ask(self, ask: HomeQuery) -> None:
         try:
             answer = await self._reach(ask)
-            self.entry.answered(clock.now(), ask, answer)
+            self.entry.on_answer(clock.now(), ask, answer)
         except (PeerGone, PeerRefused, MessageError) as error:
             log(Event.LIMITS_HOME_AWAY, home=ask.home, error=str(error))
-            self.entry.failed(clock.now(), ask)
+            self.entry.on_failure(clock.now(), ask)
         self._wake_waiters()
 
-    async def _reach(self, ask: HomeAsk) -> LimitsAnswer:
+    async def _reach(self, ask: HomeQuery) -> LimitsAnswer:
         if ask.home == self._own:
             return self._decide(self._own, ask.message)
         member = self._live().get(ask.home)
         if member is None or PEER_PORT not in member.ports:
             raise PeerGone("not listed")
         port = member.ports[PEER_PORT]
-        with trio.move_on_after(ASK_TIMEOUT_S):
+        with trio.move_on_after(QUERY_TIMEOUT_S):
             answer = await self.kernel.get(PeerPort).ask(ask.home, member.host, port, ask.message)
             if isinstance(answer, LimitsAnswer):
                 return answer
@@ -151,7 +151,7 @@
 
     def _see(self) -> None:
         zone_by_id = {instance: member.zone for instance, member in self._live().items()}
-        self._homes.see(clock.now(), zone_by_id)
+        self._homes.update_view(clock.now(), zone_by_id)
         self._wake.set()
 
     def _live(self) -> dict[InstanceId, Member]:
--- a/egretstack/services/session_host.py
+++ b/egretstack/services/session_host.py
@@ -17,10 +17,10 @@
 )
 from egretstack.errors import EgretError, ErrorKind
 from egretstack.events import Event, log
-from egretstack.ids import AccountId, GenerationId, InstanceId, RunnerId, SessionId, WorkId
+from egretstack.ids import AccountId, GenerationId, InstanceId, RequestId, RunnerId, SessionId
 from egretstack.kernel import Kernel, Service
 from egretstack.metrics import ServiceLevels
-from egretstack.policy import Work
+from egretstack.policy import SchedulingRequest
 from egretstack.services.accounts import Accounts
 from egretstack.services.configuration import Configuration
 from egretstack.services.dispatching import Dispatching
@@ -61,9 +61,9 @@
 
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
-        self._pump_by_work: dict[WorkId, Pump] = {}
-        self._session_by_work: dict[WorkId, Session] = {}
-        self._uncounted: set[WorkId] = set()
+        self._pump_by_work: dict[RequestId, Pump] = {}
+        self._session_by_work: dict[RequestId, Session] = {}
+        self._uncounted: set[RequestId] = set()
         self._nursery: trio.Nursery
         self._idle = trio.Event()
         self._closed = False
@@ -202,11 +202,15 @@
         return None
 
     def _request(
-        self, account: AccountId, work: Work, generation: GenerationRequest, streamed: bool
+        self,
+        account: AccountId,
+        work: SchedulingRequest,
+        generation: GenerationRequest,
+        streamed: bool,
     ) -> SessionRequest:
         return SessionRequest(account, work.service, generation, streamed, self._unread_s)
 
-    def _count_in(self, contract: Contract, work: WorkId) -> None:
+    def _count_in(self, contract: Contract, work: RequestId) -> None:
         try:
             self.kernel.get(Accounts).open(contract)
         except EgretError:
@@ -215,7 +219,9 @@
             # by the sessions admitted, since the newest connection of each replaces the others.
             self._uncounted.add(work)
 
-    def _start(self, session: Session, work: Work, placement: Placement | None) -> None:
+    def _start(
+        self, session: Session, work: SchedulingRequest, placement: Placement | None
+    ) -> None:
         access = self.kernel.get(PlatformAccess)
         links = PumpLinks(
             self.kernel.get(Dispatching), access.tokens.seal, self._own, self._nursery.start_soon
--- a/egretstack/sessions/_placing.py
+++ b/egretstack/sessions/_placing.py
@@ -7,7 +7,7 @@
 import trio
 
 from egretstack.ids import RunnerId
-from egretstack.policy import EndReason, Work
+from egretstack.policy import EndReason, SchedulingRequest
 from egretstack.upstreams import EngineClient
 
 
@@ -15,7 +15,7 @@
 class Placement:
     """Work that was given a runner, until the policy takes it away again with `evict`."""
 
-    work: Work
+    work: SchedulingRequest
     runner_id: RunnerId
     engine: EngineClient
     priority: int
@@ -39,7 +39,7 @@
     """Places work by the policy."""
 
     @abstractmethod
-    async def place(self, work: Work, may_evict: Callable[[], bool]) -> Placement:
+    async def place(self, work: SchedulingRequest, may_evict: Callable[[], bool]) -> Placement:
         """Wait for a runner; raise EgretError with the policy's refusal."""
 
     @abstractmethod
@@ -51,13 +51,13 @@
         """Give the client of a runner, also of a leaving one; None if it is not known."""
 
     @abstractmethod
-    def started(self, work: Work) -> None:
+    def started(self, work: SchedulingRequest) -> None:
         """Tell the policy that the engine accepted the work."""
 
     @abstractmethod
-    def progressed(self, work: Work, tokens: int, delivered: int) -> None:
+    def progressed(self, work: SchedulingRequest, tokens: int, delivered: int) -> None:
         """Tell the policy how far the work has come."""
 
     @abstractmethod
-    def ended(self, work: Work, tokens: int, reason: EndReason) -> None:
+    def ended(self, work: SchedulingRequest, tokens: int, reason: EndReason) -> None:
         """Tell the policy that the work left its engine, or the queue."""
--- a/egretstack/sessions/_pump.py
+++ b/egretstack/sessions/_pump.py
@@ -21,7 +21,7 @@
 from egretstack.errors import EgretError, ErrorKind
 from egretstack.events import Event, log
 from egretstack.ids import GenerationId, InstanceId, SessionId
-from egretstack.policy import EndReason, Work
+from egretstack.policy import EndReason, SchedulingRequest
 from egretstack.sessions._asking import StreamFailed, ask_engine
 from egretstack.sessions._outcome import FinishedAnswer
 from egretstack.sessions._placing import Placement, Placer
@@ -59,7 +59,7 @@
     def __init__(
         self,
         session: Session,
-        work: Work,
+        work: SchedulingRequest,
         links: PumpLinks,
         budget: RecoveryBudget,
         placement: Placement | None = None,
--- a/egretstack/sessions/_session.py
+++ b/egretstack/sessions/_session.py
@@ -9,7 +9,7 @@
 
 from egretstack.delivery import Cursor
 from egretstack.errors import EgretError
-from egretstack.ids import AccountId, RunnerId, ServiceName, SessionId, WorkId
+from egretstack.ids import AccountId, RequestId, RunnerId, ServiceName, SessionId
 from egretstack.sessions._outcome import FinishedAnswer
 from egretstack.upstreams import EngineEvent, EngineEventKind, GenerationRequest
 
@@ -40,7 +40,7 @@
     The pump adds events; one reader at a time takes them. A newer reader supersedes an older.
     """
 
-    def __init__(self, work_id: WorkId, request: SessionRequest, cursor: Cursor) -> None:
+    def __init__(self, work_id: RequestId, request: SessionRequest, cursor: Cursor) -> None:
         self.work_id = work_id
         self.request = request
         self.cursor = cursor
--- a/scripts/measure_policy.py
+++ b/scripts/measure_policy.py
@@ -17,7 +17,7 @@
 from cyclopts import App, Parameter
 from make_trace import SITES, make
 
-from egretstack.policy import DEFAULT_POLICY, ORACLE, POLICIES, Part
+from egretstack.policy import DEFAULT_POLICY, ORACLE, POLICIES, Feature
 from egretstack.replay import read_site, read_trace, replay
 
 HELD_APART = (11, 12, 13)
@@ -56,7 +56,7 @@
     load: float
     seed: int
     policy: str
-    left_out: tuple[Part, ...] = ()
+    left_out: tuple[Feature, ...] = ()
     seconds: float = SECONDS
 
     def run(self) -> dict[str, float]:
@@ -121,8 +121,8 @@
         _print_ablations(site, load, means) if ablations else _print(site, load, means)
 
 
-def _ablations() -> list[tuple[str, tuple[Part, ...]]]:
-    return [(DEFAULT_POLICY, ())] + [(DEFAULT_POLICY, (part,)) for part in Part]
+def _ablations() -> list[tuple[str, tuple[Feature, ...]]]:
+    return [(DEFAULT_POLICY, ())] + [(DEFAULT_POLICY, (part,)) for part in Feature]
 
 
 def _mean(rows: list[dict[str, float]]) -> dict[str, float]:
--- a/scripts/slopes_limits.py
+++ b/scripts/slopes_limits.py
@@ -12,7 +12,7 @@
 import time
 import tracemalloc
 
-from tests.limits_fleet import Fleet, contract, most_in_bucket
+from tests.limits_fleet import Fleet, contract, required_burst
 
 SEED = 7
 COST_S = 30
@@ -155,7 +155,7 @@
         "during": during,
         "after_the_mend": after,
         "settled": settled,
-        "burst_of_contract": round(most_in_bucket(times, 100) / 100, 3),
+        "burst_of_contract": round(required_burst(times, 100) / 100, 3),
     }
 
 
@@ -165,7 +165,7 @@
     elif fault == "home killed":
         fleet.kill(home)
     elif fault == "home frozen and thawed":
-        home.frozen = True
+        home.paused = True
     elif fault == "home cut off":
         fleet.cut([home], fleet.others(home))
 
@@ -174,20 +174,20 @@
     if fault == "partition":
         for side in (half, rest):
             for node in side:
-                fleet.tell(node, [one.name for one in side])
+                fleet.set_view(node, [one.name for one in side])
     elif fault == "home killed":
-        fleet.tell_all()
+        fleet.refresh_views()
     else:
         for node in fleet.others(home):
-            fleet.tell(node, [one.name for one in fleet.others(home)])
+            fleet.set_view(node, [one.name for one in fleet.others(home)])
 
 
 def _end(fleet: Fleet, fault: str, home) -> None:
-    home.frozen = False
+    home.paused = False
     fleet.cuts.clear()
     if fault == "home frozen and thawed":
         fleet.run(2)
-    fleet.tell_all()
+    fleet.refresh_views()
 
 
 def main() -> None:
--- a/scripts/slopes_policy.py
+++ b/scripts/slopes_policy.py
@@ -5,7 +5,7 @@
 import random
 import time
 
-from egretstack.ids import AccountId, ModelName, RunnerId, ServiceName, WorkId, ZoneName
+from egretstack.ids import AccountId, ModelName, RequestId, RunnerId, ServiceName, ZoneName
 from egretstack.policy import (
     Arrived,
     Dispatch,
@@ -17,7 +17,7 @@
     RunnerInfo,
     RunnerReported,
     RunnerSeen,
-    Work,
+    SchedulingRequest,
     make_policy,
 )
 
@@ -53,11 +53,11 @@
         return actions
 
 
-def work(number: int, now_s: float) -> Work:
+def work(number: int, now_s: float) -> SchedulingRequest:
     """Give one request."""
     account = AccountId(f"account-{number % 20}")
-    return Work(
-        id=WorkId(str(number)),
+    return SchedulingRequest(
+        id=RequestId(str(number)),
         account=account,
         service=_SERVICE,
         model=_MODEL,
@@ -84,9 +84,9 @@
         at_s = number / REQUESTS_PER_S
         plan.append((at_s, number, Arrived(work(number, at_s))))
         for tokens in range(1, TOKENS, PROGRESS_TOKENS):
-            event = Progressed(WorkId(str(number)), tokens, tokens)
+            event = Progressed(RequestId(str(number)), tokens, tokens)
             plan.append((at_s + tokens / TOKENS_PER_S, number, event))
-        ended = Ended(WorkId(str(number)), TOKENS, EndReason.FINISHED)
+        ended = Ended(RequestId(str(number)), TOKENS, EndReason.FINISHED)
         plan.append((at_s + TOKENS / TOKENS_PER_S, number, ended))
     for step in range(int(REQUESTS / REQUESTS_PER_S * REPORTS_PER_S)):
         at_s = step / REPORTS_PER_S
--- a/scripts/slopes_runners.py
+++ b/scripts/slopes_runners.py
@@ -6,7 +6,7 @@
 import httpx
 import trio
 
-from egretstack.ids import AccountId, ModelName, RunnerId, ServiceName, WorkId, ZoneName
+from egretstack.ids import AccountId, ModelName, RequestId, RunnerId, ServiceName, ZoneName
 from egretstack.objectapi import HttpInstanceList
 from egretstack.peers import PeerLink
 from egretstack.policy import (
@@ -18,7 +18,7 @@
     RunnerInfo,
     RunnerReported,
     RunnerSeen,
-    Work,
+    SchedulingRequest,
     make_policy,
 )
 from egretstack.upstreams import HttpEngine
@@ -77,8 +77,8 @@
 def serve_requests(policy: Policy) -> None:
     """Let the policy place and end a number of requests."""
     for number in range(REQUESTS):
-        work = Work(
-            id=WorkId(f"work-{number}"),
+        work = SchedulingRequest(
+            id=RequestId(f"work-{number}"),
             account=AccountId(f"account-{number % 10}"),
             service=ServiceName("llm"),
             model=ModelName("model-0"),
--- a/scripts/slopes_tokens.py
+++ b/scripts/slopes_tokens.py
@@ -11,10 +11,10 @@
     GenerationId,
     InstanceId,
     ModelName,
+    RequestId,
     RunnerId,
     ServiceName,
     SessionId,
-    WorkId,
 )
 from egretstack.sessions import Session, SessionRequest
 from egretstack.upstreams import EngineEvent, EngineEventKind, GenerationRequest
@@ -37,7 +37,7 @@
     """Make a session that keeps that many events."""
     generation = GenerationRequest(ModelName("model-0"), "prompt", 2000, 100)
     request = SessionRequest(AccountId("acme"), ServiceName("llm"), generation, True)
-    session = Session(WorkId("work-1"), request, Cursor(GenerationId("gen"), 0))
+    session = Session(RequestId("work-1"), request, Cursor(GenerationId("gen"), 0))
 
     async def add() -> None:
         for event in events(tokens):
--- a/tests/limits_faults.py
+++ b/tests/limits_faults.py
@@ -1,6 +1,6 @@
 """Fixtures of the tests of limits under faults."""
 
-from egretstack.limits import whole_of
+from egretstack.limits import contract_share
 from tests.limits_fleet import Fleet, contract
 
 LONG_S = 1000.0
@@ -28,5 +28,5 @@
 
 def fallback_of(nodes):
     """Give how many slots the conservative shares of nodes come to, in their own views."""
-    whole = whole_of(ACME)
-    return sum(node.homes.conservative("acme", node.name, whole).slots for node in nodes)
+    whole = contract_share(ACME)
+    return sum(node.homes.conservative_share("acme", node.name, whole).slots for node in nodes)
--- a/tests/limits_fleet.py
+++ b/tests/limits_fleet.py
@@ -12,7 +12,14 @@
 from egretstack.contracts import Contract, read_contract
 from egretstack.errors import EgretError
 from egretstack.ids import AccountId, InstanceId, ZoneName
-from egretstack.limits import ASK_TIMEOUT_S, READY_WAIT_S, EntrySide, HomeAsk, Homes, HomeSide
+from egretstack.limits import (
+    MAX_READY_WAIT_S,
+    QUERY_TIMEOUT_S,
+    EntryLimiter,
+    HomeLocator,
+    HomeQuery,
+    LimitsHome,
+)
 from egretstack.peers import decode, encode
 
 STEP_S = 0.05
@@ -38,12 +45,12 @@
     """One instance: its entry side, its home side, and what became of its requests."""
 
     name: InstanceId
-    homes: Homes
-    entry: EntrySide
-    home: HomeSide
+    homes: HomeLocator
+    entry: EntryLimiter
+    home: LimitsHome
     contract_by_account: dict[AccountId, Contract]
     alive: bool = True
-    frozen: bool = False
+    paused: bool = False
     inbox: list = field(default_factory=list)
     waiting: list = field(default_factory=list)
     ends: list = field(default_factory=list)
@@ -65,17 +72,17 @@
         self._pending: list = []
         for number in range(count):
             self._add(InstanceId(f"entry-{number}"))
-        self.tell_all()
+        self.refresh_views()
         if settle:
             self.run(10.0)
 
     def _add(self, name: InstanceId) -> None:
-        homes = Homes(self.now)
+        homes = HomeLocator(self.now)
         self.node_by_name[name] = Node(
             name,
             homes,
-            EntrySide(name, homes, self.now),
-            HomeSide(name, homes, self.now),
+            EntryLimiter(name, homes, self.now),
+            LimitsHome(name, homes, self.now),
             dict(self.contract_by_account),
         )
 
@@ -87,16 +94,16 @@
         """Give the zone of a node."""
         return ZoneName(f"zone-{int(name.partition('-')[2]) % ZONES}")
 
-    def tell(self, node: Node, live: Iterable[InstanceId]) -> None:
+    def set_view(self, node: Node, live: Iterable[InstanceId]) -> None:
         """Change a node's view of who is live."""
-        node.homes.see(self.now, {name: self.zone(name) for name in sorted(live)})
+        node.homes.update_view(self.now, {name: self.zone(name) for name in sorted(live)})
 
-    def tell_all(self) -> None:
+    def refresh_views(self) -> None:
         """Give every running node the true view."""
         live = [node.name for node in self.nodes() if node.alive]
         for node in self.nodes():
-            if node.alive and not node.frozen:
-                self.tell(node, live)
+            if node.alive and not node.paused:
+                self.set_view(node, live)
 
     def home_of(self, account: str, asker: Node | None = None) -> Node:
         """Give the home of an account in a node's view."""
@@ -129,8 +136,8 @@
 
     def request(self, node: Node, account: str = "acme", hold_s: float = 0.0) -> None:
         """Let a caller send a request that stays open for a time."""
-        if node.alive and not node.frozen:
-            node.waiting.append([self.now + READY_WAIT_S, account, hold_s, False])
+        if node.alive and not node.paused:
+            node.waiting.append([self.now + MAX_READY_WAIT_S, account, hold_s, False])
 
     def run(self, seconds: float, each_step=None) -> None:
         """Let time pass; `each_step` is called before every step."""
@@ -143,7 +150,7 @@
         self.steps += 1
         self.now = round(self.steps * STEP_S, 6)
         for node in self.nodes():
-            if node.alive and not node.frozen:
+            if node.alive and not node.paused:
                 self._step_node(node)
         self._time_out()
 
@@ -155,9 +162,9 @@
         self._decide(node)
         beat = self.steps % BEAT_STEPS == 0
         if beat:
-            node.home.beat(self.now)
+            node.home.tick(self.now)
         if beat or node.waiting:
-            for ask in node.entry.due(self.now):
+            for ask in node.entry.due_queries(self.now):
                 self._send(node, ask)
 
     def _end_requests(self, node: Node) -> None:
@@ -175,13 +182,13 @@
             if known is None:
                 continue
             if counted:
-                node.entry.wait(account, -1)
+                node.entry.count_waiting(account, -1)
             if node.entry.should_wait(self.now, known):
                 if self.now < deadline:
-                    node.entry.wait(account, 1)
+                    node.entry.count_waiting(account, 1)
                     node.waiting.append([deadline, account, hold_s, True])
                     continue
-                node.entry.unanswered(self.now, account)
+                node.entry.on_wait_timeout(self.now, account)
             self._open(node, known, hold_s)
 
     def _open(self, node: Node, known: Contract, hold_s: float) -> None:
@@ -193,13 +200,13 @@
         self.admitted.append((self.now, known.account, node.name))
         node.ends.append((self.now + hold_s, known.account))
 
-    def _send(self, node: Node, ask: HomeAsk) -> None:
+    def _send(self, node: Node, ask: HomeQuery) -> None:
         home = self.node_by_name[ask.home]
         if home is node:
             answer = home.home.answer(self.now, node.name, ask.message, home.contract_by_account)
-            node.entry.answered(self.now, ask, answer)
+            node.entry.on_answer(self.now, ask, answer)
             return
-        flight = [self.now + ASK_TIMEOUT_S, node, ask, False]
+        flight = [self.now + QUERY_TIMEOUT_S, node, ask, False]
         self._pending.append(flight)
         message = self._over_wire(node, ask.message)
         if (node.name, home.name) not in self.cuts and home.alive:
@@ -214,15 +221,15 @@
     def _deliver(self, node: Node, flight: list, answer) -> None:
         if not flight[3]:
             flight[3] = True
-            node.entry.answered(self.now, flight[2], answer)
+            node.entry.on_answer(self.now, flight[2], answer)
 
     def _time_out(self) -> None:
         for flight in self._pending:
             node = flight[1]
-            runs = node.alive and not node.frozen
+            runs = node.alive and not node.paused
             if not flight[3] and self.now >= flight[0] and runs:
                 flight[3] = True
-                node.entry.failed(self.now, flight[2])
+                node.entry.on_failure(self.now, flight[2])
         self._pending = [flight for flight in self._pending if not flight[3] and flight[1].alive]
 
     @staticmethod
@@ -238,7 +245,7 @@
             node.contract_by_account[changed.account] = replace(changed)
 
 
-def most_in_bucket(times: list[float], rate: float) -> float:
+def required_burst(times: list[float], rate: float) -> float:
     """Give the least burst with which a token bucket of `rate` lets all these times pass."""
     level = most = 0.0
     last = times[0] if times else 0.0
--- a/tests/scripted_engine.py
+++ b/tests/scripted_engine.py
@@ -13,12 +13,12 @@
     GenerationId,
     InstanceId,
     ModelName,
+    RequestId,
     RunnerId,
     ServiceName,
     SessionId,
-    WorkId,
 )
-from egretstack.policy import Work
+from egretstack.policy import SchedulingRequest
 from egretstack.sessions import Placement, Placer, Pump, PumpLinks, Session, SessionRequest
 from egretstack.upstreams import (
     EngineBroken,
@@ -126,7 +126,7 @@
     def __init__(self, engines: list[EngineClient]) -> None:
         self.engines = engines
         self.placed: list[Placement] = []
-        self.placed_work: list[Work] = []
+        self.placed_work: list[SchedulingRequest] = []
 
     async def place(self, work, may_evict):
         await trio.lowlevel.checkpoint()
@@ -153,9 +153,9 @@
         """Take no note."""
 
 
-def make_work(streamed: bool) -> Work:
-    return Work(
-        id=WorkId("work"),
+def make_work(streamed: bool) -> SchedulingRequest:
+    return SchedulingRequest(
+        id=RequestId("work"),
         account=AccountId("acme"),
         service=ServiceName("llm"),
         model=ModelName("story"),
--- a/tests/test_limits_faults.py
+++ b/tests/test_limits_faults.py
@@ -3,20 +3,20 @@
 from egretstack.errors import EgretError
 from egretstack.ids import AccountId, InstanceId
 from egretstack.limits import (
-    LIFE_S,
-    READY_WAIT_S,
-    VIEW_LAG_S,
+    MAX_READY_WAIT_S,
+    MAX_VIEW_LAG_S,
+    SLICE_TTL_S,
     WARM_UP_S,
-    AskRow,
-    Homes,
-    HomeSide,
+    GrantRequest,
+    GrantStatus,
+    HomeLocator,
+    LimitsHome,
     Mode,
     Share,
-    Standing,
-    make_ask,
+    make_query,
 )
 from egretstack.limits._homes import rank
-from egretstack.limits._messages import answer_grants
+from egretstack.limits._messages import parse_answer
 from tests.limits_faults import ACME, LONG_S, SLOTS, fallback_of, fleet_and_home, press
 from tests.support import check, tests_of
 
@@ -33,7 +33,7 @@
     fleet.run(3)
     check.assertEqual(fleet.open_total(), 40)
     fleet.kill(home)
-    fleet.tell_all()
+    fleet.refresh_views()
     fleet.run(WARM_UP_S + 2)
     fleet.run(5, press(fleet, [others[2]], each=30))
     check.assertEqual(fleet.open_total(), SLOTS)
@@ -48,7 +48,7 @@
     fleet.run(3, press(fleet, [old], hold_s=0.1, each=10))
     check.assertGreater(old.entry._held_by_account["acme"].share.slots, SLOTS // 2)
     fleet.kill(home)
-    fleet.tell_all()
+    fleet.refresh_views()
     new = fleet.home_of("acme")
     rest = [node for node in others if node is not old]
     fleet.cut([old], rest)
@@ -59,7 +59,7 @@
         press(fleet, [old, asker], hold_s=0.5, each=10)()
         most[0] = max(most[0], fleet.open_total())
 
-    fleet.run(LIFE_S, watch)
+    fleet.run(SLICE_TTL_S, watch)
     check.assertLessEqual(most[0], SLOTS + fallback_of([asker]))
     most[0] = 0
     fleet.run(WARM_UP_S + 3, watch)
@@ -75,19 +75,19 @@
     ranked = sorted(others, key=lambda node: rank("acme", node.name))
     new, served, lagging = ranked[:3]
     fleet.run(2, press(fleet, [served], hold_s=0.1))
-    home.frozen = True
+    home.paused = True
     live = [node.name for node in others]
     for node in others:
         if node is not lagging:
-            fleet.tell(node, live)
+            fleet.set_view(node, live)
     check.assertIs(fleet.home_of("acme", served), new)
-    fleet.run(WARM_UP_S + LIFE_S)
+    fleet.run(WARM_UP_S + SLICE_TTL_S)
     fleet.run(5, press(fleet, [served]))
     check.assertEqual(len(served.ends), SLOTS)
-    home.frozen = False
-    fleet.run(VIEW_LAG_S, press(fleet, [lagging]))
+    home.paused = False
+    fleet.run(MAX_VIEW_LAG_S, press(fleet, [lagging]))
     check.assertLessEqual(len(lagging.ends), fallback_of([lagging]))
-    fleet.tell(home, live)
+    fleet.set_view(home, live)
     fleet.run(WARM_UP_S, press(fleet, [lagging]))
     check.assertLessEqual(fleet.open_total(), SLOTS + fallback_of([lagging]))
 
@@ -99,11 +99,11 @@
     first, second = others[:2]
     fleet.run(3, press(fleet, [first], hold_s=0.1, each=10))
     fleet.run(0.2)
-    first.frozen = True
-    fleet.run(LIFE_S + 1)
+    first.paused = True
+    fleet.run(SLICE_TTL_S + 1)
     fleet.run(5, press(fleet, [second]))
     check.assertEqual(len(second.ends), SLOTS)
-    first.frozen = False
+    first.paused = False
     fleet.run(5, press(fleet, [first]))
     check.assertEqual(len(first.ends), 0)
 
@@ -114,12 +114,12 @@
     entry = others[0].entry
     fleet.now += 1
     check.assertTrue(entry.should_wait(fleet.now, ACME))
-    entry.wait("acme", 1)
-    (ask,) = entry.due(fleet.now)
+    entry.count_waiting("acme", 1)
+    (ask,) = entry.due_queries(fleet.now)
     home = fleet.node_by_name[ask.home].home
     answer = home.answer(fleet.now, others[0].name, ask.message, {"acme": ACME})
-    entry.answered(fleet.now + LIFE_S, ask, answer)
-    check.assertIs(entry.mode(fleet.now + LIFE_S, "acme"), Mode.COLD)
+    entry.on_answer(fleet.now + SLICE_TTL_S, ask, answer)
+    check.assertIs(entry.mode(fleet.now + SLICE_TTL_S, "acme"), Mode.COLD)
 
 
 def test_a_new_home_is_told_at_once_what_is_open():
@@ -129,11 +129,11 @@
     for _ in range(20):
         fleet.request(others[0], hold_s=LONG_S)
     fleet.run(4)
-    check.assertEqual(others[0].entry.due(fleet.now), [])
-    fleet.tell(others[0], [node.name for node in others])
-    (ask,) = others[0].entry.due(fleet.now)
+    check.assertEqual(others[0].entry.due_queries(fleet.now), [])
+    fleet.set_view(others[0], [node.name for node in others])
+    (ask,) = others[0].entry.due_queries(fleet.now)
     check.assertEqual(ask.home, fleet.home_of("acme", others[0]).name)
-    check.assertEqual(ask.asked_by_account["acme"].open, 20)
+    check.assertEqual(ask.pending_by_account["acme"].open, 20)
 
 
 def test_tokens_for_waiting_requests_lapse_soon():
@@ -143,12 +143,12 @@
     entry = others[0].entry
     fleet.now += 1
     check.assertTrue(entry.should_wait(fleet.now, ACME))
-    entry.wait("acme", 5)
-    (ask,) = entry.due(fleet.now)
+    entry.count_waiting("acme", 5)
+    (ask,) = entry.due_queries(fleet.now)
     home = fleet.node_by_name[ask.home].home
     answer = home.answer(fleet.now, others[0].name, ask.message, {"acme": ACME})
-    entry.answered(fleet.now + 0.1, ask, answer)
-    entry.wait("acme", -5)
+    entry.on_answer(fleet.now + 0.1, ask, answer)
+    entry.count_waiting("acme", -5)
     entry.open(fleet.now + 0.2, ACME)
     with check.assertRaises(EgretError):
         entry.open(fleet.now + 1, ACME)
@@ -189,12 +189,12 @@
 
 def test_an_instance_that_is_not_the_home_lends_nothing():
     fleet, home, others = fleet_and_home()
-    row = AskRow(AccountId("acme"), 0, 1, Share(), Share(1, 2, 3), 0.0)
+    row = GrantRequest(AccountId("acme"), 0, 1, Share(), Share(1, 2, 3), 0.0)
     answer = others[0].home.answer(
-        fleet.now, home.name, make_ask(home.name, 1, [row]), {"acme": ACME}
+        fleet.now, home.name, make_query(home.name, 1, [row]), {"acme": ACME}
     )
-    (grant,) = answer_grants(answer, 1)
-    check.assertEqual((grant.standing, grant.share), (Standing.NOT_HOME, Share()))
+    (grant,) = parse_answer(answer, 1)
+    check.assertEqual((grant.status, grant.share), (GrantStatus.NOT_HOME, Share()))
 
 
 class OneHome:
@@ -202,9 +202,9 @@
 
     def __init__(self, warm=True):
         self.own = InstanceId("entry-a")
-        homes = Homes(0.0)
-        homes.see(0.0, {self.own: "zone"})
-        self._home = HomeSide(self.own, homes, 0.0)
+        homes = HomeLocator(0.0)
+        homes.update_view(0.0, {self.own: "zone"})
+        self._home = LimitsHome(self.own, homes, 0.0)
         self.now_s = 0.0
         if warm:
             self.warm_up()
@@ -212,15 +212,15 @@
     def warm_up(self):
         while self.now_s < WARM_UP_S + 1:
             self.now_s += 1.0
-            self._home.beat(self.now_s)
+            self._home.tick(self.now_s)
 
     def ask(self, entry, serial, open=0, waiting=0, keep=0, want=0):
         """Ask for slots; give the grant."""
         kept, wanted = Share(0, 0, keep), Share(0, 0, want)
-        row = AskRow(AccountId("acme"), open, waiting, kept, wanted, 0.0)
-        ask = make_ask(InstanceId(entry), serial, [row])
+        row = GrantRequest(AccountId("acme"), open, waiting, kept, wanted, 0.0)
+        ask = make_query(InstanceId(entry), serial, [row])
         answer = self._home.answer(self.now_s, InstanceId(entry), ask, {"acme": ACME})
-        return answer_grants(answer, 1)[0]
+        return parse_answer(answer, 1)[0]
 
 
 def test_a_late_ask_does_not_undo_a_newer_one():
@@ -247,9 +247,9 @@
     # nothing. The new home must not lend their slots.
     home = OneHome(warm=False)
     home.now_s = WARM_UP_S - 1
-    home._home.beat(home.now_s - 0.5)
+    home._home.tick(home.now_s - 0.5)
     home._home._fresh_s = 0.0
-    check.assertIs(home.ask("entry-b", 1, open=40).standing, Standing.WARMING)
+    check.assertIs(home.ask("entry-b", 1, open=40).status, GrantStatus.WARMING)
     home.now_s += 1.2
     check.assertEqual(home.ask("entry-c", 1, waiting=SLOTS, want=SLOTS).share.slots, SLOTS - 40)
 
@@ -263,12 +263,12 @@
     entry = others[1].entry
     began_s = fleet.now
     check.assertTrue(entry.should_wait(began_s, ACME))
-    entry.wait("acme", 1)
-    (ask,) = entry.due(began_s)
+    entry.count_waiting("acme", 1)
+    (ask,) = entry.due_queries(began_s)
     home = fleet.node_by_name[ask.home].home
     answer = home.answer(began_s, others[1].name, ask.message, {"acme": ACME})
-    entry.answered(began_s + 0.1, ask, answer)
-    entry.unanswered(began_s + READY_WAIT_S, "acme")
-    entry.wait("acme", -1)
+    entry.on_answer(began_s + 0.1, ask, answer)
+    entry.on_wait_timeout(began_s + MAX_READY_WAIT_S, "acme")
+    entry.count_waiting("acme", -1)
     with check.assertRaises(EgretError):
-        entry.open(began_s + READY_WAIT_S, ACME)
+        entry.open(began_s + MAX_READY_WAIT_S, ACME)
--- a/tests/test_limits_messages.py
+++ b/tests/test_limits_messages.py
@@ -4,43 +4,43 @@
 
 from egretstack.ids import AccountId, InstanceId
 from egretstack.limits import (
-    AskRow,
     Grant,
-    Homes,
-    HomeSide,
+    GrantRequest,
+    GrantStatus,
+    HomeLocator,
     LimitsAnswer,
     LimitsAsk,
+    LimitsHome,
     Share,
-    Standing,
     make_answer,
-    make_ask,
+    make_query,
 )
-from egretstack.limits._messages import MAX_ROWS, answer_grants, ask_rows
+from egretstack.limits._messages import MAX_ROWS, parse_answer, parse_query
 from egretstack.peers import MessageError, decode, encode
 from tests.limits_fleet import contract
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
 
-ROW = AskRow(AccountId("acme"), 3, 1, Share(1.0, 2.0, 3), Share(4.0, 5.0, 6), 0.5)
+ROW = GrantRequest(AccountId("acme"), 3, 1, Share(1.0, 2.0, 3), Share(4.0, 5.0, 6), 0.5)
 PACKED = ROW.packed()
 
 
 def test_rows_pass_the_codec():
-    ask = make_ask(InstanceId("entry-a"), 7, [ROW])
-    check.assertEqual(ask_rows(decode(msgpack.unpackb(encode(ask)))), [ROW])
-    grant = Grant(Standing.GRANTED, Share(1.5, 2.25, 4), 0.125, 2, 3.0)
+    ask = make_query(InstanceId("entry-a"), 7, [ROW])
+    check.assertEqual(parse_query(decode(msgpack.unpackb(encode(ask)))), [ROW])
+    grant = Grant(GrantStatus.GRANTED, Share(1.5, 2.25, 4), 0.125, 2, 3.0)
     answer = decode(msgpack.unpackb(encode(make_answer([grant]))))
-    check.assertEqual(answer_grants(answer, 1), [grant])
+    check.assertEqual(parse_answer(answer, 1), [grant])
 
 
 def test_rounding_never_adds_to_a_limit():
-    kept = AskRow(AccountId("acme"), 0, 0, Share(0.0001, 0.0001, 0), Share(), 0.0009)
-    ask = make_ask(InstanceId("entry-a"), 1, [kept])
-    check.assertEqual(ask_rows(ask)[0].keep, Share(0.001, 0.001, 0))
-    check.assertEqual(ask_rows(ask)[0].returned, 0.0)
-    grant = Grant(Standing.GRANTED, Share(0.0019, 0.0019, 0), 0.0019, 0, 0.0)
-    read = answer_grants(make_answer([grant]), 1)[0]
+    kept = GrantRequest(AccountId("acme"), 0, 0, Share(0.0001, 0.0001, 0), Share(), 0.0009)
+    ask = make_query(InstanceId("entry-a"), 1, [kept])
+    check.assertEqual(parse_query(ask)[0].keep, Share(0.001, 0.001, 0))
+    check.assertEqual(parse_query(ask)[0].returned, 0.0)
+    grant = Grant(GrantStatus.GRANTED, Share(0.0019, 0.0019, 0), 0.0019, 0, 0.0)
+    read = parse_answer(make_answer([grant]), 1)[0]
     check.assertEqual((read.share, read.tokens), (Share(0.001, 0.001, 0), 0.001))
 
 
@@ -60,50 +60,50 @@
     ]
     for row in faulty_rows:
         with check.subTest(row=row), check.assertRaises(MessageError):
-            ask_rows(LimitsAsk("entry-a", 1, [row]))
+            parse_query(LimitsAsk("entry-a", 1, [row]))
 
 
 def test_an_ask_with_too_many_rows_or_no_sender_is_refused():
     with check.assertRaises(MessageError):
-        ask_rows(LimitsAsk("entry-a", 1, [PACKED] * (MAX_ROWS + 1)))
+        parse_query(LimitsAsk("entry-a", 1, [PACKED] * (MAX_ROWS + 1)))
     with check.assertRaises(MessageError):
-        ask_rows(LimitsAsk("", 1, [PACKED]))
+        parse_query(LimitsAsk("", 1, [PACKED]))
     with check.assertRaises(MessageError):
-        ask_rows(LimitsAsk("a" * 64, 1, [PACKED]))
+        parse_query(LimitsAsk("a" * 64, 1, [PACKED]))
 
 
 def test_an_answer_to_another_ask_is_refused():
-    grant = Grant(Standing.GRANTED, Share(), 0.0, 0, 0.0)
+    grant = Grant(GrantStatus.GRANTED, Share(), 0.0, 0, 0.0)
     with check.assertRaises(MessageError):
-        answer_grants(make_answer([grant]), 2)
+        parse_answer(make_answer([grant]), 2)
     for row in ([], [9, 0, 0, 0, 0, 0, 0], [0, 0, 0, -1, 0, 0, 0], "no"):
         with check.subTest(row=row), check.assertRaises(MessageError):
-            answer_grants(LimitsAnswer([row]), 1)
+            parse_answer(LimitsAnswer([row]), 1)
 
 
 def test_unknown_accounts_cost_a_home_no_memory():
-    homes = Homes(0.0)
+    homes = HomeLocator(0.0)
     own = InstanceId("entry-a")
-    homes.see(0.0, {own: "zone"})
-    home = HomeSide(own, homes, 0.0)
+    homes.update_view(0.0, {own: "zone"})
+    home = LimitsHome(own, homes, 0.0)
     for number in range(50):
         rows = [
-            AskRow(AccountId(f"x{number}-{place}"), 1, 1, Share(), Share(1, 1, 1), 0.0)
+            GrantRequest(AccountId(f"x{number}-{place}"), 1, 1, Share(), Share(1, 1, 1), 0.0)
             for place in range(MAX_ROWS)
         ]
-        answer = home.answer(number * 0.1, own, make_ask(own, number + 1, rows), {})
-        check.assertIs(answer_grants(answer, MAX_ROWS)[0].standing, Standing.UNKNOWN_ACCOUNT)
-    check.assertEqual(home.accounts, 0)
+        answer = home.answer(number * 0.1, own, make_query(own, number + 1, rows), {})
+        check.assertIs(parse_answer(answer, MAX_ROWS)[0].status, GrantStatus.UNKNOWN_ACCOUNT)
+    check.assertEqual(home.account_count, 0)
 
 
 def test_a_home_lends_to_a_bounded_number_of_entries():
-    homes = Homes(0.0)
+    homes = HomeLocator(0.0)
     own = InstanceId("entry-a")
-    homes.see(0.0, {own: "zone"})
-    home = HomeSide(own, homes, 0.0)
+    homes.update_view(0.0, {own: "zone"})
+    home = LimitsHome(own, homes, 0.0)
     known = {AccountId("acme"): contract()}
-    row = AskRow(AccountId("acme"), 1, 0, Share(), Share(slots=1), 0.0)
+    row = GrantRequest(AccountId("acme"), 1, 0, Share(), Share(slots=1), 0.0)
     for number in range(3000):
         entry = InstanceId(f"e{number}")
-        home.answer(0.0, entry, make_ask(entry, 1, [row]), known)
+        home.answer(0.0, entry, make_query(entry, 1, [row]), known)
     check.assertLessEqual(len(home._loans_by_account["acme"]._loan_by_entry), 2048)
--- a/tests/test_limits_partitions.py
+++ b/tests/test_limits_partitions.py
@@ -9,13 +9,13 @@
 
 from egretstack.ids import InstanceId
 from egretstack.limits import (
-    LIFE_S,
+    SLICE_TTL_S,
     WARM_UP_S,
     Mode,
-    whole_of,
+    contract_share,
 )
 from tests.limits_faults import ACME, LONG_S, SLOTS, fallback_of, fleet_and_home, press
-from tests.limits_fleet import Fleet, contract, most_in_bucket
+from tests.limits_fleet import Fleet, contract, required_burst
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
@@ -23,8 +23,8 @@
 
 def test_the_conservative_shares_make_up_the_contract():
     fleet = Fleet(7, [ACME])
-    whole = whole_of(contract(rate=7, burst=5, concurrency=50))
-    shares = [node.homes.conservative("acme", node.name, whole) for node in fleet.nodes()]
+    whole = contract_share(contract(rate=7, burst=5, concurrency=50))
+    shares = [node.homes.conservative_share("acme", node.name, whole) for node in fleet.nodes()]
     check.assertEqual(sum(share.slots for share in shares), 50)
     check.assertEqual(sum(share.burst for share in shares), 5)
     check.assertLessEqual(sum(share.rate for share in shares), 7)
@@ -34,13 +34,13 @@
     # An instance that leaves is in nobody's list, its own included, and serves on for a while.
     # Its callers get a share, which comes on top of the shares of those that are listed.
     fleet = Fleet(7, [ACME])
-    whole = whole_of(ACME)
+    whole = contract_share(ACME)
     leaving, *rest = fleet.nodes()
     for node in fleet.nodes():
-        fleet.tell(node, [one.name for one in rest])
-    shares = [node.homes.conservative("acme", node.name, whole) for node in rest]
+        fleet.set_view(node, [one.name for one in rest])
+    shares = [node.homes.conservative_share("acme", node.name, whole) for node in rest]
     check.assertEqual(sum(share.slots for share in shares), SLOTS)
-    extra = leaving.homes.conservative("acme", leaving.name, whole)
+    extra = leaving.homes.conservative_share("acme", leaving.name, whole)
     check.assertEqual((extra.slots, extra.burst), (SLOTS // 7, whole.burst // 7))
     check.assertLessEqual(extra.rate, whole.rate / 7)
 
@@ -54,7 +54,7 @@
     number = 3
     while fleet.home_of("acme").name.endswith(("-0", "-1", "-2")):
         fleet._add(InstanceId(f"entry-{number}"))
-        fleet.tell_all()
+        fleet.refresh_views()
         number += 1
     fleet.refused.clear()
     low = [SLOTS]
@@ -80,7 +80,7 @@
         press(fleet, [first, second], hold_s=0.2, each=10)()
         most[0] = max(most[0], fleet.open_total())
 
-    fleet.run(LIFE_S - 1.5, watch)
+    fleet.run(SLICE_TTL_S - 1.5, watch)
     check.assertLessEqual(most[0], SLOTS)
     fleet.run(20, watch)
     check.assertLessEqual(most[0], SLOTS + fallback_of([first]))
@@ -130,7 +130,7 @@
     fleet.run(4, watch)
     for side in (one, other):
         for node in side:
-            fleet.tell(node, [member.name for member in side])
+            fleet.set_view(node, [member.name for member in side])
     fleet.run(20, watch)
     check.assertLessEqual(most[0], 3 * SLOTS)
 
@@ -141,7 +141,7 @@
     fleet.run(20, watch_parts)
     check.assertEqual(part_most[0], SLOTS)
     fleet.cuts.clear()
-    fleet.tell_all()
+    fleet.refresh_views()
     fleet.run(20, demand)
     most[0] = 0
     fleet.run(20, watch)
@@ -160,7 +160,7 @@
         most[0] = max(most[0], fleet.open_total())
 
     for node in others[:3]:
-        fleet.tell(node, [member.name for member in others])
+        fleet.set_view(node, [member.name for member in others])
     fleet.run(40, watch)
     check.assertGreater(most[0], SLOTS)
     check.assertLessEqual(most[0], 3 * SLOTS)
@@ -180,7 +180,7 @@
     for turn in range(30):
         live = [node.name for node in (others if turn % 2 else fleet.nodes())]
         for node in fleet.nodes():
-            fleet.tell(node, live)
+            fleet.set_view(node, live)
         before = len(fleet.admitted)
         fleet.run(1, watch)
         check.assertGreater(len(fleet.admitted), before)
@@ -217,8 +217,8 @@
     fleet.run(10, demand)
     for _ in range(4):
         fleet.kill(fleet.home_of("acme"))
-        fleet.tell_all()
+        fleet.refresh_views()
         fleet.run(12, demand)
     times = [time for time, _, _ in fleet.admitted]
     # One bucket of the homes, and one of the conservative shares.
-    check.assertLessEqual(most_in_bucket(times, 2), 2 * 60)
+    check.assertLessEqual(required_burst(times, 2), 2 * 60)
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from egretstack.limits import WARM_UP_S
-from egretstack.limits._timing import HOLD_LIFE_S
-from tests.limits_fleet import Fleet, contract, most_in_bucket
+from egretstack.limits._timing import HOLD_TTL_S
+from tests.limits_fleet import Fleet, contract, required_burst
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
@@ -57,7 +57,7 @@
     fleet.run(25, demand)
     check.assertLessEqual(demand.most, acme.concurrency)
     times = [time for time, _, _ in fleet.admitted]
-    burst = most_in_bucket(times, acme.requests_per_s)
+    burst = required_burst(times, acme.requests_per_s)
     check.assertLessEqual(burst, acme.burst + ROUNDING)
 
 
@@ -73,17 +73,17 @@
         inflict(fleet, fault, demand.rng)
         fleet.run(4, demand)
         if demand.rng.random() < 0.7:
-            fleet.tell_all()
+            fleet.refresh_views()
         fleet.run(4, demand)
     check.assertLessEqual(demand.most, (2 + len(faults)) * acme.concurrency)
     mend(fleet)
-    fleet.run(WARM_UP_S + HOLD_LIFE_S + LONGEST_HOLD_S, demand)
+    fleet.run(WARM_UP_S + HOLD_TTL_S + LONGEST_HOLD_S, demand)
     demand.most = 0
     fleet.admitted.clear()
     fleet.run(10, demand)
     check.assertLessEqual(demand.most, acme.concurrency)
     times = [time for time, _, _ in fleet.admitted]
-    burst = most_in_bucket(times, acme.requests_per_s)
+    burst = required_burst(times, acme.requests_per_s)
     check.assertLessEqual(burst, acme.burst + ROUNDING)
 
 
@@ -99,9 +99,9 @@
     elif fault == "cut-off":
         fleet.cut([fleet.home_of("acme", running[0])], fleet.nodes())
     elif fault == "freeze":
-        some[0].frozen = True
+        some[0].paused = True
     elif fault == "lag":
-        fleet.tell(some[0], [node.name for node in rest])
+        fleet.set_view(some[0], [node.name for node in rest])
     elif len(running) > 2:
         fleet.kill(some[0] if fault == "kill" else fleet.home_of("acme", running[0]))
 
@@ -110,5 +110,5 @@
     """End every fault but the deaths."""
     fleet.cuts.clear()
     for node in fleet.nodes():
-        node.frozen = False
-    fleet.tell_all()
+        node.paused = False
+    fleet.refresh_views()
--- a/tests/test_limits_views.py
+++ b/tests/test_limits_views.py
@@ -4,7 +4,7 @@
 """
 
 from egretstack.ids import InstanceId
-from egretstack.limits import VIEW_LAG_S
+from egretstack.limits import MAX_VIEW_LAG_S
 from tests.membership_fleet import Fleet, fleet_of, instance
 from tests.support import check, tests_of
 
@@ -55,7 +55,7 @@
     for fleet, _, size in each_fleet():
         fleet.node(size - 1).down = True
         times = learning_times(fleet, InstanceId(f"entry-{size - 1}"), live=False)
-        check.assertLessEqual(times[-1] - times[0], VIEW_LAG_S)
+        check.assertLessEqual(times[-1] - times[0], MAX_VIEW_LAG_S)
 
 
 def test_all_learn_of_a_leaving_home_soon():
@@ -63,7 +63,7 @@
     for fleet, _, size in each_fleet():
         fleet.of(size - 1).leave()
         times = learning_times(fleet, InstanceId(f"entry-{size - 1}"), live=False)
-        check.assertLessEqual(times[-1], VIEW_LAG_S)
+        check.assertLessEqual(times[-1], MAX_VIEW_LAG_S)
 
 
 def test_an_old_home_learns_soon_of_a_new_instance():
@@ -73,4 +73,4 @@
         own = instance(size)
         fleet.start(own, [*listed, own])
         times = learning_times(fleet, InstanceId(own.id), live=True)
-        check.assertLessEqual(times[-1], VIEW_LAG_S)
+        check.assertLessEqual(times[-1], MAX_VIEW_LAG_S)
--- a/tests/test_limits_whole.py
+++ b/tests/test_limits_whole.py
@@ -3,8 +3,8 @@
 import random
 
 from egretstack.errors import ErrorKind
-from egretstack.limits import LIFE_S, RENEW_S
-from tests.limits_fleet import Fleet, contract, most_in_bucket
+from egretstack.limits import SLICE_RENEW_S, SLICE_TTL_S
+from tests.limits_fleet import Fleet, contract, required_burst
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
@@ -35,7 +35,7 @@
     fleet.run(30, demand)
     times = [time for time, _, _ in fleet.admitted]
     check.assertGreater(len(times), 0.95 * 20 * 30)
-    check.assertLessEqual(most_in_bucket(times, 20), 20)
+    check.assertLessEqual(required_burst(times, 20), 20)
 
 
 def test_a_burst_after_a_quiet_time_is_let_in_at_once():
@@ -52,7 +52,7 @@
     fleet.run(40, lambda: fleet.request(fleet.nodes()[0]))
     times = [time for time, _, _ in fleet.admitted]
     check.assertGreater(len(times), 0.8 * 4 * 40)
-    check.assertLessEqual(most_in_bucket(times, 4), 1.001)
+    check.assertLessEqual(required_burst(times, 4), 1.001)
 
 
 def test_two_entries_share_by_their_demand():
@@ -73,10 +73,10 @@
     first, second = fleet.nodes()[:2]
     for _ in range(50):
         fleet.request(first, hold_s=1.0)
-    fleet.run(2 * LIFE_S)
+    fleet.run(2 * SLICE_TTL_S)
     for _ in range(50):
         fleet.request(second, hold_s=LONG_S)
-    fleet.run(RENEW_S)
+    fleet.run(SLICE_RENEW_S)
     check.assertEqual(len(second.ends), 50)
 
 
@@ -176,7 +176,7 @@
     fleet.run(2, lambda: fleet.request(node, hold_s=LONG_S))
     check.assertEqual(len(node.ends), 10)
     fleet.change_contract(contract(rate=1000, burst=1000, concurrency=30))
-    fleet.run(RENEW_S + 2, lambda: fleet.request(node, hold_s=LONG_S))
+    fleet.run(SLICE_RENEW_S + 2, lambda: fleet.request(node, hold_s=LONG_S))
     check.assertEqual(len(node.ends), 30)
 
 
@@ -202,10 +202,10 @@
     for one in contracts:
         fleet.request(fleet.nodes()[0], one.account)
     fleet.run(1)
-    check.assertEqual(fleet.nodes()[0].entry.accounts, 100)
+    check.assertEqual(fleet.nodes()[0].entry.account_count, 100)
     fleet.run(60)
-    check.assertEqual(fleet.nodes()[0].entry.accounts, 0)
-    check.assertEqual([node.home.accounts for node in fleet.nodes()], [0, 0])
+    check.assertEqual(fleet.nodes()[0].entry.account_count, 0)
+    check.assertEqual([node.home.account_count for node in fleet.nodes()], [0, 0])
 
 
 def test_an_idle_account_sends_no_messages():
--- a/tests/test_limits_world.py
+++ b/tests/test_limits_world.py
@@ -4,7 +4,7 @@
 
 from egretstack.errors import EgretError, ErrorKind
 from egretstack.ids import AccountId, InstanceId
-from egretstack.limits import LIFE_S, WARM_UP_S, AskRow, Share, make_ask
+from egretstack.limits import SLICE_TTL_S, WARM_UP_S, GrantRequest, Share, make_query
 from egretstack.objectapi import MemberState
 from egretstack.peers import Nothing
 from egretstack.services.accounts import Accounts
@@ -102,7 +102,7 @@
         with trio.fail_after(60):
             while any(home_of(one) == home.name for one in others):
                 await trio.sleep(0.5)
-        await trio.sleep(WARM_UP_S + LIFE_S)
+        await trio.sleep(WARM_UP_S + SLICE_TTL_S)
         await admit(others[1], 40, gap_s=0.11)
         check.assertEqual(open_at(others[0]) + open_at(others[1]), SLOTS)
 
@@ -148,7 +148,7 @@
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
         world.set_state(home.name, MemberState.LEAVING)
-        await trio.sleep(WARM_UP_S + LIFE_S)
+        await trio.sleep(WARM_UP_S + SLICE_TTL_S)
         new = others[0].kernel.get(Limits)._homes.home("acme")
         check.assertNotEqual(new, InstanceId(home.name))
         await admit(home, 70, gap_s=0.11)
@@ -256,8 +256,8 @@
         await admit(others[0], 10)
         loans = home.kernel.get(Limits).home._loans_by_account[AccountId("acme")]
         before = loans._loan_by_entry[InstanceId(others[0].name)]
-        row = AskRow(AccountId("acme"), 0, 0, Share(), Share(), 0.0)
-        ask = make_ask(InstanceId(others[0].name), 10**15, [row])
+        row = GrantRequest(AccountId("acme"), 0, 0, Share(), Share(), 0.0)
+        ask = make_query(InstanceId(others[0].name), 10**15, [row])
         port = others[1].kernel.get(PeerPort)
         answer = await port.ask(InstanceId(home.name), home.host, PORTS["peer"], ask)
         check.assertIsInstance(answer, Nothing)
@@ -272,7 +272,7 @@
         await trio.sleep(WARM_UP_S + 3)
         _, others = home_and_others(entries)
         entry = others[0].kernel.get(Limits).entry
-        inner = entry.due
+        inner = entry.due_queries
         counted_twice = []
 
         def due(now_s):
@@ -281,7 +281,7 @@
                 counted_twice.append(entry._refusal(now_s, AccountId("acme"), held) is None)
             return inner(now_s)
 
-        entry.due = due
+        entry.due_queries = due
         for _ in range(20):
             await admit(others[0], BURST)
             for _ in range(open_at(others[0])):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -12,16 +12,16 @@
     EndReason,
     Evict,
     Evicted,
+    Feature,
     InstancesSeen,
-    Part,
     Progressed,
     Refuse,
     RunnerInfo,
     RunnerLeft,
     RunnerReported,
     RunnerSeen,
+    SchedulingRequest,
     Tick,
-    Work,
     make_policy,
 )
 from egretstack.policy import _default as default_module
@@ -38,7 +38,7 @@
 
 
 def work(name, value=100, account="acme", prompt=1000, streamed=True, deadline_s=10.0, most=8000):
-    return Work(
+    return SchedulingRequest(
         id=name,
         account=account,
         service="llm",
@@ -75,7 +75,7 @@
         sent = []
         for number in range(count):
             actions = self.arrive(now_s, name=f"fill-{number}", **fields)
-            sent += [one.work_id for one in actions if isinstance(one, Dispatch)]
+            sent += [one.request_id for one in actions if isinstance(one, Dispatch)]
         return sent
 
     def end(self, now_s, name, tokens=50):
@@ -122,30 +122,30 @@
     driven.arrive(0.1, name="poor", value=20)
     driven.arrive(0.2, name="rich", value=500)
     first = of(Dispatch, driven.end(0.5, sent[0]))[0]
-    check.assertEqual(first.work_id, "rich")
+    check.assertEqual(first.request_id, "rich")
 
 
 def test_waiting_makes_up_for_value():
     def first(left_out):
-        driven = Driven(left_out=(Part.ACCOUNT_FLOOR, Part.DEADLINE_FORECAST, *left_out))
+        driven = Driven(left_out=(Feature.ACCOUNT_FLOOR, Feature.DEADLINE_FORECAST, *left_out))
         sent = driven.fill(value=1, deadline_s=100)
         driven.arrive(0.0, name="old", value=100, deadline_s=100)
         driven.arrive(30.0, name="new", value=120, deadline_s=100)
         actions = []
         for name in sent:
             actions += of(Dispatch, driven.end(31.0, name))
-        order = [one.work_id for one in actions if one.work_id in ("old", "new")]
+        order = [one.request_id for one in actions if one.request_id in ("old", "new")]
         return order[0]
 
     check.assertEqual(first(()), "old")
-    check.assertEqual(first((Part.AGEING,)), "new")
+    check.assertEqual(first((Feature.AGEING,)), "new")
 
 
 def test_an_account_of_little_value_is_not_shut_out():
     # A large account keeps the engines full with valuable work. By value alone the small
     # account's callers would be refused for as long as that lasts.
     def small_share(left_out):
-        driven = Driven(left_out=(Part.DEADLINE_FORECAST, Part.AGEING, *left_out))
+        driven = Driven(left_out=(Feature.DEADLINE_FORECAST, Feature.AGEING, *left_out))
         running, small = [], 0
         for number in range(200):
             at_s = number * 0.1
@@ -155,12 +155,12 @@
             actions = driven.arrive(at_s, name=f"{account}-{number}", **fields)
             if number % 4 == 0 and running:
                 actions += driven.end(at_s, running.pop(0))
-            names = [one.work_id for one in of(Dispatch, actions)]
+            names = [one.request_id for one in of(Dispatch, actions)]
             running += names
             small += sum(name.startswith("small") for name in names)
         return small
 
-    check.assertGreater(small_share(()), 2 * max(1, small_share((Part.ACCOUNT_FLOOR,))))
+    check.assertGreater(small_share(()), 2 * max(1, small_share((Feature.ACCOUNT_FLOOR,))))
 
 
 def test_what_would_miss_its_deadline_is_refused_at_once():
@@ -171,12 +171,12 @@
         driven.fill(value=50)
         driven.tell(10.0, Tick())
         actions = driven.arrive(10.1, name="late", value=50, deadline_s=20.1)
-        return [one for one in of(Refuse, actions) if one.work_id == "late"]
+        return [one for one in of(Refuse, actions) if one.request_id == "late"]
 
     refused = answer(())[0]
     check.assertIs(refused.kind, ErrorKind.DEADLINE_TOO_SHORT)
     check.assertTrue(1.0 <= refused.retry_after_s <= 60.0)
-    check.assertEqual(answer((Part.DEADLINE_FORECAST,)), [])
+    check.assertEqual(answer((Feature.DEADLINE_FORECAST,)), [])
 
 
 def test_a_value_that_was_refused_is_let_in_again_later():
@@ -204,7 +204,7 @@
     before = default_module.MAX_QUEUE
     default_module.MAX_QUEUE = bound
     try:
-        driven = Driven(left_out=(Part.DEADLINE_FORECAST,))
+        driven = Driven(left_out=(Feature.DEADLINE_FORECAST,))
         sent = driven.fill(count=60, value=50)
         actions = driven.arrive(0.0, name="rich", value=90)
         poor = driven.arrive(0.0, name="poor", value=10)
@@ -212,8 +212,8 @@
         default_module.MAX_QUEUE = before
     refused = of(Refuse, actions)
     check.assertEqual([one.kind for one in refused], [ErrorKind.ENGINES_FULL])
-    check.assertNotEqual(refused[0].work_id, "rich")
-    check.assertEqual([one.work_id for one in of(Refuse, poor)], ["poor"])
+    check.assertNotEqual(refused[0].request_id, "rich")
+    check.assertEqual([one.request_id for one in of(Refuse, poor)], ["poor"])
     left = of(Refuse, driven.tell(10.0, Tick()))
     check.assertLessEqual(len(left), bound)
     check.assertGreater(len(sent), 0)
@@ -251,7 +251,7 @@
 
 def test_undelivered_work_leaves_a_runner_that_is_about_to_fill():
     check.assertEqual(len(about_to_fill(streamed=False, delivered=0)), 1)
-    check.assertEqual(about_to_fill(False, 0, (Part.RELIEF,)), [])
+    check.assertEqual(about_to_fill(False, 0, (Feature.EVICTION,)), [])
 
 
 def test_a_stream_that_is_read_is_never_taken_away():
@@ -264,7 +264,7 @@
     sent = driven.fill(streamed=False, count=3)
     driven.tell(1.0, RunnerSeen(runner("r2")))
     again = of(Dispatch, driven.tell(20.0, Evicted(sent[0])))
-    check.assertEqual([one.work_id for one in again], [sent[0]])
+    check.assertEqual([one.request_id for one in again], [sent[0]])
 
 
 def test_a_stream_has_a_higher_priority_at_the_engine_than_any_other_work():
@@ -283,7 +283,7 @@
     check.assertEqual(driven.tell(60.0, Arrived(rerun)), [])
     check.assertEqual(of(Refuse, driven.tell(60.1, Tick())), [])
     again = [one for name in sent for one in of(Dispatch, driven.end(61.0, name))]
-    check.assertIn(("w", "r2"), [(one.work_id, one.runner_id) for one in again])
+    check.assertIn(("w", "r2"), [(one.request_id, one.runner_id) for one in again])
 
 
 def test_prompts_go_where_their_prefix_is():
@@ -317,7 +317,7 @@
             total += len(driven.fill())
         return total
 
-    check.assertLess(sends(()), sends((Part.SHARE_OF_ROOM,)) / 2)
+    check.assertLess(sends(()), sends((Feature.FREE_MEMORY_SHARE,)) / 2)
 
 
 def test_a_runner_without_a_report_is_not_taken_for_an_empty_one():
@@ -347,4 +347,4 @@
         return of(Dispatch, driven.arrive(0.0, name="w"))
 
     check.assertEqual(sent(()), [])
-    check.assertEqual(len(sent((Part.ENGINE_QUEUE,))), 1)
+    check.assertEqual(len(sent((Feature.ENGINE_QUEUE,))), 1)
