--- a/egretstack/policy/__init__.py
+++ b/egretstack/policy/__init__.py
@@ -1,6 +1,7 @@
-"""Policies: which request goes to which runner, when, and which is refused."""
+"""Scheduling policies: which request is sent to which runner, when, and which is refused."""
 
 from egretstack.policy._base import Policy
+from egretstack.policy._features import Feature
 from egretstack.policy._least_loaded import LeastLoaded
 from egretstack.policy._messages import (
     Action,
@@ -24,7 +25,6 @@
     Started,
     Tick,
 )
-from egretstack.policy._parts import Feature
 from egretstack.policy._registry import (
     DEFAULT_POLICY,
     ORACLE,
--- a/egretstack/policy/_base.py
+++ b/egretstack/policy/_base.py
@@ -1,4 +1,4 @@
-"""What a policy is."""
+"""The interface of a scheduling policy."""
 
 from abc import ABC, abstractmethod
 
@@ -7,26 +7,27 @@
 
 
 class Policy(ABC):
-    """Decides on admission, order, runner and relief; does no I/O and reads no clock.
+    """Decides on admission, order, runner and eviction; does no I/O and reads no clock.
 
-    Every piece of work that arrives is answered by one Dispatch or Refuse, at once or later;
-    after an Evict it waits for another. A policy that wants to be called at a later time says
-    so in `next_wake_s`.
+    Every request that arrives gets exactly one Dispatch or Refuse, immediately or later; after an
+    Evict it waits for another one. `next_wake_s` returns the time at which the policy has to be
+    called again.
     """
 
     name: str
 
     @abstractmethod
     def handle(self, now_s: float, event: PolicyEvent) -> list[Action]:
-        """Take note of an event and answer with actions, in the order to carry them out."""
+        """Process an event and return the resulting actions, in the order of execution."""
 
     @abstractmethod
     def next_wake_s(self) -> float | None:
-        """Give the time at which to send a Tick, or None."""
+        """Return the time at which to send a Tick, or None."""
 
     def length_summary(self) -> LengthSummary:
-        """Give what other instances may learn from this one; a policy that learns nothing: none.
+        """Return the output lengths that this instance observed, for the other instances.
 
-        The others are told of it in a LengthsLearned.
+        They receive it as a LengthsLearned event. A policy that observes no lengths returns an
+        empty summary.
         """
         return LengthSummary()
--- a/egretstack/policy/_default.py
+++ b/egretstack/policy/_default.py
@@ -1,4 +1,4 @@
-"""The product's own policy: admission, order, routing and relief by forecast."""
+"""The default policy: admission, order, routing and eviction by forecasts."""
 
 import random
 from dataclasses import replace
@@ -7,7 +7,8 @@
 from egretstack.ids import ModelName, RequestId, ServiceName
 from egretstack.lengths import LengthSummary
 from egretstack.policy._base import Policy
-from egretstack.policy._book import Book, RunnerBook, Sent
+from egretstack.policy._engine_state import EngineRegistry, EngineState, SentRequest
+from egretstack.policy._features import Feature
 from egretstack.policy._fitting import Fitter
 from egretstack.policy._messages import (
     Action,
@@ -30,29 +31,29 @@
     Started,
     Tick,
 )
-from egretstack.policy._parts import Feature
 from egretstack.policy._routing import Router
+from egretstack.policy._wait_forecast import MIN_RETRY_S, WaitForecast
 from egretstack.policy._wait_queue import MAX_QUEUE, WaitQueue
-from egretstack.policy._waits import MIN_RETRY_S, WaitForecast
-
-READER_PRIORITY = 1001
-"""Added to a stream's priority: above every contract value."""
-RERUN_ALLOWED_S = 10.0
-"""Time that work has to start again after it lost its runner."""
-LATE_SHARE = 0.98
-"""Part of the time allowed that a forecast wait may take."""
-LOOKED_AT = 30
-"""Waiting works of a group that are tried for room before the rest have to wait."""
-RECONSIDER_S = 0.5
+
+STREAM_PRIORITY_BONUS = 1001
+"""Added to the priority of a streamed request; greater than every contract value."""
+RERUN_START_S = 10.0
+"""Time in which a request has to start again after it lost its engine."""
+MAX_WAIT_SHARE = 0.98
+"""Share of the time from queueing to the deadline that the forecast wait may take."""
+MAX_TRIES_PER_GROUP = 30
+"""Waiting requests of a group that may fail to fit before the rest of the group is skipped."""
+RECHECK_INTERVAL_S = 0.5
+"""Minimum time between two checks of the waiting requests' deadlines."""
 
 Group = tuple[ServiceName, ModelName]
 
 
 class DefaultPolicy(Policy):
-    """Sends work to a runner while the forecast peak of its memory fits; else it waits.
+    """Sends a request to an engine whose forecast peak memory leaves enough room; else queues it.
 
-    What waits goes by value, with ageing and a floor for every account. What is forecast to
-    miss its deadline is refused at once.
+    The queue is ordered by contract value, with ageing and a minimum share for every account.
+    A request that is forecast to miss its deadline is refused immediately.
     """
 
     name = "default"
@@ -60,267 +61,280 @@
     def __init__(
         self,
         rng: random.Random,
-        left_out: frozenset[Feature] = frozenset(),
+        disabled: frozenset[Feature] = frozenset(),
         fitter: Fitter | None = None,
     ) -> None:
         self._rng = rng
-        self._left_out = left_out
-        self._book = Book()
-        self._fitter = fitter or Fitter(rng, left_out)
-        self._router = Router(rng, left_out)
+        self._disabled = disabled
+        self._engines = EngineRegistry()
+        self._fitter = fitter or Fitter(rng, disabled)
+        self._router = Router(rng, disabled)
         self._queue = WaitQueue(
-            ageing=Feature.AGEING not in left_out, floor=Feature.ACCOUNT_FLOOR not in left_out
+            ageing=Feature.AGEING not in disabled, floor=Feature.ACCOUNT_FLOOR not in disabled
         )
-        self._waits_by_group: dict[Group, WaitForecast] = {}
-        self._reconsidered_s = 0.0
-        self._take_by_kind = {
-            Arrived: self._arrived,
-            Progressed: self._progressed,
-            Ended: self._ended,
-            Evicted: self._evicted,
-            RunnerSeen: self._runner_seen,
-            RunnerLeft: self._runner_left,
-            RunnerReported: self._runner_reported,
-            CacheChanged: self._cache_changed,
-            InstancesSeen: self._instances_seen,
-            LengthsLearned: self._lengths_learned,
-            Started: self._started,
-            Tick: self._tick,
+        self._wait_forecast_by_group: dict[Group, WaitForecast] = {}
+        self._rechecked_s = 0.0
+        self._handler_by_type = {
+            Arrived: self._on_arrived,
+            Progressed: self._on_progressed,
+            Ended: self._on_ended,
+            Evicted: self._on_evicted,
+            RunnerSeen: self._on_runner_seen,
+            RunnerLeft: self._on_runner_left,
+            RunnerReported: self._on_runner_reported,
+            CacheChanged: self._on_cache_changed,
+            InstancesSeen: self._on_instances_seen,
+            LengthsLearned: self._on_lengths_learned,
+            Started: self._on_started,
+            Tick: self._on_tick,
         }
 
     def handle(self, now_s: float, event: PolicyEvent) -> list[Action]:
-        """Take note of an event and answer with actions, in the order to carry them out."""
-        return self._take_by_kind[type(event)](event, now_s)
+        """Process an event and return the resulting actions, in the order of execution."""
+        return self._handler_by_type[type(event)](event, now_s)
 
     def next_wake_s(self) -> float | None:
-        """Give the time at which to send a Tick, or None."""
-        return min((work.deadline_s for work in self._queue.works()), default=None)
+        """Return the time at which to send a Tick, or None."""
+        return min((request.deadline_s for request in self._queue.requests()), default=None)
 
     def length_summary(self) -> LengthSummary:
-        """Give what other instances may learn from this one."""
+        """Return the output lengths that this instance observed."""
         return self._fitter.lengths.summary()
 
-    def _arrived(self, event: Arrived, now_s: float) -> list[Action]:
-        work = event.request
-        if work.excluded:
-            # Work that lost its runner was accepted: its first start met the deadline.
-            allowed_s = max(work.deadline_s, now_s + RERUN_ALLOWED_S)
-            work = replace(work, deadline_s=allowed_s)
-        if not self._book.candidates(work):
-            return [Refuse(work.id, ErrorKind.NO_RUNNER, MIN_RETRY_S)]
-        actions = self._make_place(now_s, work)
-        if actions and actions[0].request_id == work.id:
+    def _on_arrived(self, event: Arrived, now_s: float) -> list[Action]:
+        request = event.request
+        if request.excluded:
+            # The request was accepted and lost its engine: its first start met the deadline.
+            allowed_s = max(request.deadline_s, now_s + RERUN_START_S)
+            request = replace(request, deadline_s=allowed_s)
+        if not self._engines.candidates(request):
+            return [Refuse(request.id, ErrorKind.NO_RUNNER, MIN_RETRY_S)]
+        actions = self._bound_queue(now_s, request)
+        if actions and actions[0].request_id == request.id:
             return actions
-        self._queue.add(now_s, work)
-        return actions + self._dispatch_ready(now_s) + self._refuse_late(now_s, work)
+        self._queue.add(now_s, request)
+        return actions + self._dispatch_ready(now_s) + self._refuse_if_late(now_s, request)
 
-    def _progressed(self, event: Progressed, now_s: float) -> list[Action]:
-        book = self._book.runner_of(event.request_id)
-        if book is None:
+    def _on_progressed(self, event: Progressed, now_s: float) -> list[Action]:
+        engine = self._engines.engine_of(event.request_id)
+        if engine is None:
             return []
-        sent = book.sent[event.request_id]
+        sent = engine.sent[event.request_id]
         self._fitter.lengths.progressed(sent.key, sent.tokens, event.tokens)
-        book.progressed(now_s, sent, event.tokens, event.delivered)
+        engine.record_progress(now_s, sent, event.tokens, event.delivered)
         return []
 
-    def _ended(self, event: Ended, now_s: float) -> list[Action]:
+    def _on_ended(self, event: Ended, now_s: float) -> list[Action]:
         self._queue.remove(event.request_id, now_s)
         sent = self._remove(now_s, event.request_id)
         if sent is not None and event.reason is EndReason.FINISHED and event.tokens:
             self._fitter.lengths.finished(sent.key, sent.tokens, event.tokens)
         return self._dispatch_ready(now_s)
 
-    def _evicted(self, event: Evicted, now_s: float) -> list[Action]:
+    def _on_evicted(self, event: Evicted, now_s: float) -> list[Action]:
         sent = self._remove(now_s, event.request_id)
         if sent is None:
             return []
-        work = replace(sent.work, deadline_s=max(sent.work.deadline_s, now_s + RERUN_ALLOWED_S))
-        self._queue.add(now_s, work)
+        request = replace(
+            sent.request, deadline_s=max(sent.request.deadline_s, now_s + RERUN_START_S)
+        )
+        self._queue.add(now_s, request)
         return self._dispatch_ready(now_s)
 
-    def _runner_seen(self, event: RunnerSeen, now_s: float) -> list[Action]:
-        self._book.seen(event.runner)
+    def _on_runner_seen(self, event: RunnerSeen, now_s: float) -> list[Action]:
+        self._engines.update_runner(event.runner)
         return self._dispatch_ready(now_s)
 
-    def _runner_left(self, event: RunnerLeft, now_s: float) -> list[Action]:
-        self._book.left(event.runner_id)
-        self._fitter.reported(event.runner_id)
+    def _on_runner_left(self, event: RunnerLeft, now_s: float) -> list[Action]:
+        self._engines.retire_runner(event.runner_id)
+        self._fitter.forget_forecast(event.runner_id)
         self._router.affinity.forget_runner(event.runner_id)
-        return self._refuse_stranded(now_s)
+        return self._refuse_unserved(now_s)
 
-    def _runner_reported(self, event: RunnerReported, now_s: float) -> list[Action]:
-        book = self._book.by_id.get(event.runner_id)
-        if book is None or not book.usable:
+    def _on_runner_reported(self, event: RunnerReported, now_s: float) -> list[Action]:
+        engine = self._engines.by_id.get(event.runner_id)
+        if engine is None or not engine.accepts_requests:
             return []
-        book.reported(event)
-        self._fitter.reported(event.runner_id)
-        actions = self._relieve(now_s, book)
-        return actions + self._dispatch_ready(now_s) + self._reconsider(now_s)
+        engine.record_report(event)
+        self._fitter.forget_forecast(event.runner_id)
+        actions = self._evict_before_overflow(now_s, engine)
+        return actions + self._dispatch_ready(now_s) + self._recheck_deadlines(now_s)
 
-    def _cache_changed(self, event: CacheChanged, now_s: float) -> list[Action]:
+    def _on_cache_changed(self, event: CacheChanged, now_s: float) -> list[Action]:
         if event.stored:
-            self._router.affinity.stored(event.prefix, event.runner_id)
+            self._router.affinity.record_stored(event.prefix, event.runner_id)
         else:
-            self._router.affinity.dropped(event.prefix, event.runner_id)
+            self._router.affinity.record_dropped(event.prefix, event.runner_id)
         return []
 
-    def _instances_seen(self, event: InstancesSeen, now_s: float) -> list[Action]:
-        self._fitter.instances = max(1, event.count)
+    def _on_instances_seen(self, event: InstancesSeen, now_s: float) -> list[Action]:
+        self._fitter.instance_count = max(1, event.count)
         return []
 
-    def _lengths_learned(self, event: LengthsLearned, now_s: float) -> list[Action]:
+    def _on_lengths_learned(self, event: LengthsLearned, now_s: float) -> list[Action]:
         self._fitter.lengths.learn(event.source, event.summary)
         return []
 
-    def _started(self, event: Started, now_s: float) -> list[Action]:
+    def _on_started(self, event: Started, now_s: float) -> list[Action]:
         return []
 
-    def _tick(self, event: Tick, now_s: float) -> list[Action]:
+    def _on_tick(self, event: Tick, now_s: float) -> list[Action]:
         actions = self._dispatch_ready(now_s)
-        return actions + self._reconsider(now_s, force=True)
+        return actions + self._recheck_deadlines(now_s, force=True)
 
-    def _remove(self, now_s: float, work_id: RequestId) -> Sent | None:
-        book = self._book.runner_of(work_id)
-        if book is None:
+    def _remove(self, now_s: float, request_id: RequestId) -> SentRequest | None:
+        engine = self._engines.engine_of(request_id)
+        if engine is None:
             return None
-        self._fitter.left(now_s, book, book.sent[work_id])
-        return self._book.remove(now_s, work_id)
+        self._fitter.record_left(now_s, engine, engine.sent[request_id])
+        return self._engines.remove(now_s, request_id)
 
-    def _waits(self, work: SchedulingRequest) -> WaitForecast:
-        group = (work.service, work.model)
-        return self._waits_by_group.setdefault(group, WaitForecast())
+    def _wait_forecast(self, request: SchedulingRequest) -> WaitForecast:
+        group = (request.service, request.model)
+        return self._wait_forecast_by_group.setdefault(group, WaitForecast())
 
-    def _make_place(self, now_s: float, work: SchedulingRequest) -> list[Action]:
-        """Keep the queue bounded: of the newcomer and the last in order, one is refused."""
+    def _bound_queue(self, now_s: float, request: SchedulingRequest) -> list[Action]:
+        """Bound the queue: if it is full, refuse the new request or the last one in order."""
         if len(self._queue) < MAX_QUEUE:
             return []
         last = self._queue.ordered(now_s)[-1]
-        loser = last if last.value < work.value else work
-        return [self._refuse(now_s, loser, ErrorKind.ENGINES_FULL, len(self._queue))]
+        refused = last if last.value < request.value else request
+        return [self._refuse(now_s, refused, ErrorKind.ENGINES_FULL, len(self._queue))]
 
     def _dispatch_ready(self, now_s: float) -> list[Action]:
         if not len(self._queue):
             return []
         actions: list[Action] = []
         tries_by_group: dict[Group, int] = {}
-        for work in self._queue.ordered(now_s):
-            group = (work.service, work.model)
+        for request in self._queue.ordered(now_s):
+            group = (request.service, request.model)
             tries = tries_by_group.get(group, 0)
-            if tries >= LOOKED_AT:
+            if tries >= MAX_TRIES_PER_GROUP:
                 continue
-            dispatch = self._dispatch(now_s, work)
+            dispatch = self._dispatch(now_s, request)
             if dispatch is None:
                 tries_by_group[group] = tries + 1
             else:
                 actions.append(dispatch)
         return actions
 
-    def _dispatch(self, now_s: float, work: SchedulingRequest) -> Dispatch | None:
-        demand = self._fitter.demand(work)
-        tried = self._router.sample(work, self._book.candidates(work))
-        found = [self._fitter.fit(now_s, book, work, demand) for book in tried]
+    def _dispatch(self, now_s: float, request: SchedulingRequest) -> Dispatch | None:
+        demand = self._fitter.demand(request)
+        sampled = self._router.sample(request, self._engines.candidates(request))
+        found = [self._fitter.fit(now_s, engine, request, demand) for engine in sampled]
         fits = [fit for fit in found if fit is not None]
         if not fits:
             return None
-        book = self._router.choose(work, fits).book
-        waited_s = self._queue.remove(work.id, now_s)
-        self._queue.use.add(now_s, work.account, demand.mean[0] + demand.mean[1])
-        self._fitter.sent(book, demand)
-        self._router.sent(work, book.info.id)
-        self._book.send(now_s, work, book.info.id, self._fitter.key(work))
-        self._waits(work).sent(now_s, work.value, waited_s)
-        return Dispatch(work.id, book.info.id, self._priority(work))
-
-    def _priority(self, work: SchedulingRequest) -> int:
-        """Give the engine's priority; it preempts the lowest first.
-
-        A preempted stream stops in front of its reader, other work only ends later. So streams
-        are kept before everything else, and by value among themselves.
+        engine = self._router.choose(request, fits).engine
+        waited_s = self._queue.remove(request.id, now_s)
+        self._queue.usage.add(now_s, request.account, demand.mean[0] + demand.mean[1])
+        self._fitter.record_sent(engine, demand)
+        self._router.record_sent(request, engine.info.id)
+        self._engines.record_sent(now_s, request, engine.info.id, self._fitter.key(request))
+        self._wait_forecast(request).record_sent(now_s, request.value, waited_s)
+        return Dispatch(request.id, engine.info.id, self._priority(request))
+
+    def _priority(self, request: SchedulingRequest) -> int:
+        """Return the priority for the engine, which preempts the lowest first.
+
+        A preempted stream stalls visibly for its reader; any other request only ends later. So
+        streams rank above all other requests, and by value among themselves.
         """
-        if work.streamed and Feature.STREAM_PRIORITY not in self._left_out:
-            return work.value + READER_PRIORITY
-        return work.value
+        if request.streamed and Feature.STREAM_PRIORITY not in self._disabled:
+            return request.value + STREAM_PRIORITY_BONUS
+        return request.value
 
-    def _refuse_late(self, now_s: float, work: SchedulingRequest) -> list[Action]:
-        """Refuse a newcomer that has to wait longer than it may."""
+    def _refuse_if_late(self, now_s: float, request: SchedulingRequest) -> list[Action]:
+        """Refuse a new request whose forecast wait exceeds its deadline."""
         waiting = self._queue.ordered(now_s)
-        self._note_waiting(now_s, waiting)
-        if work not in waiting:
+        self._record_waiting(now_s, waiting)
+        if request not in waiting:
             return []
-        return self._late(now_s, waiting, only=work)
+        return self._refuse_late(now_s, waiting, only=request)
 
-    def _reconsider(self, now_s: float, *, force: bool = False) -> list[Action]:
-        """Refuse waiting work whose forecast has come to pass its deadline."""
-        if not force and now_s - self._reconsidered_s < RECONSIDER_S:
+    def _recheck_deadlines(self, now_s: float, *, force: bool = False) -> list[Action]:
+        """Refuse waiting requests that are now forecast to miss their deadline."""
+        if not force and now_s - self._rechecked_s < RECHECK_INTERVAL_S:
             return []
-        self._reconsidered_s = now_s
+        self._rechecked_s = now_s
         waiting = self._queue.ordered(now_s)
-        self._note_waiting(now_s, waiting)
-        return self._late(now_s, waiting)
+        self._record_waiting(now_s, waiting)
+        return self._refuse_late(now_s, waiting)
 
-    def _note_waiting(self, now_s: float, waiting: list[SchedulingRequest]) -> None:
-        groups = {(work.service, work.model) for work in waiting}
-        for group, waits in self._waits_by_group.items():
-            waits.waiting(now_s, group in groups)
+    def _record_waiting(self, now_s: float, waiting: list[SchedulingRequest]) -> None:
+        groups = {(request.service, request.model) for request in waiting}
+        for group, forecast in self._wait_forecast_by_group.items():
+            forecast.set_waiting(now_s, group in groups)
 
-    def _late(
+    def _refuse_late(
         self, now_s: float, waiting: list[SchedulingRequest], only: SchedulingRequest | None = None
     ) -> list[Action]:
         actions: list[Action] = []
         ahead_by_group: dict[Group, int] = {}
-        for work in waiting:
-            group = (work.service, work.model)
+        for request in waiting:
+            group = (request.service, request.model)
             ahead = ahead_by_group.get(group, 0)
             ahead_by_group[group] = ahead + 1
-            if (only is None or work is only) and self._is_late(now_s, work, ahead):
+            if (only is None or request is only) and self._is_late(now_s, request, ahead):
                 ahead_by_group[group] = ahead
-                actions.append(self._refuse(now_s, work, ErrorKind.DEADLINE_TOO_SHORT, ahead))
+                actions.append(self._refuse(now_s, request, ErrorKind.DEADLINE_TOO_SHORT, ahead))
         return actions
 
-    def _is_late(self, now_s: float, work: SchedulingRequest, ahead: int) -> bool:
-        if work.deadline_s <= now_s:
+    def _is_late(self, now_s: float, request: SchedulingRequest, ahead: int) -> bool:
+        if request.deadline_s <= now_s:
             return True
-        if Feature.DEADLINE_FORECAST in self._left_out or work.excluded:
+        if Feature.DEADLINE_FORECAST in self._disabled or request.excluded:
             return False
-        allowed_s = work.deadline_s - now_s + self._queue.waited_s(work.id, now_s)
-        return self._waits(work).wait_s(now_s, ahead, work.value) >= LATE_SHARE * allowed_s
-
-    def _refuse(self, now_s: float, work: SchedulingRequest, kind: ErrorKind, ahead: int) -> Refuse:
-        waited_s = self._queue.remove(work.id, now_s)
-        waits = self._waits(work)
-        if work.deadline_s <= now_s:
-            waits.missed(now_s, work.value, waited_s)
-        allowed_s = work.deadline_s - now_s + waited_s
-        wait_s = waits.wait_s(now_s, ahead, work.value)
-        return Refuse(work.id, kind, waits.retry_after_s(wait_s, allowed_s))
-
-    def _refuse_stranded(self, now_s: float) -> list[Action]:
-        """Refuse what no runner serves any more; it would wait in vain."""
-        stranded = [work for work in self._queue.works() if not self._book.candidates(work)]
-        for work in stranded:
-            self._queue.remove(work.id, now_s)
-        return [Refuse(work.id, ErrorKind.NO_RUNNER, MIN_RETRY_S) for work in stranded]
-
-    def _relieve(self, now_s: float, book: RunnerBook) -> list[Action]:
-        """Take undelivered work off a runner that is about to fill, if it fits elsewhere."""
-        if Feature.EVICTION in self._left_out:
+        allowed_s = request.deadline_s - now_s + self._queue.waited_s(request.id, now_s)
+        return (
+            self._wait_forecast(request).wait_s(now_s, ahead, request.value)
+            >= MAX_WAIT_SHARE * allowed_s
+        )
+
+    def _refuse(
+        self, now_s: float, request: SchedulingRequest, kind: ErrorKind, ahead: int
+    ) -> Refuse:
+        waited_s = self._queue.remove(request.id, now_s)
+        forecast = self._wait_forecast(request)
+        if request.deadline_s <= now_s:
+            forecast.record_missed(now_s, request.value, waited_s)
+        allowed_s = request.deadline_s - now_s + waited_s
+        wait_s = forecast.wait_s(now_s, ahead, request.value)
+        return Refuse(request.id, kind, forecast.retry_after_s(wait_s, allowed_s))
+
+    def _refuse_unserved(self, now_s: float) -> list[Action]:
+        """Refuse waiting requests that no runner serves any more."""
+        unserved = [
+            request for request in self._queue.requests() if not self._engines.candidates(request)
+        ]
+        for request in unserved:
+            self._queue.remove(request.id, now_s)
+        return [Refuse(request.id, ErrorKind.NO_RUNNER, MIN_RETRY_S) for request in unserved]
+
+    def _evict_before_overflow(self, now_s: float, engine: EngineState) -> list[Action]:
+        """Evict an undelivered request from an engine about to overflow if it fits elsewhere."""
+        if Feature.EVICTION in self._disabled:
             return []
-        if not self._fitter.near_overflow(now_s, book):
+        if not self._fitter.near_overflow(now_s, engine):
             return []
-        # What nobody has seen anything of can start again unnoticed. A stream that is read
-        # cannot: its reader would see it stop for good.
+        # A request of which nothing was delivered can be restarted unnoticed. A stream that has
+        # begun cannot: its reader would see it stop for good.
         movable = [
             sent
-            for sent in book.sent.values()
-            if not sent.leaving and not sent.delivered and not (sent.work.streamed and sent.tokens)
+            for sent in engine.sent.values()
+            if not sent.evicting
+            and not sent.delivered
+            and not (sent.request.streamed and sent.tokens)
         ]
-        for sent in sorted(movable, key=lambda one: (one.work.value, one.tokens)):
-            if self._fits_elsewhere(now_s, book, sent.work):
-                sent.leaving = True
-                return [Evict(sent.work.id)]
+        for sent in sorted(movable, key=lambda sent: (sent.request.value, sent.tokens)):
+            if self._fits_elsewhere(now_s, engine, sent.request):
+                sent.evicting = True
+                return [Evict(sent.request.id)]
         return []
 
-    def _fits_elsewhere(self, now_s: float, book: RunnerBook, work: SchedulingRequest) -> bool:
-        demand = self._fitter.demand(work)
-        others = [one for one in self._book.candidates(work) if one is not book]
-        return any(self._fitter.fit(now_s, one, work, demand) for one in others)
+    def _fits_elsewhere(
+        self, now_s: float, engine: EngineState, request: SchedulingRequest
+    ) -> bool:
+        demand = self._fitter.demand(request)
+        others = [other for other in self._engines.candidates(request) if other is not engine]
+        return any(self._fitter.fit(now_s, other, request, demand) for other in others)
--- a/egretstack/policy/_fitting.py
+++ b/egretstack/policy/_fitting.py
@@ -1,4 +1,4 @@
-"""Whether work fits on a runner: forecasts by runner, kept between events."""
+"""Decides whether a request fits on an engine, by memory forecasts cached per engine."""
 
 import random
 from collections.abc import Mapping
@@ -7,197 +7,204 @@
 
 from egretstack.ids import AccountId, RequestId, RunnerId
 from egretstack.lengths import LengthKey, LengthModel
-from egretstack.policy._book import RunnerBook, Sent
-from egretstack.policy._forecast import (
-    AHEAD_TOKENS,
+from egretstack.policy._engine_state import EngineState, SentRequest
+from egretstack.policy._features import Feature
+from egretstack.policy._memory_forecast import (
+    HORIZON_TOKENS,
     QUANTILE_DEVIATIONS,
-    Demand,
+    MemoryDemand,
     add_others,
     add_sent,
     demand_of,
 )
 from egretstack.policy._messages import SchedulingRequest
-from egretstack.policy._parts import Feature
 
-FORECAST_LIFE_S = 0.5
+FORECAST_TTL_S = 0.5
+"""How long a forecast is cached between two reports."""
 MIN_SESSIONS = 20
-"""Sessions that a forecast of other instances' work rests on."""
-FULL_SHARE = 0.97
-"""Part of a runner's memory that the forecast peak may fill; engines keep some free."""
+"""Minimum sessions from which the output lengths of other instances' requests are forecast."""
+MAX_FILLED_SHARE = 0.97
+"""Share of an engine's memory that the forecast peak may fill; engines keep some free."""
 
 
 @dataclass(slots=True)
-class _Kept:
-    demand: Demand
-    made_s: float
-    room: float
-    """Tokens free at the forecast peak when the forecast was first made for a report."""
-    lot: float
-    """Random part of a send, drawn for each report."""
+class _CachedForecast:
+    demand: MemoryDemand
+    updated_s: float
+    free_tokens: float
+    """Free tokens at the forecast peak, from the first forecast after a report."""
+    random_offset: float
+    """Random fraction of a send, drawn once per report, that staggers the instances."""
     sends: int = 0
+    """Requests sent since that report, less those that ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """Room was found: the share of memory filled at the forecast peak."""
+    """An engine that a request fits on, and the share of its memory filled at the forecast peak."""
 
-    book: RunnerBook
-    filled: float
+    engine: EngineState
+    filled_share: float
 
 
 class Fitter:
-    """Forecasts each runner's memory and says which work fits."""
+    """Forecasts the memory of each engine and decides which requests fit."""
 
-    def __init__(self, rng: random.Random, left_out: frozenset[Feature]) -> None:
+    def __init__(self, rng: random.Random, disabled: frozenset[Feature]) -> None:
         self.lengths = LengthModel()
-        self.instances = 1
+        self.instance_count = 1
         self._rng = rng
-        self._left_out = left_out
-        self._unknown = LengthModel()
-        self._kept_by_id: dict[RunnerId, _Kept] = {}
-
-    def key(self, work: SchedulingRequest) -> LengthKey:
-        """Give the key under which a work's length is learned."""
-        prefix = f"{crc32(work.prefix.encode()):08x}" if work.prefix else ""
-        if Feature.PREFIX_LENGTHS in self._left_out:
+        self._disabled = disabled
+        self._prior_only = LengthModel()
+        self._cached_by_runner: dict[RunnerId, _CachedForecast] = {}
+
+    def key(self, request: SchedulingRequest) -> LengthKey:
+        """Return the key under which the output length of a request is learned."""
+        prefix = f"{crc32(request.prefix.encode()):08x}" if request.prefix else ""
+        if Feature.PREFIX_LENGTHS in self._disabled:
             prefix = ""
-        return LengthKey(work.service, work.model, work.account, prefix)
+        return LengthKey(request.service, request.model, request.account, prefix)
 
-    def demand(self, work: SchedulingRequest) -> Demand:
-        """Give the demand of work that is not sent."""
-        return demand_of(work, self._model().curve(self.key(work)))
+    def demand(self, request: SchedulingRequest) -> MemoryDemand:
+        """Return the memory demand of a request that has not been sent."""
+        return demand_of(request, self._length_model().curve(self.key(request)))
 
-    def reported(self, runner_id: RunnerId) -> None:
-        """Forget the forecast that an earlier report gave."""
-        self._kept_by_id.pop(runner_id, None)
+    def forget_forecast(self, runner_id: RunnerId) -> None:
+        """Drop the forecast that is based on an earlier report."""
+        self._cached_by_runner.pop(runner_id, None)
 
-    def left(self, now_s: float, book: RunnerBook, sent: Sent) -> None:
-        """Note that own work left the runner: its room is this instance's to fill."""
-        kept = self._kept_by_id.get(book.info.id)
-        if kept is None:
+    def record_left(self, now_s: float, engine: EngineState, sent: SentRequest) -> None:
+        """Record that an own request left an engine; this instance may reuse its memory."""
+        cached = self._cached_by_runner.get(engine.info.id)
+        if cached is None:
             return
-        demand = Demand()
-        add_sent(demand, sent, self._model().curve(sent.key), now_s, book.rate)
-        kept.demand.change(demand, -1)
-        kept.sends -= 1
-
-    def sent(self, book: RunnerBook, demand: Demand) -> None:
-        """Note that work was sent to a runner."""
-        kept = self._kept_by_id.get(book.info.id)
-        if kept is None:
+        demand = MemoryDemand()
+        add_sent(demand, sent, self._length_model().curve(sent.key), now_s, engine.tokens_per_s)
+        cached.demand.add_demand(demand, -1)
+        cached.sends -= 1
+
+    def record_sent(self, engine: EngineState, demand: MemoryDemand) -> None:
+        """Record that a request was sent to an engine."""
+        cached = self._cached_by_runner.get(engine.info.id)
+        if cached is None:
             return
-        kept.sends += 1
-        kept.demand.change(demand, 1)
+        cached.sends += 1
+        cached.demand.add_demand(demand, 1)
 
     def fit(
-        self, now_s: float, book: RunnerBook, work: SchedulingRequest, demand: Demand
+        self, now_s: float, engine: EngineState, request: SchedulingRequest, demand: MemoryDemand
     ) -> Fit | None:
-        """Tell whether work fits on a runner now."""
-        if work.prompt_tokens >= book.capacity:
+        """Return how a request fits on an engine now, or None if it does not fit."""
+        if request.prompt_tokens >= engine.capacity:
             return None
-        count, _ = book.others()
-        running = len(book.sent) + count
-        if running >= book.info.max_batch or self._has_waiting(book):
+        count, _ = engine.other_load()
+        running = len(engine.sent) + count
+        if running >= engine.info.max_batch or self._has_waiting(engine):
             return None
-        kept = self._forecast(now_s, book)
+        cached = self._forecast(now_s, engine)
         deviations = self._deviations()
-        peak = kept.demand.peak_with(demand, deviations)
-        filled = peak / book.capacity
-        if running and (filled > FULL_SHARE or not self._own_share(kept, demand)):
+        peak = cached.demand.peak_with(demand, deviations)
+        filled = peak / engine.capacity
+        if running and (filled > MAX_FILLED_SHARE or not self._is_within_own_share(cached, demand)):
             return None
-        return Fit(book, filled)
+        return Fit(engine, filled)
 
-    def _has_waiting(self, book: RunnerBook) -> bool:
-        # Work waits at an engine because memory ran short there, most of it preempted. What is
-        # sent now takes the room that a stopped stream needs to go on: one waited for 88 s.
-        if Feature.ENGINE_QUEUE in self._left_out:
+    def _has_waiting(self, engine: EngineState) -> bool:
+        # Requests wait at an engine because it ran out of memory; most of them were preempted.
+        # Another request would take the memory that a preempted stream needs to continue: one
+        # such stream was stalled for 88 s.
+        if Feature.ENGINE_QUEUE in self._disabled:
             return False
-        return book.report is not None and book.report.waiting > 0
+        return engine.report is not None and engine.report.waiting > 0
 
-    def near_overflow(self, now_s: float, book: RunnerBook) -> bool:
-        """Tell whether memory is forecast to overflow within the next points of the horizon."""
-        report = book.report
-        grown = (now_s - report.taken_s) * book.rate + AHEAD_TOKENS[1]
-        if report.kv_used_tokens + report.running * grown <= book.capacity:
+    def near_overflow(self, now_s: float, engine: EngineState) -> bool:
+        """Return whether memory is forecast to overflow at the first points of the horizon."""
+        report = engine.report
+        grown = (now_s - report.taken_s) * engine.tokens_per_s + HORIZON_TOKENS[1]
+        if report.kv_used_tokens + report.running * grown <= engine.capacity:
             return False
-        return max(self._forecast(now_s, book).demand.mean[:2]) > book.capacity
+        return max(self._forecast(now_s, engine).demand.mean[:2]) > engine.capacity
 
-    def _own_share(self, kept: _Kept, demand: Demand) -> bool:
-        # Every instance sees the same room in the same late report. If each took it all, the
-        # engine would get it many times over and preempt. Each takes its part, by lot.
-        if Feature.FREE_MEMORY_SHARE in self._left_out or self.instances == 1:
+    def _is_within_own_share(self, cached: _CachedForecast, demand: MemoryDemand) -> bool:
+        # All instances see the same free memory in the same delayed report. If each filled it,
+        # the engine would get several times what fits and preempt. So each uses its share, with
+        # a random rounding.
+        if Feature.FREE_MEMORY_SHARE in self._disabled or self.instance_count == 1:
             return True
         size = max(1.0, demand.peak(self._deviations()))
-        return kept.sends + kept.lot < kept.room / (self.instances * size)
+        return cached.sends + cached.random_offset < cached.free_tokens / (
+            self.instance_count * size
+        )
 
     def _deviations(self) -> float:
-        return 0.0 if Feature.PEAK_QUANTILE in self._left_out else QUANTILE_DEVIATIONS
-
-    def _model(self) -> LengthModel:
-        return self._unknown if Feature.LEARNED_LENGTHS in self._left_out else self.lengths
-
-    def _forecast(self, now_s: float, book: RunnerBook) -> _Kept:
-        kept = self._kept_by_id.get(book.info.id)
-        if kept is not None and now_s - kept.made_s < FORECAST_LIFE_S:
-            return kept
-        demand = self._demand_on(now_s, book)
-        if kept is None:
-            room = book.capacity * FULL_SHARE - demand.peak(self._deviations())
-            kept = _Kept(demand, now_s, room, self._rng.random())
-            self._kept_by_id[book.info.id] = kept
-        kept.demand = demand
-        kept.made_s = now_s
-        return kept
-
-    def _demand_on(self, now_s: float, book: RunnerBook) -> Demand:
-        demand = Demand()
-        model = self._model()
-        for sent in book.sent.values():
-            add_sent(demand, sent, model.curve(sent.key), now_s, book.rate)
-        if book.sent:
-            first = next(iter(book.sent.values())).work
+        return 0.0 if Feature.PEAK_QUANTILE in self._disabled else QUANTILE_DEVIATIONS
+
+    def _length_model(self) -> LengthModel:
+        return self._prior_only if Feature.LEARNED_LENGTHS in self._disabled else self.lengths
+
+    def _forecast(self, now_s: float, engine: EngineState) -> _CachedForecast:
+        cached = self._cached_by_runner.get(engine.info.id)
+        if cached is not None and now_s - cached.updated_s < FORECAST_TTL_S:
+            return cached
+        demand = self._demand_on(now_s, engine)
+        if cached is None:
+            free_tokens = engine.capacity * MAX_FILLED_SHARE - demand.peak(self._deviations())
+            cached = _CachedForecast(demand, now_s, free_tokens, self._rng.random())
+            self._cached_by_runner[engine.info.id] = cached
+        cached.demand = demand
+        cached.updated_s = now_s
+        return cached
+
+    def _demand_on(self, now_s: float, engine: EngineState) -> MemoryDemand:
+        demand = MemoryDemand()
+        model = self._length_model()
+        for sent in engine.sent.values():
+            add_sent(demand, sent, model.curve(sent.key), now_s, engine.tokens_per_s)
+        if engine.sent:
+            first = next(iter(engine.sent.values())).request
             pooled = LengthKey(first.service, first.model)
         else:
-            pooled = LengthKey(book.info.service, book.info.models[0])
-        unseen = Feature.UNREPORTED_SENDS not in self._left_out and self.instances > 1
-        # An instance that has just started knows no lengths. By the prior, whose longest answers
-        # fill an engine, it would find no room on any that others use, and so never learn.
+            pooled = LengthKey(engine.info.service, engine.info.models[0])
+        with_unreported = Feature.UNREPORTED_SENDS not in self._disabled and self.instance_count > 1
+        # An instance that has just started has no observed lengths. By the prior, whose longest
+        # answers fill an engine, it would find no free memory on any engine that others use,
+        # send nothing and never observe any.
         known = model.sessions(pooled) >= MIN_SESSIONS
         curve = model.curve(pooled) if known else None
-        add_others(demand, book, curve, now_s, unseen=unseen)
+        add_others(demand, engine, curve, now_s, with_unreported=with_unreported)
         return demand
 
 
 class ExactFitter(Fitter):
-    """Knows each length: the oracle's."""
+    """Decides with the exact output length of each request; used by the oracle."""
 
     def __init__(self, rng: random.Random, lengths: Mapping[RequestId, int]) -> None:
         super().__init__(rng, frozenset())
         self._length_by_id = lengths
 
-    def key(self, work: SchedulingRequest) -> LengthKey:
-        """Give the key under which a work's length is learned."""
-        return LengthKey(work.service, work.model, AccountId(""))
+    def key(self, request: SchedulingRequest) -> LengthKey:
+        """Return the key under which the output length of a request is learned."""
+        return LengthKey(request.service, request.model, AccountId(""))
 
     def fit(
-        self, now_s: float, book: RunnerBook, work: SchedulingRequest, demand: Demand
+        self, now_s: float, engine: EngineState, request: SchedulingRequest, demand: MemoryDemand
     ) -> Fit | None:
-        """Tell whether work fits on a runner now."""
-        if work.prompt_tokens >= book.capacity or len(book.sent) >= book.info.max_batch:
+        """Return how a request fits on an engine now, or None if it does not fit."""
+        if request.prompt_tokens >= engine.capacity or len(engine.sent) >= engine.info.max_batch:
             return None
-        rows = [(self._length_by_id[work.id], float(work.prompt_tokens))]
-        for sent in book.sent.values():
-            generated = sent.generated(now_s, book.rate)
-            left = max(1.0, self._length_by_id[sent.work.id] - generated)
-            rows.append((left, sent.work.prompt_tokens + generated))
-        filled = _exact_peak(rows) / book.capacity
-        if book.sent and filled > FULL_SHARE:
+        rows = [(self._length_by_id[request.id], float(request.prompt_tokens))]
+        for sent in engine.sent.values():
+            generated = sent.estimated_tokens(now_s, engine.tokens_per_s)
+            left = max(1.0, self._length_by_id[sent.request.id] - generated)
+            rows.append((left, sent.request.prompt_tokens + generated))
+        filled = _exact_peak(rows) / engine.capacity
+        if engine.sent and filled > MAX_FILLED_SHARE:
             return None
-        return Fit(book, filled)
+        return Fit(engine, filled)
 
 
 def _exact_peak(rows: list[tuple[float, float]]) -> float:
-    """Give the peak of memory of sequences with so many tokens left and held."""
+    """Return the peak memory of sequences, given as rows of (tokens left, tokens held)."""
     rows.sort(reverse=True)
     held = peak = 0.0
     for number, (left, holds) in enumerate(rows, 1):
--- a/egretstack/policy/_messages.py
+++ b/egretstack/policy/_messages.py
@@ -1,4 +1,4 @@
-"""The typed events a policy is told of, and the actions it answers with.
+"""The typed events that a policy processes, and the actions that it returns.
 
 All times are seconds on the runtime's clock; all sizes are tokens.
 """
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class SchedulingRequest:
-    """One generation that wants an engine. Its output length is not known."""
+    """A generation request to be assigned to an engine. Its output length is unknown."""
 
     id: RequestId
     account: AccountId
@@ -30,8 +30,9 @@
     prompt_tokens: int
     max_output_tokens: int
     prefix: str
-    """Name of the prompt's shared beginning, for cache affinity; empty if none."""
+    """Identifies the shared beginning of the prompt, for cache affinity; empty if none."""
     value: int
+    """Contract value; the greater goes first."""
     deadline_s: float
     """Time by which it has to start."""
     streamed: bool
@@ -39,12 +40,12 @@
     preemption_weight: float = 0.33
     tail_weight: float = 0.33
     excluded: frozenset[RunnerId] = frozenset()
-    """Runners that failed this work before."""
+    """Runners that failed this request before."""
 
 
 @dataclass(frozen=True)
 class RunnerInfo:
-    """One engine that may get work."""
+    """An engine that may get requests."""
 
     id: RunnerId
     service: ServiceName
@@ -56,14 +57,14 @@
 
 @dataclass(frozen=True)
 class Arrived:
-    """A request passed its account's limits and wants an engine."""
+    """A request passed its account's limits and needs an engine."""
 
     request: SchedulingRequest
 
 
 @dataclass(frozen=True)
 class Started:
-    """The engine accepted the generation."""
+    """The engine accepted the request."""
 
     request_id: RequestId
 
@@ -78,7 +79,7 @@
 
 
 class EndReason(Enum):
-    """How a piece of work left its engine."""
+    """How a request left its engine."""
 
     FINISHED = "finished"
     CANCELLED = "cancelled"
@@ -87,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Ended:
-    """The work left its engine, or its caller left the queue. `tokens` were generated."""
+    """The request left its engine, or its caller left the queue. `tokens` were generated."""
 
     request_id: RequestId
     tokens: int
@@ -96,21 +97,21 @@
 
 @dataclass(frozen=True)
 class RunnerSeen:
-    """A runner is known, or its description changed."""
+    """A runner was added, or its description changed."""
 
     runner: RunnerInfo
 
 
 @dataclass(frozen=True)
 class RunnerLeft:
-    """A runner gets no new work; what runs on it goes on."""
+    """A runner gets no new requests; those running on it continue."""
 
     runner_id: RunnerId
 
 
 @dataclass(frozen=True)
 class RunnerReported:
-    """A runner's load at `taken_s`, which lies before the time the report was read."""
+    """A runner's load at `taken_s`, which is before the time at which the report was read."""
 
     runner_id: RunnerId
     taken_s: float
@@ -123,7 +124,7 @@
 
 @dataclass(frozen=True)
 class CacheChanged:
-    """A prefix entered or left a runner's cache; such news comes late and with gaps."""
+    """A prefix entered or left a runner's cache; these events are delayed and may be lost."""
 
     runner_id: RunnerId
     prefix: str
@@ -132,10 +133,10 @@
 
 @dataclass(frozen=True)
 class Evicted:
-    """Work that the policy evicted has left its engine and waits for another.
+    """A request that the policy evicted has left its engine and waits for another.
 
-    An Evict is not followed by this when the caller had seen something of the answer: the work
-    then goes on where it is.
+    An Evict is not followed by this event if some of the answer had been delivered by then: the
+    request continues where it is.
     """
 
     request_id: RequestId
@@ -143,14 +144,14 @@
 
 @dataclass(frozen=True)
 class InstancesSeen:
-    """So many instances send work to the runners, this one among them."""
+    """The number of instances that send requests to the runners, including this one."""
 
     count: int
 
 
 @dataclass(frozen=True)
 class LengthsLearned:
-    """Another instance's summary of output lengths, in place of its earlier one."""
+    """Another instance's summary of output lengths; replaces its earlier one."""
 
     source: InstanceId
     summary: LengthSummary
@@ -158,7 +159,7 @@
 
 @dataclass(frozen=True)
 class Tick:
-    """The time asked for by `Policy.next_wake_s` has come."""
+    """The time returned by `Policy.next_wake_s` was reached."""
 
 
 PolicyEvent = (
@@ -179,7 +180,7 @@
 
 @dataclass(frozen=True)
 class Dispatch:
-    """Send the work to the runner. The engine takes higher `priority` first."""
+    """Send the request to the runner. The engine serves a higher `priority` first."""
 
     request_id: RequestId
     runner_id: RunnerId
@@ -188,7 +189,7 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """Answer the work's caller at once."""
+    """Answer the caller with an error immediately."""
 
     request_id: RequestId
     kind: ErrorKind
@@ -197,7 +198,7 @@
 
 @dataclass(frozen=True)
 class Evict:
-    """Cancel the work at its runner and put it back in the queue; nothing was delivered."""
+    """Cancel a request at its runner and queue it again; only if nothing was delivered."""
 
     request_id: RequestId
 
--- a/egretstack/policy/_queued.py
+++ b/egretstack/policy/_queued.py
@@ -1,4 +1,4 @@
-"""The part that every policy with a queue and per-runner counts shares."""
+"""Base class of the baseline policies: a queue and the running requests of each runner."""
 
 import random
 from abc import abstractmethod
@@ -29,122 +29,124 @@
 )
 
 MAX_QUEUE = 10_000
-FULL_RETRY_S = 2.0
+"""Waiting requests of one instance."""
+RETRY_AFTER_S = 2.0
+"""Retry delay that every refusal suggests."""
 
 
 class QueuedPolicy(Policy):
-    """Keeps runners, their running work and a bounded queue; a subclass picks the runner."""
+    """Tracks the runners, their running requests and a bounded queue; subclasses pick runners."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._runner_by_id: dict[RunnerId, RunnerInfo] = {}
         self._report_by_id: dict[RunnerId, RunnerReported] = {}
         self._running_by_id: dict[RunnerId, dict[RequestId, SchedulingRequest]] = {}
-        self._runner_id_by_work: dict[RequestId, RunnerId] = {}
+        self._runner_id_by_request: dict[RequestId, RunnerId] = {}
         self._queue: dict[RequestId, SchedulingRequest] = {}
-        self._instances = 1
+        self._instance_count = 1
 
     def handle(self, now_s: float, event: PolicyEvent) -> list[Action]:
-        """Take note of an event and answer with actions, in the order to carry them out."""
-        refused = self._note(event)
+        """Process an event and return the resulting actions, in the order of execution."""
+        refused = self._apply(event)
         if isinstance(event, Progressed | Started | CacheChanged) or not self._queue:
             return refused
-        return refused + self._expire(now_s) + self._dispatch_ready(now_s)
+        return refused + self._refuse_expired(now_s) + self._dispatch_ready(now_s)
 
     def next_wake_s(self) -> float | None:
-        """Give the time at which to send a Tick, or None."""
-        return min((work.deadline_s for work in self._queue.values()), default=None)
+        """Return the time at which to send a Tick, or None."""
+        return min((request.deadline_s for request in self._queue.values()), default=None)
 
     @abstractmethod
     def _pick(
-        self, now_s: float, work: SchedulingRequest, runners: list[RunnerInfo]
+        self, now_s: float, request: SchedulingRequest, runners: list[RunnerInfo]
     ) -> RunnerInfo | None:
-        """Choose a runner for the work among those that may take it, or None to wait."""
+        """Return one of the eligible runners for the request, or None to let it wait."""
 
     @singledispatchmethod
-    def _note(self, event: PolicyEvent) -> list[Action]:
+    def _apply(self, event: PolicyEvent) -> list[Action]:
         raise TypeError(f"unknown event {event!r}")
 
-    @_note.register
+    @_apply.register
     def _(self, event: Arrived) -> list[Action]:
-        work = event.request
+        request = event.request
         if len(self._queue) >= MAX_QUEUE:
-            return [Refuse(work.id, ErrorKind.ENGINES_FULL, FULL_RETRY_S)]
-        if not self._candidates(work):
-            return [Refuse(work.id, ErrorKind.NO_RUNNER, FULL_RETRY_S)]
-        self._queue[work.id] = work
+            return [Refuse(request.id, ErrorKind.ENGINES_FULL, RETRY_AFTER_S)]
+        if not self._candidates(request):
+            return [Refuse(request.id, ErrorKind.NO_RUNNER, RETRY_AFTER_S)]
+        self._queue[request.id] = request
         return []
 
-    @_note.register
+    @_apply.register
     def _(self, event: Ended) -> list[Action]:
         self._queue.pop(event.request_id, None)
-        runner_id = self._runner_id_by_work.pop(event.request_id, None)
+        runner_id = self._runner_id_by_request.pop(event.request_id, None)
         if runner_id is not None:
             self._running_by_id[runner_id].pop(event.request_id, None)
         return []
 
-    @_note.register
+    @_apply.register
     def _(self, event: RunnerSeen) -> list[Action]:
         self._runner_by_id[event.runner.id] = event.runner
         self._running_by_id.setdefault(event.runner.id, {})
         return []
 
-    @_note.register
+    @_apply.register
     def _(self, event: RunnerLeft) -> list[Action]:
         self._runner_by_id.pop(event.runner_id, None)
         self._report_by_id.pop(event.runner_id, None)
         return []
 
-    @_note.register
+    @_apply.register
     def _(self, event: RunnerReported) -> list[Action]:
         self._report_by_id[event.runner_id] = event
         return []
 
-    @_note.register
+    @_apply.register
     def _(self, event: InstancesSeen) -> list[Action]:
-        self._instances = event.count
+        self._instance_count = event.count
         return []
 
-    @_note.register(Started | Progressed | CacheChanged | Evicted | LengthsLearned | Tick)
+    @_apply.register(Started | Progressed | CacheChanged | Evicted | LengthsLearned | Tick)
     def _(self, event: PolicyEvent) -> list[Action]:
         return []
 
-    def _candidates(self, work: SchedulingRequest) -> list[RunnerInfo]:
+    def _candidates(self, request: SchedulingRequest) -> list[RunnerInfo]:
         return [
             runner
             for runner in self._runner_by_id.values()
-            if work.model in runner.models and runner.id not in work.excluded
+            if request.model in runner.models and runner.id not in request.excluded
         ]
 
-    def _expire(self, now_s: float) -> list[Action]:
-        late = [work for work in self._queue.values() if work.deadline_s <= now_s]
-        for work in late:
-            del self._queue[work.id]
-        return [Refuse(work.id, ErrorKind.DEADLINE_TOO_SHORT, FULL_RETRY_S) for work in late]
+    def _refuse_expired(self, now_s: float) -> list[Action]:
+        late = [request for request in self._queue.values() if request.deadline_s <= now_s]
+        for request in late:
+            del self._queue[request.id]
+        return [Refuse(request.id, ErrorKind.DEADLINE_TOO_SHORT, RETRY_AFTER_S) for request in late]
 
     def _dispatch_ready(self, now_s: float) -> list[Action]:
         actions: list[Action] = []
         full: set[tuple[ModelName, frozenset[RunnerId]]] = set()
-        for work in self._ordered():
-            # Work that finds no room blocks what follows it and could go to the same runners.
-            group = (work.model, work.excluded)
+        for request in self._ordered():
+            # A request that does not fit blocks later ones that could go to the same runners.
+            group = (request.model, request.excluded)
             if group in full:
                 continue
-            runner = self._pick(now_s, work, self._candidates(work))
+            runner = self._pick(now_s, request, self._candidates(request))
             if runner is None:
                 full.add(group)
                 continue
-            del self._queue[work.id]
-            self._running_by_id[runner.id][work.id] = work
-            self._runner_id_by_work[work.id] = runner.id
-            actions.append(Dispatch(work.id, runner.id, work.value))
+            del self._queue[request.id]
+            self._running_by_id[runner.id][request.id] = request
+            self._runner_id_by_request[request.id] = runner.id
+            actions.append(Dispatch(request.id, runner.id, request.value))
         return actions
 
     def _ordered(self) -> list[SchedulingRequest]:
-        return sorted(self._queue.values(), key=lambda work: -work.value)
+        return sorted(self._queue.values(), key=lambda request: -request.value)
 
     def _load(self, runner: RunnerInfo) -> int:
-        """Give the sequences on a runner, by report and own sends."""
+        """Return the number of sequences on a runner, by its report and own sends."""
         own = len(self._running_by_id[runner.id])
         report = self._report_by_id.get(runner.id)
         return own if report is None else max(own, report.running + report.waiting)
--- a/egretstack/policy/_registry.py
+++ b/egretstack/policy/_registry.py
@@ -1,4 +1,4 @@
-"""Policies by name."""
+"""Creates policies by name."""
 
 import random
 from collections.abc import Mapping
@@ -7,14 +7,15 @@
 from egretstack.ids import RequestId
 from egretstack.policy._base import Policy
 from egretstack.policy._default import DefaultPolicy
+from egretstack.policy._features import Feature
 from egretstack.policy._fitting import ExactFitter
 from egretstack.policy._least_loaded import LeastLoaded
-from egretstack.policy._parts import Feature
 from egretstack.policy._reserve_max import ReserveMax
 from egretstack.policy._round_robin import RoundRobin
 
 POLICIES: dict[str, type[Policy]] = {
-    kind.name: kind for kind in (RoundRobin, LeastLoaded, ReserveMax, DefaultPolicy)
+    policy_class.name: policy_class
+    for policy_class in (RoundRobin, LeastLoaded, ReserveMax, DefaultPolicy)
 }
 DEFAULT_POLICY = DefaultPolicy.name
 ORACLE = "oracle"
@@ -23,18 +24,18 @@
 def make_policy(
     name: str, rng: random.Random, disabled: frozenset[Feature] = frozenset()
 ) -> Policy:
-    """Make the policy of that name; raise UserError for an unknown one.
+    """Create a policy by name; raise UserError if the name is unknown.
 
-    `left_out` are parts of the default policy to do without, for measurements.
+    `disabled` are features of the default policy to switch off, for measurements.
     """
     if name == DEFAULT_POLICY:
         return DefaultPolicy(rng, disabled)
-    kind = POLICIES.get(name)
-    if kind is None:
+    policy_class = POLICIES.get(name)
+    if policy_class is None:
         raise UserError(f"no policy named {name}; known: {', '.join(sorted(POLICIES))}")
-    return kind(rng)
+    return policy_class(rng)
 
 
 def make_oracle(rng: random.Random, length_by_id: Mapping[RequestId, int]) -> Policy:
-    """Make the default policy with every length known, as a bound to measure against."""
+    """Create the default policy with all output lengths known, as a bound to compare with."""
     return DefaultPolicy(rng, fitter=ExactFitter(rng, length_by_id))
--- a/egretstack/policy/_round_robin.py
+++ b/egretstack/policy/_round_robin.py
@@ -1,4 +1,4 @@
-"""The round-robin baseline: each runner in turn."""
+"""The round-robin baseline policy."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 
 class RoundRobin(QueuedPolicy):
-    """Sends to the runners of a model in turn, past those that have a full batch."""
+    """Sends to the runners of a model in turn and skips those with a full batch."""
 
     name = "round-robin"
 
@@ -17,12 +17,12 @@
         self._last_by_model: dict[ModelName, RunnerId] = {}
 
     def _pick(
-        self, now_s: float, work: SchedulingRequest, runners: list[RunnerInfo]
+        self, now_s: float, request: SchedulingRequest, runners: list[RunnerInfo]
     ) -> RunnerInfo | None:
-        last = self._last_by_model.get(work.model, RunnerId(""))
+        last = self._last_by_model.get(request.model, RunnerId(""))
         in_turn = sorted(runners, key=lambda runner: (runner.id <= last, runner.id))
         for runner in in_turn:
             if self._load(runner) < runner.max_batch:
-                self._last_by_model[work.model] = runner.id
+                self._last_by_model[request.model] = runner.id
                 return runner
         return None
--- a/egretstack/policy/_routing.py
+++ b/egretstack/policy/_routing.py
@@ -1,66 +1,68 @@
-"""Chooses among the runners that work fits on."""
+"""Chooses among the engines that a request fits on."""
 
 import random
 
 from egretstack.ids import RunnerId
 from egretstack.policy._affinity import PrefixAffinity
-from egretstack.policy._book import RunnerBook
+from egretstack.policy._engine_state import EngineState
+from egretstack.policy._features import Feature
 from egretstack.policy._fitting import Fit
 from egretstack.policy._messages import SchedulingRequest
-from egretstack.policy._parts import Feature
 
-SAMPLE = 8
-"""Runners that are forecast for one piece of work."""
-NEAR = 0.05
-"""Scores that differ by no more than this are taken as equal."""
-AFFINITY_GAIN = 0.15
-"""How much of a runner's memory may be filled more before a held prefix is given up."""
+SAMPLE_SIZE = 8
+"""Engines for which a forecast is made for one request."""
+NEAR_TIE = 0.05
+"""Scores that differ by no more than this count as equal."""
+AFFINITY_BONUS = 0.15
+"""How much more of its memory an engine with the prefix may have filled and still be preferred."""
 
 
 class Router:
-    """Scores runners by forecast memory, batch and prefix; the lowest score is best.
+    """Scores engines by forecast memory, batch size and cached prefix; the lowest score is best.
 
-    A contract's weights for stall time and preemptions count for the memory, the one for gaps
-    between tokens for the batch, since every sequence lengthens the steps of all.
+    The contract's weights for stall time and preemptions apply to the memory. Its weight for gaps
+    between tokens applies to the batch, since every sequence lengthens the steps of all others.
     """
 
-    def __init__(self, rng: random.Random, left_out: frozenset[Feature]) -> None:
+    def __init__(self, rng: random.Random, disabled: frozenset[Feature]) -> None:
         self.affinity = PrefixAffinity()
         self._rng = rng
-        self._left_out = left_out
+        self._disabled = disabled
 
-    def sample(self, work: SchedulingRequest, books: list[RunnerBook]) -> list[RunnerBook]:
-        """Give the runners to forecast for a piece of work: a few, and likely prefix holders.
+    def sample(self, request: SchedulingRequest, engines: list[EngineState]) -> list[EngineState]:
+        """Return the engines to forecast for a request: a random sample and likely prefix holders.
 
-        Each forecast costs the loop that tokens pass through; a random few find nearly as good
-        a place as all do.
+        Each forecast takes time from the event loop that also forwards the tokens, and a random
+        sample gives nearly as good a placement as all engines do.
         """
-        if len(books) <= SAMPLE:
-            return books
-        holders = [one for one in books if self.affinity.holds(work.prefix, one.info.id)]
-        drawn = self._rng.sample(books, SAMPLE)
-        return holders[:2] + [one for one in drawn if one not in holders[:2]]
+        if len(engines) <= SAMPLE_SIZE:
+            return engines
+        holders = [
+            engine for engine in engines if self.affinity.holds(request.prefix, engine.info.id)
+        ]
+        drawn = self._rng.sample(engines, SAMPLE_SIZE)
+        return holders[:2] + [engine for engine in drawn if engine not in holders[:2]]
 
-    def choose(self, work: SchedulingRequest, fits: list[Fit]) -> Fit:
-        """Give one of the fits."""
-        scores = [self._score(work, fit) for fit in fits]
+    def choose(self, request: SchedulingRequest, fits: list[Fit]) -> Fit:
+        """Return the fit with the best score, or one that is nearly as good."""
+        scores = [self._score(request, fit) for fit in fits]
         best = min(scores)
-        if Feature.RANDOM_NEAR_TIES in self._left_out:
+        if Feature.RANDOM_NEAR_TIES in self._disabled:
             return fits[scores.index(best)]
-        near = [fit for fit, score in zip(fits, scores, strict=True) if score <= best + NEAR]
+        near = [fit for fit, score in zip(fits, scores, strict=True) if score <= best + NEAR_TIE]
         return self._rng.choice(near)
 
-    def sent(self, work: SchedulingRequest, runner_id: RunnerId) -> None:
-        """Note that work was sent to a runner."""
-        self.affinity.stored(work.prefix, runner_id)
+    def record_sent(self, request: SchedulingRequest, runner_id: RunnerId) -> None:
+        """Record that a request was sent to an engine."""
+        self.affinity.record_stored(request.prefix, runner_id)
 
-    def _score(self, work: SchedulingRequest, fit: Fit) -> float:
-        report = fit.book.report
-        running = len(fit.book.sent) if report is None else report.running + report.waiting
-        memory = (work.stall_weight + work.preemption_weight) * fit.filled
-        batch = work.tail_weight * running / fit.book.info.max_batch
+    def _score(self, request: SchedulingRequest, fit: Fit) -> float:
+        report = fit.engine.report
+        running = len(fit.engine.sent) if report is None else report.running + report.waiting
+        memory = (request.stall_weight + request.preemption_weight) * fit.filled_share
+        batch = request.tail_weight * running / fit.engine.info.max_batch
         score = memory + batch
-        held = self.affinity.holds(work.prefix, fit.book.info.id)
-        if held and Feature.AFFINITY not in self._left_out:
-            score -= AFFINITY_GAIN
+        held = self.affinity.holds(request.prefix, fit.engine.info.id)
+        if held and Feature.AFFINITY not in self._disabled:
+            score -= AFFINITY_BONUS
         return score
