--- a/egretstack/fleet/__init__.py
+++ b/egretstack/fleet/__init__.py
@@ -1,9 +1,9 @@
 """The instances of one fleet and the runners before them, as each instance knows them."""
 
-from egretstack.fleet._configuration_link import fetch_text, give_packed, pack_text, unpack_text
+from egretstack.fleet._configuration_link import fetch_text, pack_text, send_packed, unpack_text
 from egretstack.fleet._evacuations import EvacuationChange, Evacuations
 from egretstack.fleet._fleet import REPORT_PERIOD_S, Fleet
-from egretstack.fleet._instance import Instance, InstanceState, KnownInstance, StoreSight
+from egretstack.fleet._instance import Instance, InstanceState, KnownInstance, StoreReachability
 from egretstack.fleet._messages import (
     BackupAnswer,
     BackupAsk,
@@ -17,33 +17,34 @@
     PlaceAnswer,
     PlaceAsk,
     PlaceDrop,
-    instance_of,
+    broadcast_instance_row,
+    instance_from_row,
     instance_row,
-    rows_of,
-    runner_of,
+    parse_rows,
+    runner_from_row,
     runner_row,
-    told_instance_row,
 )
 from egretstack.fleet._nearest import nearest
 from egretstack.fleet._news import (
     REPEAT_AFTER_S,
-    HeldNews,
-    NewsFollower,
-    NewsKeeper,
-    NewsPart,
-    NewsTeller,
-    Taken,
+    ApplyResult,
+    HeldVersion,
+    UpdateFollower,
+    UpdatePart,
+    UpdatePublisher,
+    UpdateReplica,
 )
 from egretstack.fleet._runner import Incarnation, Runner, RunnerState
-from egretstack.fleet._runner_limits import RunnerLimits, checked_limit, limit_of
+from egretstack.fleet._runner_limits import RunnerLimits, checked_limit, limit_from_row
 from egretstack.fleet._runner_table import RunnerTable
-from egretstack.fleet._silence import Silence
+from egretstack.fleet._silence import UnansweredQueries
 from egretstack.fleet._store_watch import StoreWatch
 from egretstack.fleet._versioned_rows import VersionedRows
 
 __all__ = [
     "REPEAT_AFTER_S",
     "REPORT_PERIOD_S",
+    "ApplyResult",
     "BackupAnswer",
     "BackupAsk",
     "EvacuationChange",
@@ -52,7 +53,7 @@
     "FleetLoads",
     "FleetNews",
     "FleetView",
-    "HeldNews",
+    "HeldVersion",
     "Incarnation",
     "Instance",
     "InstanceReport",
@@ -61,10 +62,6 @@
     "MoveAsk",
     "MoveDone",
     "MoveTurn",
-    "NewsFollower",
-    "NewsKeeper",
-    "NewsPart",
-    "NewsTeller",
     "PlaceAnswer",
     "PlaceAsk",
     "PlaceDrop",
@@ -72,22 +69,25 @@
     "RunnerLimits",
     "RunnerState",
     "RunnerTable",
-    "Silence",
-    "StoreSight",
+    "StoreReachability",
     "StoreWatch",
-    "Taken",
+    "UnansweredQueries",
+    "UpdateFollower",
+    "UpdatePart",
+    "UpdatePublisher",
+    "UpdateReplica",
     "VersionedRows",
+    "broadcast_instance_row",
     "checked_limit",
     "fetch_text",
-    "give_packed",
-    "instance_of",
+    "instance_from_row",
     "instance_row",
-    "limit_of",
+    "limit_from_row",
     "nearest",
     "pack_text",
-    "rows_of",
-    "runner_of",
+    "parse_rows",
+    "runner_from_row",
     "runner_row",
-    "told_instance_row",
+    "send_packed",
     "unpack_text",
 ]
--- a/egretstack/fleet/_configuration_link.py
+++ b/egretstack/fleet/_configuration_link.py
@@ -24,7 +24,7 @@
     return msgpack.packb(zlib.compress(text, _LEVEL))
 
 
-async def give_packed(stream: trio.SocketStream, packed: bytes) -> None:
+async def send_packed(stream: trio.SocketStream, packed: bytes) -> None:
     """Send a packed text and close. A peer that leaves early asks again if it still needs it."""
     with trio.move_on_after(TRANSFER_TIMEOUT_S):
         async with stream:
--- a/egretstack/fleet/_evacuations.py
+++ b/egretstack/fleet/_evacuations.py
@@ -33,7 +33,7 @@
         """Tell whether the zones were ever read, by this instance or for it."""
         return self.revision > 0
 
-    def take(
+    def apply_reading(
         self, zones: Iterable[ZoneName], revision: int, read_s: float
     ) -> EvacuationChange | None:
         """Take a reading; give what it changed, None if nothing. Older readings change nothing."""
--- a/egretstack/fleet/_fleet.py
+++ b/egretstack/fleet/_fleet.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 from hashlib import blake2b
 
-from egretstack.fleet._instance import Instance, InstanceState, KnownInstance, StoreSight
+from egretstack.fleet._instance import Instance, InstanceState, KnownInstance, StoreReachability
 from egretstack.ids import InstanceId
 
 REPORT_PERIOD_S = 0.25
@@ -89,27 +89,29 @@
         """What was known of this instance when the kept ranking was made; None if it is void."""
         self._ranked_s = now_s
 
-    def listed(self, now_s: float, instances: Iterable[KnownInstance]) -> None:
+    def add_listed(self, now_s: float, instances: Iterable[KnownInstance]) -> None:
         """Note instances that the store lists; they may be long gone."""
         for known in instances:
             if known.instance.id not in self._record_by_id:
                 self._note(now_s - SILENT_AFTER_S, known)
 
-    def pointed(self, now_s: float, instances: Iterable[KnownInstance]) -> None:
+    def record_referral(self, now_s: float, instances: Iterable[KnownInstance]) -> None:
         """Note the living instances that one which is not the home pointed to."""
         for known in instances:
             record = self._note(now_s, known)
             if record is not None:
                 record.heard_s = max(record.heard_s, now_s - POINTED_AGE_S)
 
-    def heard(self, now_s: float, known: KnownInstance) -> None:
+    def record_report(self, now_s: float, known: KnownInstance) -> None:
         """Note a report that an instance sent itself."""
         record = self._note(now_s, known)
         if record is not None:
             record.reported_s = now_s
             self._heard_now(now_s, record)
 
-    def told(self, now_s: float, sender: InstanceId, rows: Iterable[KnownInstance]) -> None:
+    def record_live_instances(
+        self, now_s: float, sender: InstanceId, rows: Iterable[KnownInstance]
+    ) -> None:
         """Note which instances live, all of them, as one that takes itself for the home told."""
         vouched = {sender}
         for known in rows:
@@ -119,9 +121,9 @@
             if record.vouched != (name in vouched):
                 record.vouched = name in vouched
                 self._ranked_own = None
-        self.still_told(now_s, sender)
+        self.record_home_alive(now_s, sender)
 
-    def still_told(self, now_s: float, sender: InstanceId) -> None:
+    def record_home_alive(self, now_s: float, sender: InstanceId) -> None:
         """Note that the home told that the instances it vouched for still live."""
         record = self._record_by_id.get(sender)
         if record is not None:
@@ -129,7 +131,7 @@
         if sender == self._home:
             self._told_s = self._vouched_s = now_s
 
-    def met(self, now_s: float, known: KnownInstance) -> None:
+    def record_home(self, now_s: float, known: KnownInstance) -> None:
         """Note an instance that tells as the home."""
         record = self._note(now_s, known)
         if record is not None:
@@ -137,7 +139,7 @@
         if known.instance.id == self._home:
             self._told_s = now_s
 
-    def told_configuration(self, version: int, holders: Iterable[InstanceId]) -> None:
+    def record_newest_config(self, version: int, holders: Iterable[InstanceId]) -> None:
         """Note the newest configuration of the fleet, and some instances that have it."""
         self._told_config = version
         self._told_holders = tuple(holders)
@@ -180,11 +182,13 @@
         A few at a time: one that reaches it becomes home. If all tried, an outage of the store
         would cost as many calls as there are instances, again and again.
         """
-        if self._store(ranked[0]) is not StoreSight.AWAY:
+        if self._store(ranked[0]) is not StoreReachability.UNREACHABLE:
             return []
-        return [one for one in ranked if self._store(one) is not StoreSight.AWAY][:PROBES]
+        return [one for one in ranked if self._store(one) is not StoreReachability.UNREACHABLE][
+            :PROBES
+        ]
 
-    def _store(self, instance: InstanceId) -> StoreSight:
+    def _store(self, instance: InstanceId) -> StoreReachability:
         own = instance == self.own.instance.id
         return self.own.store if own else self._record_by_id[instance].known.store
 
@@ -201,7 +205,7 @@
         ]
         return [self.own, *others]
 
-    def others_heard(self, now_s: float) -> list[KnownInstance]:
+    def recently_reported(self, now_s: float) -> list[KnownInstance]:
         """Give the instances that a home may vouch for: those whose own reports came lately.
 
         A new home also takes the former one's word for as long as a report may take to come: it was
@@ -215,7 +219,7 @@
             or (is_new and record.vouched and self._is_vouched(now_s))
         ]
 
-    def unheard(self, now_s: float) -> list[Instance]:
+    def not_live(self, now_s: float) -> list[Instance]:
         """Give the instances that are known and do not live, as far as is heard here."""
         return [
             record.known.instance
@@ -223,12 +227,12 @@
             if not self._lives(now_s, record)
         ]
 
-    def is_led(self, now_s: float) -> bool:
+    def has_live_home(self, now_s: float) -> bool:
         """Tell whether this instance hears a home other than itself."""
         home = self.home(now_s)
         return home != self.own.instance.id and now_s - self._told_s <= HOME_SILENT_AFTER_S
 
-    def record(self, instance: InstanceId) -> KnownInstance | None:
+    def last_known(self, instance: InstanceId) -> KnownInstance | None:
         """Give what was last said of another instance."""
         record = self._record_by_id.get(instance)
         return None if record is None else record.known
@@ -239,7 +243,7 @@
         newest = max(known.config_version for known in live)
         return newest, [one.instance.id for one in live if one.config_version == newest]
 
-    def known(self) -> list[Instance]:
+    def known_instances(self) -> list[Instance]:
         """Give every instance ever heard of, but for this one."""
         return [record.known.instance for record in self._record_by_id.values()]
 
@@ -248,7 +252,7 @@
         record = self._record_by_id.get(instance)
         return None if record is None else record.known.instance
 
-    def newest_config(self, now_s: float) -> list[KnownInstance]:
+    def newer_config_holders(self, now_s: float) -> list[KnownInstance]:
         """Give the live instances with the newest configuration, if it is newer than this one's.
 
         All of them: whoever needs it draws one, and the first to have it does not serve all alone.
@@ -339,21 +343,29 @@
         rows.append(_rank(self.own, self._own_digest))
         self._note_outage(now_s, stores)
         returning = now_s - self._returned_s < RETURN_S
-        if StoreSight.READS in stores and StoreSight.AWAY in stores and not returning:
-            away = {one.known.instance.id for one in records if one.known.store is StoreSight.AWAY}
-            if self.own.store is StoreSight.AWAY:
+        if (
+            StoreReachability.REACHABLE in stores
+            and StoreReachability.UNREACHABLE in stores
+            and not returning
+        ):
+            away = {
+                one.known.instance.id
+                for one in records
+                if one.known.store is StoreReachability.UNREACHABLE
+            }
+            if self.own.store is StoreReachability.UNREACHABLE:
                 away.add(self.own.instance.id)
             rows = [(row[0] + (row[3] in away), *row[1:]) for row in rows]
         rows.sort()
         return [row[3] for row in rows]
 
-    def _note_outage(self, now_s: float, stores: set[StoreSight]) -> None:
+    def _note_outage(self, now_s: float, stores: set[StoreReachability]) -> None:
         """Note when nobody reaches the store, and when that is over."""
-        if StoreSight.READS in stores:
+        if StoreReachability.REACHABLE in stores:
             began_s, self._unread_since_s = self._unread_since_s, None
             if began_s is not None and now_s - began_s >= OUTAGE_S:
                 self._returned_s = now_s
-        elif StoreSight.AWAY in stores and self._unread_since_s is None:
+        elif StoreReachability.UNREACHABLE in stores and self._unread_since_s is None:
             self._unread_since_s = now_s
 
 
--- a/egretstack/fleet/_instance.py
+++ b/egretstack/fleet/_instance.py
@@ -16,14 +16,14 @@
     """It was asked to stop and serves only what it has."""
 
 
-class StoreSight(Enum):
+class StoreReachability(Enum):
     """Whether an instance reaches the store."""
 
     UNKNOWN = 0
     """It has not asked lately; most need not."""
-    READS = 1
+    REACHABLE = 1
     """It was answered a moment ago."""
-    AWAY = 2
+    UNREACHABLE = 2
     """It asked and was not answered, or too late."""
 
 
@@ -47,5 +47,5 @@
     incarnation: int
     """Drawn at random at each start of its process."""
     state: InstanceState
-    store: StoreSight
+    store: StoreReachability
     config_version: int
--- a/egretstack/fleet/_messages.py
+++ b/egretstack/fleet/_messages.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from typing import ClassVar
 
-from egretstack.fleet._instance import Instance, InstanceState, KnownInstance, StoreSight
+from egretstack.fleet._instance import Instance, InstanceState, KnownInstance, StoreReachability
 from egretstack.fleet._runner import Incarnation, Runner, RunnerState
 from egretstack.ids import InstanceId, RunnerName, ServiceName, ZoneName
 from egretstack.messages import Message, MessageError
@@ -191,17 +191,21 @@
     ]
 
 
-def told_instance_row(known: KnownInstance, *, watches: bool) -> list:
+def broadcast_instance_row(known: KnownInstance, *, watches: bool) -> list:
     """Give the row of an instance for all others, without what changes in all at the same time.
 
     That is the configuration, and whether it reaches the store; of those that watch the store for
     the others all have to know that.
     """
-    store = known.store if watches or known.store is StoreSight.AWAY else StoreSight.UNKNOWN
+    store = (
+        known.store
+        if watches or known.store is StoreReachability.UNREACHABLE
+        else StoreReachability.UNKNOWN
+    )
     return [*instance_row(replace(known, store=store))[:-1], 0]
 
 
-def instance_of(row: object) -> KnownInstance:
+def instance_from_row(row: object) -> KnownInstance:
     """Read the row of an instance. Raises MessageError."""
     try:
         name, zone, front, peer, strength, incarnation, state, store, version = row
@@ -209,7 +213,7 @@
             InstanceId(str(name)), ZoneName(str(zone)), str(front), str(peer), int(strength)
         )
         return KnownInstance(
-            instance, int(incarnation), InstanceState(state), StoreSight(store), int(version)
+            instance, int(incarnation), InstanceState(state), StoreReachability(store), int(version)
         )
     except (TypeError, ValueError) as error:
         raise MessageError(f"not an instance: {error}") from error
@@ -219,18 +223,18 @@
     """Give the row of a runner."""
     return [
         runner.incarnation.name,
-        runner.incarnation.born_ms,
+        runner.incarnation.started_ms,
         runner.service,
         runner.address,
         runner.zone,
         runner.slots,
         runner.state.value,
         round(runner.cold_s * 1000),
-        runner.back_at_revision,
+        runner.confirmed_at_revision,
     ]
 
 
-def runner_of(row: object) -> Runner:
+def runner_from_row(row: object) -> Runner:
     """Read the row of a runner. Raises MessageError."""
     try:
         name, born_ms, service, address, zone, slots, state, cold_ms, back_at = row
@@ -248,7 +252,7 @@
         raise MessageError(f"not a runner: {error}") from error
 
 
-def rows_of(rows: Iterable, read) -> list:
+def parse_rows(rows: Iterable, read) -> list:
     """Read the rows of a message; raise MessageError if there are too many or one is bad."""
     rows = list(rows)
     if len(rows) > MAX_ROWS:
--- a/egretstack/fleet/_news.py
+++ b/egretstack/fleet/_news.py
@@ -13,7 +13,7 @@
 import msgpack
 
 from egretstack.fleet._messages import MAX_ROWS, FleetNews
-from egretstack.fleet._versioned_rows import Row, RowChange, VersionedRows, change_of
+from egretstack.fleet._versioned_rows import Row, RowChange, VersionedRows, change_from_row
 from egretstack.ids import InstanceId
 from egretstack.messages import MessageError
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldNews:
+class HeldVersion:
     """What an instance holds: a version, as one home numbered them."""
 
     epoch: int = 0
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewsPart:
+class UpdatePart:
     """What one datagram tells: the changes after `base`, up to `upto`."""
 
     base: int
@@ -71,43 +71,49 @@
     """When the last of it went out."""
 
 
-class NewsTeller:
+class UpdatePublisher:
     """The home's side: the rows, and what each instance has of them.
 
     A new home goes on from the version that it held under the former one, so that the others need
     only what changed since and not everything.
     """
 
-    def __init__(self, draw_epoch: Callable[[], int], held: HeldNews, rows: VersionedRows) -> None:
+    def __init__(
+        self, draw_epoch: Callable[[], int], held: HeldVersion, rows: VersionedRows
+    ) -> None:
         self._draw_epoch = draw_epoch
         self.epoch = draw_epoch()
         self.continued = held
         self.rows = rows
         self._told_by_instance: dict[InstanceId, _Told] = {}
-        self._parts_by_base: dict[int, list[NewsPart]] = {}
+        self._parts_by_base: dict[int, list[UpdatePart]] = {}
         self._parts_state: tuple[int, int] | None = None
         self._urgent_since: int | None = None
         """The version before the urgent changes that have been told once; None if all were told
         again."""
 
-    def update(self, row_by_key: Mapping[str, Row]) -> bool:
+    def replace_rows(self, row_by_key: Mapping[str, Row]) -> bool:
         """Take the rows that there are now; tell whether any changed."""
         if self.rows.removed > MAX_REMOVED:
-            self.epoch, self.continued, self.rows = self._draw_epoch(), HeldNews(), VersionedRows()
+            self.epoch, self.continued, self.rows = (
+                self._draw_epoch(),
+                HeldVersion(),
+                VersionedRows(),
+            )
             self._told_by_instance.clear()
             self._urgent_since = None
-        return self.rows.put_all(row_by_key)
+        return self.rows.replace_all(row_by_key)
 
-    def urge(self, since: int) -> None:
+    def mark_urgent(self, since: int) -> None:
         """Take the changes after a version for urgent: `repeats_for` gives them once more."""
         before = self._urgent_since
         self._urgent_since = since if before is None else min(before, since)
 
-    def repeated(self) -> None:
+    def urgent_repeated(self) -> None:
         """Note that the urgent news went out once more to all."""
         self._urgent_since = None
 
-    def repeats_for(self, instance: InstanceId) -> list[NewsPart]:
+    def urgent_parts_for(self, instance: InstanceId) -> list[UpdatePart]:
         """Give the urgent news that an instance has not reported to hold; may be none.
 
         A runner that leaves gives some 1.5 s. Where the links lose packets, some instances of a
@@ -120,26 +126,26 @@
         base = max(told.held, self._urgent_since)
         return [] if base >= self.rows.version else self._parts(base)
 
-    def note_held(self, instance: InstanceId, held: HeldNews, *, missed: bool = False) -> None:
+    def record_held(self, instance: InstanceId, held: HeldVersion, *, missed: bool = False) -> None:
         """Note what an instance reports to hold; `missed` if it could not use what came later."""
         told = self._told(instance)
         told.held = self._own_version(held)
         if missed:
             told.sent = told.held
 
-    def forget(self, kept: set[InstanceId]) -> None:
+    def retain(self, kept: set[InstanceId]) -> None:
         """Forget instances that are not among those kept."""
         for instance in self._told_by_instance.keys() - kept:
             del self._told_by_instance[instance]
 
-    def lags(self, now_s: float, instance: InstanceId) -> bool:
+    def is_behind(self, now_s: float, instance: InstanceId) -> bool:
         """Tell whether an instance that has just reported lacks something not on its way."""
         told = self._told(instance)
         if now_s - told.latest_s >= ANSWERED_S:
             told.sent = told.held
         return self._base(now_s, instance) < self.rows.version
 
-    def parts_for(self, now_s: float, instance: InstanceId) -> list[NewsPart]:
+    def parts_for(self, now_s: float, instance: InstanceId) -> list[UpdatePart]:
         """Give what to send to an instance now, and take it as sent; at least one part."""
         base = self._base(now_s, instance)
         told = self._told(instance)
@@ -158,7 +164,7 @@
         on_its_way = now_s - told.sent_s < RESEND_AFTER_S
         return max(told.held, told.sent) if on_its_way else told.held
 
-    def _own_version(self, held: HeldNews) -> int:
+    def _own_version(self, held: HeldVersion) -> int:
         """Give a version of another home in this one's numbers; 0 if it tells nothing here."""
         continued = self.continued
         goes_on = held.epoch == continued.epoch and held.version <= continued.version
@@ -166,18 +172,18 @@
             return 0
         return min(held.version, self.rows.version)
 
-    def _parts(self, base: int) -> list[NewsPart]:
+    def _parts(self, base: int) -> list[UpdatePart]:
         state = self.epoch, self.rows.version
         if self._parts_state != state:
             self._parts_state, self._parts_by_base = state, {}
         parts = self._parts_by_base.get(base)
         if parts is None:
-            parts = list(_split(base, self.rows.version, self.rows.since(base)))
+            parts = list(_split(base, self.rows.version, self.rows.changes_since(base)))
             self._parts_by_base[base] = parts
         return parts
 
 
-class Taken(Enum):
+class ApplyResult(Enum):
     """What became of news."""
 
     WHOLE = "whole"
@@ -188,7 +194,7 @@
     """Something before was lost; it is asked for by the next report."""
 
 
-class NewsFollower:
+class UpdateFollower:
     """An instance's side: the rows as the home told them."""
 
     def __init__(self) -> None:
@@ -199,15 +205,15 @@
         """Whether news came that build on others which are not held."""
 
     @property
-    def held(self) -> HeldNews:
+    def held(self) -> HeldVersion:
         """What this instance holds."""
-        return HeldNews(self._epoch, self.rows.version)
+        return HeldVersion(self._epoch, self.rows.version)
 
-    def adopt(self, teller: NewsTeller) -> None:
+    def adopt(self, teller: UpdatePublisher) -> None:
         """Hold what this instance told itself as the home it was until now."""
         self.rows, self._epoch = teller.rows, teller.epoch
 
-    def take(self, news: FleetNews) -> Taken:
+    def apply(self, news: FleetNews) -> ApplyResult:
         """Take news of the home. Raises MessageError."""
         changes = unpack_changes(news.rows)
         if not 0 <= news.base <= news.upto <= news.latest:
@@ -217,9 +223,9 @@
         turned = news.epoch == self._epoch or self._turn_to(news)
         self.missed = not turned or news.base > self.rows.version
         if self.missed:
-            return Taken.GAP
-        self._changed.update(self.rows.take(changes, news.upto))
-        return Taken.WHOLE if self.rows.version >= news.latest else Taken.PART
+            return ApplyResult.GAP
+        self._changed.update(self.rows.apply(changes, news.upto))
+        return ApplyResult.WHOLE if self.rows.version >= news.latest else ApplyResult.PART
 
     def pop_changed(self) -> set[str]:
         """Give the keys of the rows that changed since they were last asked for."""
@@ -239,28 +245,28 @@
         return True
 
 
-class NewsKeeper:
+class UpdateReplica:
     """One instance's news, in either role; it changes roles without agreement with anybody."""
 
     def __init__(self, draw_epoch: Callable[[], int]) -> None:
         self._draw_epoch = draw_epoch
-        self._follower = NewsFollower()
-        self._teller: NewsTeller | None = None
+        self._follower = UpdateFollower()
+        self._teller: UpdatePublisher | None = None
 
     @property
-    def teller(self) -> NewsTeller | None:
+    def publisher(self) -> UpdatePublisher | None:
         """The home's side, only while this instance is the home."""
         return self._teller
 
     @property
-    def held(self) -> HeldNews:
+    def held(self) -> HeldVersion:
         """What this instance holds.
 
         A home has versions of its own. Told under its former home's epoch, they would look like
         that one's, and another heir of it would leave out what this instance lacks.
         """
         if self._teller is not None:
-            return HeldNews(self._teller.epoch, self._teller.rows.version)
+            return HeldVersion(self._teller.epoch, self._teller.rows.version)
         return self._follower.held
 
     @property
@@ -268,14 +274,14 @@
         """Whether this instance missed news of the home it follows."""
         return self._teller is None and self._follower.missed
 
-    def lead(self) -> NewsTeller:
+    def lead(self) -> UpdatePublisher:
         """Give the home's side, from now on this instance's."""
         if self._teller is None:
             held, rows = self._follower.held, self._follower.rows
-            self._teller = NewsTeller(self._draw_epoch, held, rows)
+            self._teller = UpdatePublisher(self._draw_epoch, held, rows)
         return self._teller
 
-    def follow(self) -> NewsFollower:
+    def follow(self) -> UpdateFollower:
         """Give the other side; what this instance told as the home is what it holds."""
         if self._teller is not None:
             self._follower.adopt(self._teller)
@@ -299,14 +305,14 @@
         raise MessageError(f"changes that can't be unpacked: {error!r}") from error
     if not inflater.eof or not isinstance(rows, list) or len(rows) > MAX_ROWS:
         raise MessageError("changes cut short, or too many")
-    return [change_of(row) for row in rows]
+    return [change_from_row(row) for row in rows]
 
 
-def _split(base: int, latest: int, changes: list[RowChange]) -> Iterator[NewsPart]:
+def _split(base: int, latest: int, changes: list[RowChange]) -> Iterator[UpdatePart]:
     """Give parts that each fit a datagram; the last one reaches the latest version."""
     packed = pack_changes(changes)
     if len(packed) <= MAX_PACKED_BYTES or len(changes) == 1:
-        yield NewsPart(base, latest, packed)
+        yield UpdatePart(base, latest, packed)
         return
     middle = len(changes) // 2
     border = changes[middle - 1].version
--- a/egretstack/fleet/_runner.py
+++ b/egretstack/fleet/_runner.py
@@ -31,20 +31,20 @@
 
     name: RunnerName
     """What the runner calls itself, the same after each start."""
-    born_ms: int | None = None
+    started_ms: int | None = None
     """Time of its start by the runner's own clock, in Unix milliseconds; None if it tells none,
     and then each start has a name of its own."""
 
     @property
     def id(self) -> RunnerId:
         """The key of all that is known of this start; another start has another one."""
-        if self.born_ms is None:
+        if self.started_ms is None:
             return RunnerId(self.name)
-        return RunnerId(f"{self.name}{_BIRTH_MARK}{self.born_ms}")
+        return RunnerId(f"{self.name}{_BIRTH_MARK}{self.started_ms}")
 
     def is_before(self, other: "Incarnation") -> bool:
         """Tell whether `other` is a later start of the same runner."""
-        return self.name == other.name and (self.born_ms or 0) < (other.born_ms or 0)
+        return self.name == other.name and (self.started_ms or 0) < (other.started_ms or 0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
     state: RunnerState
     cold_s: float
     """How much longer it stays slow after its start."""
-    back_at_revision: int = 0
+    confirmed_at_revision: int = 0
     """Revision of the store's list as of which an instance found it alive again, after its entry
     had been missing; 0 if it never was."""
     id: RunnerId = field(init=False)
--- a/egretstack/fleet/_runner_limits.py
+++ b/egretstack/fleet/_runner_limits.py
@@ -37,7 +37,9 @@
     def __init__(self) -> None:
         self._word_by_id: dict[RunnerId, _Word] = {}
 
-    def heard(self, now_s: float, runner_id: RunnerId, per_s: float | None, sent_s: float) -> bool:
+    def record_answer(
+        self, now_s: float, runner_id: RunnerId, per_s: float | None, sent_s: float
+    ) -> bool:
         """Take what an answer says, whose request went out at `sent_s`.
 
         Tells whether the runner is limited now and was not before, or is not any more.
@@ -50,7 +52,9 @@
             return False
         return self._put(now_s, runner_id, per_s, now_s, is_own=True)
 
-    def told(self, now_s: float, runner_id: RunnerId, per_s: float | None, said_s: float) -> bool:
+    def record_reported(
+        self, now_s: float, runner_id: RunnerId, per_s: float | None, said_s: float
+    ) -> bool:
         """Take another instance's word of what a runner said at a time; tells what `heard` does."""
         known = self._word_by_id.get(runner_id)
         if said_s <= (known.said_s if known is not None else float("-inf")):
@@ -59,7 +63,9 @@
             return False
         return self._put(now_s, runner_id, per_s, said_s, is_own=False)
 
-    def told_all(self, now_s: float, per_s_by_id: Mapping[RunnerId, float]) -> set[RunnerId]:
+    def apply_home_limits(
+        self, now_s: float, per_s_by_id: Mapping[RunnerId, float]
+    ) -> set[RunnerId]:
         """Take all limits that the home knows of; give the runners that are limited or free now.
 
         What is known already becomes no newer by this: the next home would believe it rather than
@@ -70,7 +76,7 @@
             per_s, known = per_s_by_id.get(runner_id), self._word_by_id.get(runner_id)
             if known is not None and None not in (known.per_s, per_s):
                 self._word_by_id[runner_id] = replace(known, per_s=per_s)
-            elif self.told(now_s, runner_id, per_s, now_s - TOLD_AGE_S):
+            elif self.record_reported(now_s, runner_id, per_s, now_s - TOLD_AGE_S):
                 changed.add(runner_id)
         return changed
 
@@ -97,7 +103,7 @@
         words.sort(key=lambda one: -one[0])
         return [[one, per_s, _age_ms(now_s - said_s)] for said_s, one, per_s in words[:MOST_TOLD]]
 
-    def forget(self, kept: Container[RunnerId]) -> None:
+    def retain(self, kept: Container[RunnerId]) -> None:
         """Forget runners that are not among those kept."""
         for gone in [one for one in self._word_by_id if one not in kept]:
             del self._word_by_id[gone]
@@ -114,7 +120,7 @@
         return not goes_on
 
 
-def limit_of(row: object) -> tuple[RunnerId, float | None, float]:
+def limit_from_row(row: object) -> tuple[RunnerId, float | None, float]:
     """Read a row of a report: runner, limit, and how old the word is. Raises MessageError."""
     try:
         runner, per_s, age_ms = row
--- a/egretstack/fleet/_runner_table.py
+++ b/egretstack/fleet/_runner_table.py
@@ -35,7 +35,7 @@
         self.revision = 0
         self.read_s = float("-inf")
         """When the store was last read, by whomever, on this process's clock."""
-        self.silent: frozenset[RunnerId] = frozenset()
+        self.unresponsive: frozenset[RunnerId] = frozenset()
         """Runners that do not answer the home; they get no new work until they do."""
         self.suspects: frozenset[RunnerId] = frozenset()
         """Runners that break what the fleet sends them; they get only what may be repeated."""
@@ -56,14 +56,14 @@
         self._back_s_by_zone: dict[ZoneName, float] = {}
         """When the evacuation of a zone was taken back."""
 
-    def take(
+    def apply_reading(
         self,
         now_s: float,
         runners: Iterable[Runner],
         revision: int,
         read_s: float,
         *,
-        by_home: bool = False,
+        from_home: bool = False,
     ) -> list[Runner]:
         """Take a reading of the whole list; give the runners that may get no work from now on.
 
@@ -81,19 +81,19 @@
         self._note_cold(now_s, runners)
         stopped = [gone for runner in runners if (gone := self._note_start(runner)) is not None]
         listed = self._listed(runners)
-        if by_home:
+        if from_home:
             self._trust(now_s, listed.values())
         stopped += self._replace(now_s, listed)
         self._drop_strangers(listed)
         return stopped
 
-    def still_holds(self, revision: int, read_s: float) -> None:
+    def record_unchanged(self, revision: int, read_s: float) -> None:
         """Note that a reading of the store, at this revision, lists the same runners as before."""
         if revision >= self.revision:
             self.revision = revision
             self.read_s = max(self.read_s, read_s)
 
-    def introduce(self, runner: Runner) -> bool:
+    def register(self, runner: Runner) -> bool:
         """Take a runner that the home chose and that is not known here; tell whether it is news."""
         if runner.id in self.by_id or runner.incarnation.name in self._latest_by_name:
             return False
@@ -101,21 +101,21 @@
         self.by_id[runner.id] = runner
         return True
 
-    def started(self, runner_id: RunnerId, born_ms: int) -> Runner | None:
+    def record_start(self, runner_id: RunnerId, born_ms: int) -> Runner | None:
         """Take a runner's own word of its start; give the former start if that has thereby ended.
 
         The store's entry may lag: until it tells more, the new start serves as the former did.
         A runner whose entry tells no time of birth is not told apart by it.
         """
         known = self.by_id.get(runner_id)
-        if known is None or known.incarnation.born_ms is None:
+        if known is None or known.incarnation.started_ms is None:
             return None
         new = Incarnation(known.incarnation.name, born_ms)
         if not self._latest_by_name[new.name].is_before(new):
             return None
         return self._note_start(replace(known, incarnation=new, state=RunnerState.READY))
 
-    def notice(self, now_s: float, runner_id: RunnerId) -> bool:
+    def record_leaving(self, now_s: float, runner_id: RunnerId) -> bool:
         """Note that a runner itself said that it leaves; tell whether that is news."""
         runner = self.by_id.get(runner_id)
         if runner is None or runner.state in (RunnerState.LEAVING, RunnerState.GONE):
@@ -125,7 +125,7 @@
         self.by_id[runner_id] = replace(runner, state=RunnerState.LEAVING)
         return True
 
-    def stopped_s(self, runner_id: RunnerId) -> float | None:
+    def stopped_since_s(self, runner_id: RunnerId) -> float | None:
         """Give since when a runner is known to get no more work; None if it may, or is silent."""
         return self._stopped_s_by_id.get(runner_id)
 
@@ -140,19 +140,19 @@
             one for one in self._stopped_s_by_id if self.by_id[one].state is RunnerState.LEAVING
         ]
 
-    def returned(self) -> list[Runner]:
+    def relisted(self) -> list[Runner]:
         """Give the missing runners that are listed again; one that answers is to be confirmed."""
         return [self.by_id[one] for one in self._returned]
 
-    def misses_any(self) -> bool:
+    def has_missing(self) -> bool:
         """Tell whether runners are missing that the home's word may let back."""
         return bool(self._missing_at_by_id)
 
-    def confirm(self, runner_id: RunnerId) -> bool:
+    def confirm_alive(self, runner_id: RunnerId) -> bool:
         """Note that a returned runner answered for itself; tell whether that is news."""
         if runner_id not in self._returned:
             return False
-        self._let_back(replace(self.by_id[runner_id], back_at_revision=self.revision + 1))
+        self._let_back(replace(self.by_id[runner_id], confirmed_at_revision=self.revision + 1))
         return True
 
     def ready(self, service: ServiceName) -> list[Runner]:
@@ -166,7 +166,7 @@
     def is_ready(self, runner_id: RunnerId) -> bool:
         """Tell whether a runner may get work."""
         runner = self.by_id.get(runner_id)
-        if runner is None or runner_id in self.silent or runner.zone in self.evacuated:
+        if runner is None or runner_id in self.unresponsive or runner.zone in self.evacuated:
             return False
         return runner.state is RunnerState.READY
 
@@ -175,7 +175,7 @@
         runner = self.by_id.get(runner_id)
         return runner is not None and runner.zone in self.evacuated
 
-    def is_barred(self, service: ServiceName, zones: Container[ZoneName] | None) -> bool:
+    def has_only_evacuated(self, service: ServiceName, zones: Container[ZoneName] | None) -> bool:
         """Tell whether a service has runners, but none where a request may run.
 
         `zones` are those in which it may run; None if anywhere. In evacuated ones it may not.
@@ -188,7 +188,7 @@
         allowed = [zone for zone in ready if zones is None or zone in zones]
         return bool(ready) and all(zone in self.evacuated for zone in allowed)
 
-    def evacuate(self, now_s: float, zones: frozenset[ZoneName]) -> None:
+    def set_evacuated(self, now_s: float, zones: frozenset[ZoneName]) -> None:
         """Take it that these zones are evacuated now, and no others."""
         for zone in self.evacuated - zones:
             self._back_s_by_zone[zone] = now_s
@@ -207,7 +207,7 @@
         back_s = self._back_s_by_zone.get(runner.zone, float("-inf"))
         return now_s < max(until_s, back_s + start_s)
 
-    def became_cold(self, now_s: float, runner_id: RunnerId, cold_s: float) -> None:
+    def record_cold(self, now_s: float, runner_id: RunnerId, cold_s: float) -> None:
         """Take a runner's own word of how much longer it is cold."""
         runner = self.by_id.get(runner_id)
         if runner is not None and cold_s > 0:
@@ -299,8 +299,8 @@
                 return known
             self._missing_at_by_id[known.id] = self.revision
             return replace(known, state=RunnerState.MISSING)
-        back_at = max(known.back_at_revision, listed.back_at_revision)
-        listed = replace(listed, back_at_revision=back_at)
+        back_at = max(known.confirmed_at_revision, listed.confirmed_at_revision)
+        listed = replace(listed, confirmed_at_revision=back_at)
         if known.state in (RunnerState.LEAVING, RunnerState.GONE):
             # A notice is final: one that came from the runner itself may be newer than this
             # reading, and no runner takes a notice back.
@@ -321,7 +321,7 @@
         if listed.state is not RunnerState.READY:
             self._returned.discard(listed.id)
             return listed
-        if listed.back_at_revision > self._missing_at_by_id.get(listed.id, 0):
+        if listed.confirmed_at_revision > self._missing_at_by_id.get(listed.id, 0):
             return self._let_back(listed)
         self._returned.add(listed.id)
         return replace(listed, state=RunnerState.MISSING)
--- a/egretstack/fleet/_silence.py
+++ b/egretstack/fleet/_silence.py
@@ -11,25 +11,25 @@
 """
 
 
-class Silence:
+class UnansweredQueries:
     """Counts unanswered questions for each runner."""
 
     def __init__(self) -> None:
         self._missed_by_id: dict[RunnerId, int] = {}
 
-    def answered(self, runner_id: RunnerId) -> None:
+    def record_answer(self, runner_id: RunnerId) -> None:
         """Note an answer."""
         self._missed_by_id.pop(runner_id, None)
 
-    def missed(self, runner_id: RunnerId) -> None:
+    def record_miss(self, runner_id: RunnerId) -> None:
         """Note a question without an answer."""
         self._missed_by_id[runner_id] = self._missed_by_id.get(runner_id, 0) + 1
 
-    def ended(self, runner_id: RunnerId) -> None:
+    def record_ended(self, runner_id: RunnerId) -> None:
         """Note that a runner was found to have ended; it is silent until it answers."""
         self._missed_by_id[runner_id] = max(SILENT_AFTER, self._missed_by_id.get(runner_id, 0))
 
-    def silent(self, asked: set[RunnerId]) -> frozenset[RunnerId]:
+    def unresponsive(self, asked: set[RunnerId]) -> frozenset[RunnerId]:
         """Give the silent ones among the runners asked; none if too many are."""
         for runner_id in set(self._missed_by_id) - asked:
             del self._missed_by_id[runner_id]
--- a/egretstack/fleet/_store_watch.py
+++ b/egretstack/fleet/_store_watch.py
@@ -1,6 +1,6 @@
 """Whether an instance reaches the store, from how its calls went; pure, with the time passed in."""
 
-from egretstack.fleet._instance import StoreSight
+from egretstack.fleet._instance import StoreReachability
 
 SIGHT_LIFE_S = 2.5
 """How long an answer of the store tells that an instance reaches it: two watches."""
@@ -12,18 +12,18 @@
     """What the calls of one instance tell of the store."""
 
     def __init__(self) -> None:
-        self.sight = StoreSight.UNKNOWN
+        self.reachability = StoreReachability.UNKNOWN
         self._answered_s = float("-inf")
         self._failed_s = float("-inf")
         self._failures = 0
         """Calls in a row that were not answered."""
 
-    def answered(self, now_s: float) -> None:
+    def record_answer(self, now_s: float) -> None:
         """Note that the store answered a call."""
         self._answered_s, self._failures = now_s, 0
-        self.sight = StoreSight.READS
+        self.reachability = StoreReachability.REACHABLE
 
-    def failed(self, now_s: float) -> None:
+    def record_failure(self, now_s: float) -> None:
         """Note that the store did not answer a call.
 
         One that was answered a moment ago is believed to reach it until a second call fails: a
@@ -31,19 +31,20 @@
         """
         self._failed_s = now_s
         self._failures += 1
-        if self.sight is not StoreSight.READS or self._failures > 1:
-            self.sight = StoreSight.AWAY
+        if self.reachability is not StoreReachability.REACHABLE or self._failures > 1:
+            self.reachability = StoreReachability.UNREACHABLE
 
-    def late(self) -> None:
+    def record_delay(self) -> None:
         """Note that a home's calls take too long to hear of leaving runners in time."""
-        if self.sight is StoreSight.READS:
-            self.sight = StoreSight.AWAY
+        if self.reachability is StoreReachability.REACHABLE:
+            self.reachability = StoreReachability.UNREACHABLE
 
-    def pass_time(self, now_s: float) -> None:
+    def expire(self, now_s: float) -> None:
         """Let go of what is too old to be told."""
         lapsed = {
-            StoreSight.READS: now_s - self._answered_s > SIGHT_LIFE_S,
-            StoreSight.AWAY: now_s - max(self._failed_s, self._answered_s) > AWAY_LIFE_S,
+            StoreReachability.REACHABLE: now_s - self._answered_s > SIGHT_LIFE_S,
+            StoreReachability.UNREACHABLE: now_s - max(self._failed_s, self._answered_s)
+            > AWAY_LIFE_S,
         }
-        if lapsed.get(self.sight, False):
-            self.sight = StoreSight.UNKNOWN
+        if lapsed.get(self.reachability, False):
+            self.reachability = StoreReachability.UNKNOWN
--- a/egretstack/fleet/_versioned_rows.py
+++ b/egretstack/fleet/_versioned_rows.py
@@ -35,7 +35,7 @@
     def __len__(self) -> int:
         return len(self._change_by_key)
 
-    def put_all(self, row_by_key: Mapping[str, Row]) -> bool:
+    def replace_all(self, row_by_key: Mapping[str, Row]) -> bool:
         """Take the rows that there are now; tell whether any changed."""
         before = self.version
         for key, row in row_by_key.items():
@@ -47,7 +47,7 @@
                 self._put(key, None)
         return self.version != before
 
-    def take(self, changes: Iterable[RowChange], version: int) -> list[str]:
+    def apply(self, changes: Iterable[RowChange], version: int) -> list[str]:
         """Take changes told by another holder, up to a version; give the keys that changed."""
         changed = []
         for change in changes:
@@ -58,7 +58,7 @@
         self.version = max(self.version, version)
         return changed
 
-    def since(self, version: int) -> list[RowChange]:
+    def changes_since(self, version: int) -> list[RowChange]:
         """Give what changed after a version, in the order of the changes."""
         if version == self.version:
             return []
@@ -79,7 +79,7 @@
         self._change_by_key[change.key] = change
 
 
-def change_of(row: object) -> RowChange:
+def change_from_row(row: object) -> RowChange:
     """Read the change of a row. Raises MessageError."""
     try:
         version, key, content = row
--- a/egretstack/membership/__init__.py
+++ b/egretstack/membership/__init__.py
@@ -1,7 +1,7 @@
 """Which instances live and which runners leave: heartbeats to a few peers, and the list merged."""
 
 from egretstack.membership._choice import (
-    ENTRIES_ANSWERED,
+    ENTRIES_PER_ANSWER,
     MAX_REPORTS,
     NearbyReports,
     ReportChooser,
@@ -10,34 +10,34 @@
 )
 from egretstack.membership._messages import Heartbeat, HeartbeatAnswer
 from egretstack.membership._reading import ReadingPlan
-from egretstack.membership._report_turns import ReportTurns
+from egretstack.membership._report_turns import ReportSchedule
 from egretstack.membership._rows import InstanceState, RowError
 from egretstack.membership._runner_watch import RunnerWatch
 from egretstack.membership._state import (
     ANSWER_TIMEOUT_S,
     HEARTBEAT_S,
     TICK_S,
-    Ask,
+    HeartbeatRequest,
     MembershipState,
 )
 from egretstack.membership._views import InstanceView
 
 __all__ = [
     "ANSWER_TIMEOUT_S",
-    "ENTRIES_ANSWERED",
+    "ENTRIES_PER_ANSWER",
     "HEARTBEAT_S",
     "MAX_REPORTS",
     "TICK_S",
-    "Ask",
     "Heartbeat",
     "HeartbeatAnswer",
+    "HeartbeatRequest",
     "InstanceState",
     "InstanceView",
     "MembershipState",
     "NearbyReports",
     "ReadingPlan",
     "ReportChooser",
-    "ReportTurns",
+    "ReportSchedule",
     "RowError",
     "RunnerWatch",
     "entries_for",
--- a/egretstack/membership/_choice.py
+++ b/egretstack/membership/_choice.py
@@ -8,7 +8,7 @@
 from egretstack.objectapi import Member
 from egretstack.policy import RunnerInfo
 
-ENTRIES_ANSWERED = 5
+ENTRIES_PER_ANSWER = 5
 FROM_OTHER_ZONES = 2
 """Places kept for other availability zones: a caller that knew only its own would have nowhere
 to go for as long as it keeps the answer, should that zone fail."""
@@ -39,7 +39,7 @@
     near = [member for member in ranked if member.zone == zone]
     far = [member for member in ranked if member.zone != zone]
     kept = min(FROM_OTHER_ZONES, len(far))
-    return (near[: ENTRIES_ANSWERED - kept] + far)[:ENTRIES_ANSWERED]
+    return (near[: ENTRIES_PER_ANSWER - kept] + far)[:ENTRIES_PER_ANSWER]
 
 
 class ReportChooser(ABC):
@@ -53,10 +53,10 @@
 class NearbyReports(ReportChooser):
     """Chooses a stable subset for each instance: every service in turn, own zone first."""
 
-    def __init__(self, instance: InstanceId, zone: ZoneName, most: int = MAX_REPORTS) -> None:
+    def __init__(self, instance: InstanceId, zone: ZoneName, limit: int = MAX_REPORTS) -> None:
         self._instance = instance
         self._zone = zone
-        self._most = most
+        self._most = limit
 
     def choose(self, runners: Iterable[RunnerInfo]) -> set[RunnerId]:
         """Choose among the runners that take work."""
--- a/egretstack/membership/_reading.py
+++ b/egretstack/membership/_reading.py
@@ -19,9 +19,9 @@
     offset_s: float
 
     @classmethod
-    def make(cls, least_s: float, members: int, rank: int, readers: int) -> "ReadingPlan":
+    def make(cls, min_period_s: float, members: int, rank: int, readers: int) -> "ReadingPlan":
         """Plan for a list of `members` rows that `readers` processes read, this one `rank`th."""
-        period_s = max(least_s, members * ROW_BYTES / READ_BYTES_PER_S)
+        period_s = max(min_period_s, members * ROW_BYTES / READ_BYTES_PER_S)
         return cls(period_s, period_s * rank / max(1, readers))
 
     def wait_s(self, epoch_s: float) -> float:
--- a/egretstack/membership/_report_turns.py
+++ b/egretstack/membership/_report_turns.py
@@ -16,7 +16,7 @@
 """How long after its first failure a runner is read out of turn; later it is read in its turn."""
 
 
-class ReportTurns:
+class ReportSchedule:
     """Shares a bounded rate of readings evenly among runners; doubtful ones are read first.
 
     Times are seconds on the runtime's clock. Over any longer time the readings stay below the
@@ -32,7 +32,7 @@
         self._urgent: dict[RunnerId, None] = {}
         self._failed_s: dict[RunnerId, float] = {}
 
-    def choose(self, runners: Iterable[RunnerId]) -> None:
+    def set_runners(self, runners: Iterable[RunnerId]) -> None:
         """Take turns among these runners; new ones come first, in a random order."""
         wanted = set(runners)
         for held in (self._read_s, self._urgent, self._failed_s):
@@ -42,23 +42,23 @@
         self._rng.shuffle(new)
         self._read_s |= dict.fromkeys(new, float("-inf"))
 
-    def doubt(self, runner: RunnerId) -> None:
+    def prioritize(self, runner: RunnerId) -> None:
         """Read a runner out of turn: something else than its report says that it is away."""
         if runner in self._read_s:
             self._urgent[runner] = None
 
-    def failed(self, now_s: float, runner: RunnerId) -> None:
+    def record_failure(self, now_s: float, runner: RunnerId) -> None:
         """Take note that a reading failed; the runner is read again soon, for some time."""
         if runner not in self._read_s:
             return
         if now_s - self._failed_s.setdefault(runner, now_s) < RETRIED_S:
             self._urgent[runner] = None
 
-    def succeeded(self, runner: RunnerId) -> None:
+    def record_success(self, runner: RunnerId) -> None:
         """Take note that a reading brought a report."""
         self._failed_s.pop(runner, None)
 
-    def take(self, now_s: float, busy: set[RunnerId]) -> RunnerId | None:
+    def pop_due(self, now_s: float, busy: set[RunnerId]) -> RunnerId | None:
         """Give the runner to read now, if one is due; not one of `busy`."""
         runner = self._next(now_s, busy)
         if runner is None or self._due_s(now_s, runner) > now_s:
--- a/egretstack/membership/_runner_watch.py
+++ b/egretstack/membership/_runner_watch.py
@@ -42,12 +42,12 @@
         """Give all runners that are listed, leaving ones too."""
         return [runner.info for runner in self._runner_by_id.values()]
 
-    def is_silent(self, runner_id: RunnerId) -> bool:
+    def is_unresponsive(self, runner_id: RunnerId) -> bool:
         """Tell whether the runner's reports cannot be read."""
         runner = self._runner_by_id.get(runner_id)
         return runner is not None and runner.silent
 
-    def listed(self, live_by_info: dict[RunnerInfo, bool]) -> list[WatchEvent]:
+    def on_list(self, live_by_info: dict[RunnerInfo, bool]) -> list[WatchEvent]:
         """Take the list with notices applied: runners, and whether each is live there."""
         events: list[WatchEvent] = []
         found = {info.id for info in live_by_info}
@@ -58,7 +58,7 @@
             events.extend(self._listed_one(info, live))
         return events
 
-    def reported(self, runner_id: RunnerId, leaving: bool) -> list[WatchEvent]:
+    def on_report(self, runner_id: RunnerId, leaving: bool) -> list[WatchEvent]:
         """Take a load report that was read."""
         runner = self._runner_by_id.get(runner_id)
         if runner is None:
@@ -69,7 +69,7 @@
         runner.says_leaving = leaving
         return _turned(runner, before)
 
-    def failed(self, now_s: float, runner_id: RunnerId) -> list[WatchEvent]:
+    def on_report_failed(self, now_s: float, runner_id: RunnerId) -> list[WatchEvent]:
         """Take note that a load report could not be read."""
         runner = self._runner_by_id.get(runner_id)
         if runner is None:
--- a/egretstack/membership/_state.py
+++ b/egretstack/membership/_state.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Ask:
+class HeartbeatRequest:
     """Send a heartbeat to a peer, and tell the state of the answer or that none came."""
 
     peer: Member
@@ -85,7 +85,7 @@
         return self._table.digest
 
     @property
-    def twin_alarms(self) -> int:
+    def duplicate_alarms(self) -> int:
         """Give how often it was found that another process goes by this instance's id."""
         return self._twin.alarms
 
@@ -119,12 +119,12 @@
         self._exchange.revision = revision
         self._asked_s.clear()
 
-    def listed(self, now_s: float, members: list[Member]) -> None:
+    def apply_list(self, now_s: float, members: list[Member]) -> None:
         """Take a reading of the platform's list at once."""
-        for _ in self.listing(now_s, members):
+        for _ in self.apply_list_steps(now_s, members):
             pass
 
-    def listing(self, now_s: float, members: list[Member]) -> Iterator[None]:
+    def apply_list_steps(self, now_s: float, members: list[Member]) -> Iterator[None]:
         """Take a reading step by step; other calls may come between, another reading may not."""
         self._detector.listed(now_s)
         self._agreement.listed(now_s)
@@ -145,7 +145,9 @@
         """Let everyone know that this instance is gone, from the next tick on."""
         self._declare(InstanceState.GONE)
 
-    def notice(self, now_s: float, runner: RunnerId, leaving: bool, for_good: bool) -> None:
+    def announce_runner(
+        self, now_s: float, runner: RunnerId, leaving: bool, for_good: bool
+    ) -> None:
         """Spread that a runner leaves, or takes work again.
 
         A notice that is not for good ends after `NOTICE_S` unless it is given again.
@@ -161,7 +163,7 @@
         self._table.put(RunnerNotice(runner, leaving, stamp, until))
         self._refresh()
 
-    def tick(self, now_s: float) -> list[Ask]:
+    def tick(self, now_s: float) -> list[HeartbeatRequest]:
         """Give the heartbeats that are due; call it every `TICK_S`."""
         if now_s - self._ticked_s > FREEZE_S:
             self._thaw(now_s)
@@ -177,19 +179,19 @@
         due += self._probe(now_s)
         return [self._ask(now_s, peer) for peer in dict.fromkeys(due) if peer in self._views]
 
-    def asked(self, now_s: float, peer: InstanceId, message: Heartbeat) -> HeartbeatAnswer:
+    def on_heartbeat(self, now_s: float, peer: InstanceId, message: Heartbeat) -> HeartbeatAnswer:
         """Take a peer's heartbeat and give the answer. Raises RowError."""
         self._detector.heard(now_s, peer)
         self._take(now_s, peer, message)
         return self._exchange.message(peer, HeartbeatAnswer)
 
-    def answered(self, now_s: float, peer: InstanceId, message: HeartbeatAnswer) -> None:
+    def on_answer(self, now_s: float, peer: InstanceId, message: HeartbeatAnswer) -> None:
         """Take a peer's answer. Raises RowError."""
         self._in_flight.discard(peer)
         self._detector.answered(now_s, peer)
         self._take(now_s, peer, message)
 
-    def missed(self, now_s: float, peer: InstanceId) -> None:
+    def on_timeout(self, now_s: float, peer: InstanceId) -> None:
         """Take note that a heartbeat got no answer in time."""
         self._in_flight.discard(peer)
         view = self._views.get(peer)
@@ -210,10 +212,10 @@
         well = self._detector.is_well(peer)
         return well and self._is_due(now_s, peer, TICK_S) and self._exchange.has_news(peer)
 
-    def _ask(self, now_s: float, peer: InstanceId) -> Ask:
+    def _ask(self, now_s: float, peer: InstanceId) -> HeartbeatRequest:
         self._in_flight.add(peer)
         self._asked_s[peer] = now_s
-        return Ask(self._views[peer].member, self._exchange.message(peer))
+        return HeartbeatRequest(self._views[peer].member, self._exchange.message(peer))
 
     def _probe(self, now_s: float) -> list[InstanceId]:
         """Ask after one instance that is gone: two halves of a fleet find each other so."""
--- a/egretstack/platform/_runners.py
+++ b/egretstack/platform/_runners.py
@@ -56,7 +56,7 @@
     Either all runners of a platform tell it or none does; an entry that lacks it among others
     that have it is not a runner's own.
     """
-    unborn = [runner for runner in runners if runner.incarnation.born_ms is None]
+    unborn = [runner for runner in runners if runner.incarnation.started_ms is None]
     return unborn if len(unborn) < len(runners) else []
 
 
--- a/egretstack/relay/_mover.py
+++ b/egretstack/relay/_mover.py
@@ -195,7 +195,7 @@
     def _is_leaving(self, source: Runner) -> bool:
         leaving = not self._tools.runners.is_ready(source.id)
         if leaving and self._leaving_since_s is None:
-            stopped_s = self._tools.runners.stopped_s(source.id)
+            stopped_s = self._tools.runners.stopped_since_s(source.id)
             self._leaving_since_s = trio.current_time() if stopped_s is None else stopped_s
         return leaving
 
--- a/egretstack/relay/_stream.py
+++ b/egretstack/relay/_stream.py
@@ -263,7 +263,7 @@
 
     def _left_before(self, runner: Runner) -> bool:
         """Tell whether a runner was known to leave when the request came."""
-        stopped_s = self._tools.runners.stopped_s(runner.id)
+        stopped_s = self._tools.runners.stopped_since_s(runner.id)
         is_leaving = self._tools.runners.is_leaving(runner.id)
         return is_leaving and stopped_s is not None and stopped_s < self._task.began_s
 
@@ -300,7 +300,7 @@
         elif self._leaving_since_s is None:
             # A first token may come late in the notice. Counted from there the copy was tried when
             # 0.3 s were left, it was not whole yet, and there was no time for another.
-            stopped_s = self._tools.runners.stopped_s(self._run.runner)
+            stopped_s = self._tools.runners.stopped_since_s(self._run.runner)
             self._leaving_since_s = now_s if stopped_s is None else stopped_s
         if self._mover is not None:
             return False
--- a/egretstack/services/configuration_relay.py
+++ b/egretstack/services/configuration_relay.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from egretstack.fleet import give_packed
+from egretstack.fleet import send_packed
 from egretstack.http1 import open_listener
 from egretstack.kernel import Service
 from egretstack.platform import NodeSettings
@@ -24,4 +24,4 @@
             task_status.started()
 
     async def _give(self, stream: trio.SocketStream) -> None:
-        await give_packed(stream, self.kernel.get(StoreReading).packed_configuration())
+        await send_packed(stream, self.kernel.get(StoreReading).packed_configuration())
--- a/egretstack/services/crash_guard.py
+++ b/egretstack/services/crash_guard.py
@@ -128,7 +128,7 @@
         return unsuspected
 
     def _is_leaving(self, runner: RunnerId) -> bool:
-        stopped_s = self._port.runners.stopped_s(runner)
+        stopped_s = self._port.runners.stopped_since_s(runner)
         return stopped_s is not None and trio.current_time() - stopped_s > NOTICE_S
 
     async def _probe(self, runner: Runner) -> None:
@@ -141,7 +141,7 @@
                 broken.judged.set()
             await trio.sleep(PROBE_AGAIN_S)
             word = await self._ask(runner)
-        if word is _Word.UNKNOWN and self._port.runners.stopped_s(runner.id) is not None:
+        if word is _Word.UNKNOWN and self._port.runners.stopped_since_s(runner.id) is not None:
             word = _Word.ENDED  # Its entry is gone too.
         for broken in self._broken_by_runner.pop(runner.id):
             self._judge(runner.id, broken, ended=word is _Word.ENDED)
--- a/egretstack/services/crash_list.py
+++ b/egretstack/services/crash_list.py
@@ -8,7 +8,7 @@
 
 from egretstack.crashes import CrashRecord, record_of, record_row
 from egretstack.events import Event, log
-from egretstack.fleet import StoreSight
+from egretstack.fleet import StoreReachability
 from egretstack.ids import ContentId
 from egretstack.kernel import Kernel
 from egretstack.messages import MessageError
@@ -48,12 +48,12 @@
         self._changed.set()
 
     def _is_told(self) -> bool:
-        return self._port.fleet.is_led(trio.current_time())
+        return self._port.fleet.has_live_home(trio.current_time())
 
     def _may_try(self) -> bool:
         """Leave it to the list of runners to find out when the store is back."""
         sight = self._port.fleet.own.store
-        return self._port.is_home() and sight is not StoreSight.AWAY
+        return self._port.is_home() and sight is not StoreReachability.UNREACHABLE
 
     async def _read(self) -> None:
         store = self._reading.store
--- a/egretstack/services/engine_placing.py
+++ b/egretstack/services/engine_placing.py
@@ -16,8 +16,8 @@
     PlaceAnswer,
     PlaceAsk,
     PlaceDrop,
-    rows_of,
-    runner_of,
+    parse_rows,
+    runner_from_row,
 )
 from egretstack.ids import RunnerId
 from egretstack.kernel import Kernel, Service
@@ -110,7 +110,7 @@
         self, work: Work, engine: EnginePlan, left_s: float
     ) -> Placement | _NoPlace:
         """Ask for a place once, with `left_s` left to wait. Raises RequestFailed."""
-        if self._port.runners.is_barred(work.service, work.zones):
+        if self._port.runners.has_only_evacuated(work.service, work.zones):
             raise barred()
         rested_s = self._rested_after_s(work)
         if rested_s > 0.0:
@@ -273,8 +273,8 @@
         An instance that is cut off from the home's news and not from its answers would find none of
         the engines offered to it: one refused a generation so while 16 of them were free.
         """
-        for runner in rows_of(answer.runners, runner_of):
-            if self._port.runners.introduce(runner):
+        for runner in parse_rows(answer.runners, runner_from_row):
+            if self._port.runners.register(runner):
                 log(Event.RUNNER_INTRODUCED, runner=runner.id, request=answer.attempt)
         return _placement(answer)
 
--- a/egretstack/services/engine_reports.py
+++ b/egretstack/services/engine_reports.py
@@ -9,7 +9,7 @@
 import trio
 
 from egretstack.events import Event, log
-from egretstack.fleet import Runner, RunnerState, Silence
+from egretstack.fleet import Runner, RunnerState, UnansweredQueries
 from egretstack.http1 import ConnectFailed, ConnectionPool, UpstreamBroken, exchange
 from egretstack.ids import RunnerId
 from egretstack.kernel import Kernel, Service
@@ -40,7 +40,7 @@
         self._port = kernel.get(FleetPort)
         self._store = kernel.get(StoreReading)
         self._pool = ConnectionPool(max_idle=1)
-        self._silence = Silence()
+        self._silence = UnansweredQueries()
         self._asked_s = float("-inf")
         self._takers: list[Callable[[RunnerId, RunnerReport], None]] = []
 
@@ -55,7 +55,7 @@
         """
         engines = self._engines()
         if self._port.is_home() and any(one.id == runner for one in engines):
-            self._silence.ended(runner)
+            self._silence.record_ended(runner)
             self._tell_silent(engines)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
@@ -92,21 +92,21 @@
         ]
 
     def _tell_silent(self, engines: list[Runner]) -> None:
-        silent = self._silence.silent({runner.id for runner in engines})
-        if silent != self._port.runners.silent:
+        silent = self._silence.unresponsive({runner.id for runner in engines})
+        if silent != self._port.runners.unresponsive:
             log(Event.RUNNERS_SILENT, runners=",".join(sorted(silent)))
-            self._port.runners.silent = silent
+            self._port.runners.unresponsive = silent
             self._port.tell_soon()
 
     async def _ask(self, runner: Runner) -> None:
         report = await self._report(runner)
         if report is None:
-            self._silence.missed(runner.id)
+            self._silence.record_miss(runner.id)
             return
-        if report.born_ms not in (None, runner.incarnation.born_ms):
+        if report.born_ms not in (None, runner.incarnation.started_ms):
             self._port.runner_born(runner.id, report.born_ms)
             return
-        self._silence.answered(runner.id)
+        self._silence.record_answer(runner.id)
         for taker in self._takers:
             taker(runner.id, report)
         if report.leaving or report.leaves_in_s is not None:
--- a/egretstack/services/evacuation_list.py
+++ b/egretstack/services/evacuation_list.py
@@ -7,7 +7,7 @@
 import trio
 
 from egretstack.events import Event, log
-from egretstack.fleet import StoreSight
+from egretstack.fleet import StoreReachability
 from egretstack.kernel import Kernel
 from egretstack.platform import Change, EvacuationEntries, ObjectKind
 from egretstack.services.relay_metrics import RelayMetrics
@@ -55,7 +55,9 @@
         try, those that the store answers first would all take the home's place for a moment.
         """
         sight = self._port.fleet.own.store
-        return sight is StoreSight.READS or (self._port.is_home() and sight is StoreSight.UNKNOWN)
+        return sight is StoreReachability.REACHABLE or (
+            self._port.is_home() and sight is StoreReachability.UNKNOWN
+        )
 
     async def _read(self) -> None:
         store = self._reading.store
--- a/egretstack/services/fleet_news.py
+++ b/egretstack/services/fleet_news.py
@@ -14,22 +14,22 @@
 from egretstack.fleet import (
     REPEAT_AFTER_S,
     REPORT_PERIOD_S,
+    ApplyResult,
     FleetLoads,
     FleetNews,
     FleetView,
-    HeldNews,
+    HeldVersion,
     InstanceReport,
     KnownInstance,
-    NewsKeeper,
-    NewsPart,
     RunnerState,
-    Taken,
+    UpdatePart,
+    UpdateReplica,
+    broadcast_instance_row,
     checked_limit,
-    instance_of,
+    instance_from_row,
     instance_row,
-    runner_of,
+    runner_from_row,
     runner_row,
-    told_instance_row,
 )
 from egretstack.ids import ContentId, InstanceId, RunnerId, ZoneName
 from egretstack.kernel import Kernel, Service
@@ -78,7 +78,7 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self._port = kernel.get(FleetPort)
-        self._keeper = NewsKeeper(lambda: kernel.rng.getrandbits(EPOCH_BITS) or 1)
+        self._keeper = UpdateReplica(lambda: kernel.rng.getrandbits(EPOCH_BITS) or 1)
         self._as_of = _AsOf(0, float("-inf"), 0, float("-inf"))
         self._told_s = float("-inf")
         self._loads_s = float("-inf")
@@ -120,15 +120,15 @@
             self._hand_over(now_s)
             return
         teller = self._keeper.lead()
-        others = self._port.fleet.others_heard(now_s)
-        teller.forget({known.instance.id for known in others})
+        others = self._port.fleet.recently_reported(now_s)
+        teller.retain({known.instance.id for known in others})
         before = teller.rows.version
         changed = self._update(others)
         if changed or now_s - self._told_s >= REPORT_PERIOD_S / 2:
             self._told_s = now_s
             self._send_all(now_s, others)
         if changed and self._is_urgent(before):
-            teller.urge(before)
+            teller.mark_urgent(before)
             self._urged.set()
         if now_s - self._loads_s >= LOADS_PERIOD_S:
             self._loads_s = now_s
@@ -144,14 +144,16 @@
         self._as_of = _AsOf(
             runners.revision, runners.read_s, evacuations.revision, evacuations.read_s
         )
-        return self._keeper.lead().update(self._rows(others))
+        return self._keeper.lead().replace_rows(self._rows(others))
 
     def _is_urgent(self, before: int) -> bool:
         """Tell whether runners may get less work since a version, or others are suspected."""
-        changes = self._keeper.lead().rows.since(before)
+        changes = self._keeper.lead().rows.changes_since(before)
         rows = [one.row for one in changes if one.key[0] == _RUNNER]
         ready = RunnerState.READY
-        if any(row is None or row[-1] or runner_of(row[:-1]).state is not ready for row in rows):
+        if any(
+            row is None or row[-1] or runner_from_row(row[:-1]).state is not ready for row in rows
+        ):
             return True
         return any(one.row is not None for one in changes if one.key[0] in (_ZONE, _CRASH))
 
@@ -162,12 +164,14 @@
             await trio.sleep(REPEAT_AFTER_S)
             self._urged = trio.Event()
             now_s = trio.current_time()
-            teller = self._keeper.teller
+            teller = self._keeper.publisher
             if teller is None or not self._port.is_home():
                 continue
-            others = self._port.fleet.others_heard(now_s)
-            self._send_parts(now_s, [(one, teller.repeats_for(one.instance.id)) for one in others])
-            teller.repeated()
+            others = self._port.fleet.recently_reported(now_s)
+            self._send_parts(
+                now_s, [(one, teller.urgent_parts_for(one.instance.id)) for one in others]
+            )
+            teller.urgent_repeated()
 
     def _hand_over(self, now_s: float) -> None:
         """Point the others to the home that follows this one, a few times.
@@ -175,17 +179,17 @@
         They hear this instance alone: of a home that is no more because it leaves, or does not
         reach the store, they would hear nothing until they took it for silent.
         """
-        if self._keeper.teller is not None:
+        if self._keeper.publisher is not None:
             self._keeper.follow()
             self._hand_overs = HAND_OVERS
         if not self._hand_overs:
             return
         self._hand_overs -= 1
         fleet = self._port.fleet
-        home = fleet.record(fleet.home(now_s))
+        home = fleet.last_known(fleet.home(now_s))
         rows = [instance_row(one) for one in (fleet.own, home) if one is not None]
         view = encode(FleetView(rows))
-        for known in fleet.others_heard(now_s):
+        for known in fleet.recently_reported(now_s):
             self._port.send_encoded(known.instance.peer_address, view)
 
     def _rows(self, others: list[KnownInstance]) -> dict[str, list]:
@@ -203,11 +207,11 @@
         watchers = self._port.fleet.watchers(trio.current_time())
         for known in (self._port.fleet.own, *others):
             name = known.instance.id
-            rows[f"{_INSTANCE}{name}"] = told_instance_row(known, watches=name in watchers)
+            rows[f"{_INSTANCE}{name}"] = broadcast_instance_row(known, watches=name in watchers)
         return rows
 
     def _marks(self, runner: RunnerId) -> int:
-        silent = _SILENT if runner in self._port.runners.silent else 0
+        silent = _SILENT if runner in self._port.runners.unresponsive else 0
         return silent | (_SUSPECT if runner in self._port.runners.suspects else 0)
 
     def _send_all(self, now_s: float, others: list[KnownInstance]) -> None:
@@ -216,11 +220,11 @@
         self._send_parts(now_s, [(one, teller.parts_for(now_s, one.instance.id)) for one in others])
 
     def _send_parts(
-        self, now_s: float, parts_by_instance: list[tuple[KnownInstance, list[NewsPart]]]
+        self, now_s: float, parts_by_instance: list[tuple[KnownInstance, list[UpdatePart]]]
     ) -> None:
         """Send parts; what several instances lack alike is put together once."""
         shape = self._news(now_s)
-        encoded_by_part: dict[NewsPart, bytes] = {}
+        encoded_by_part: dict[UpdatePart, bytes] = {}
         for known, parts in parts_by_instance:
             for part in parts:
                 data = encoded_by_part.get(part)
@@ -267,29 +271,29 @@
             self._port.send_encoded(known.instance.peer_address, data)
 
     def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
-        teller = self._keeper.teller
+        teller = self._keeper.publisher
         if teller is None or not self._port.is_home():
             return
         now_s = trio.current_time()
         held, missed = _held_of(report.held)
-        teller.note_held(instance, held, missed=missed)
-        if teller.lags(now_s, instance):
-            known = self._port.fleet.record(instance)
+        teller.record_held(instance, held, missed=missed)
+        if teller.is_behind(now_s, instance):
+            known = self._port.fleet.last_known(instance)
             if known is not None:
                 self._send_all(now_s, [known])
 
     def _take(self, news: Message, sender: tuple[str, int]) -> None:
         now_s = trio.current_time()
-        home = instance_of(news.home)
-        self._port.fleet.met(now_s, home)
+        home = instance_from_row(news.home)
+        self._port.fleet.record_home(now_s, home)
         if self._port.fleet.home(now_s) != home.instance.id:
             return
         holders = [InstanceId(str(one)) for one in news.config_holders]
-        self._port.fleet.told_configuration(news.config_version, holders)
-        taken = self._keeper.follow().take(news)
-        if taken is Taken.GAP:
+        self._port.fleet.record_newest_config(news.config_version, holders)
+        taken = self._keeper.follow().apply(news)
+        if taken is ApplyResult.GAP:
             self._miss(now_s, home.instance.id, news)
-        elif taken is Taken.WHOLE:
+        elif taken is ApplyResult.WHOLE:
             self._missed_s = None
             self._use(now_s, home.instance.id, news)
 
@@ -307,9 +311,11 @@
         changed_keys = self._keeper.follow().pop_changed()
         kinds = {key[0] for key in changed_keys}
         if _INSTANCE in kinds:
-            self._port.fleet.told(now_s, home, [instance_of(row) for row in self._of(_INSTANCE)])
+            self._port.fleet.record_live_instances(
+                now_s, home, [instance_from_row(row) for row in self._of(_INSTANCE)]
+            )
         else:
-            self._port.fleet.still_told(now_s, home)
+            self._port.fleet.record_home_alive(now_s, home)
         self._use_crashes(now_s, changed_keys)
         if _LIMIT in kinds or self._port.limits.limited():
             self._port.take_limits(self._told_limits())
@@ -317,10 +323,10 @@
         read_s = now_s - news.runners_age_ms / 1000
         table = self._port.runners
         changed = _RUNNER in kinds or table.revision != self._table_revision
-        if changed or table.misses_any():
+        if changed or table.has_missing():
             self._take_runners(news.runners_revision, read_s)
         else:
-            table.still_holds(news.runners_revision, read_s)
+            table.record_unchanged(news.runners_revision, read_s)
         was_taken = table.revision == news.runners_revision
         self._table_revision = table.revision if was_taken else None
 
@@ -352,10 +358,10 @@
     def _take_runners(self, revision: int, read_s: float) -> None:
         table = self._port.runners
         rows = self._of(_RUNNER)
-        listed = [runner_of(row[:-1]) for row in rows]
+        listed = [runner_from_row(row[:-1]) for row in rows]
         marks_by_id = {one.id: _marks_of(row) for one, row in zip(listed, rows, strict=True)}
         self._port.take_runners(listed, revision, read_s, by_home=True)
-        table.silent = frozenset(one for one, it in marks_by_id.items() if it & _SILENT)
+        table.unresponsive = frozenset(one for one, it in marks_by_id.items() if it & _SILENT)
         table.suspects = frozenset(one for one, it in marks_by_id.items() if it & _SUSPECT)
 
 
@@ -377,10 +383,10 @@
     return checked_limit(row[0])
 
 
-def _held_of(row: list) -> tuple[HeldNews, bool]:
+def _held_of(row: list) -> tuple[HeldVersion, bool]:
     """Read what a report tells of the news that its sender holds. Raises MessageError."""
     try:
         epoch, version, missed = row
-        return HeldNews(int(epoch), int(version)), bool(missed)
+        return HeldVersion(int(epoch), int(version)), bool(missed)
     except (TypeError, ValueError) as error:
         raise MessageError(f"not a version of news: {error}") from error
--- a/egretstack/services/fleet_port.py
+++ b/egretstack/services/fleet_port.py
@@ -15,7 +15,7 @@
     Evacuations,
     Fleet,
     FleetView,
-    HeldNews,
+    HeldVersion,
     Instance,
     InstanceReport,
     InstanceState,
@@ -24,10 +24,10 @@
     RunnerLimits,
     RunnerState,
     RunnerTable,
-    StoreSight,
-    instance_of,
+    StoreReachability,
+    instance_from_row,
     instance_row,
-    rows_of,
+    parse_rows,
 )
 from egretstack.ids import ContentId, InstanceId, RunnerId, ZoneName
 from egretstack.kernel import Kernel, Service
@@ -64,7 +64,9 @@
             strength=round(log2(max(1.0, node.link_mbps))),
         )
         incarnation = kernel.rng.getrandbits(INCARNATION_BITS)
-        known = KnownInstance(own, incarnation, InstanceState.STARTING, StoreSight.UNKNOWN, 0)
+        known = KnownInstance(
+            own, incarnation, InstanceState.STARTING, StoreReachability.UNKNOWN, 0
+        )
         self.fleet = Fleet(known, trio.current_time())
         self.runners = RunnerTable()
         self.evacuations = Evacuations()
@@ -72,7 +74,7 @@
         self.limits = RunnerLimits()
         self.runs: Callable[[], list] = list
         """Gives the rows of the runs of this instance."""
-        self.held: Callable[[], HeldNews] = HeldNews
+        self.held: Callable[[], HeldVersion] = HeldVersion
         """Gives what this instance holds of the home's news."""
         self.missed: Callable[[], bool] = bool
         """Tells whether some of it was lost."""
@@ -174,13 +176,13 @@
 
     def greet_some(self) -> None:
         """Report to a few instances that are not heard; one of them knows the home."""
-        unheard = self.fleet.unheard(trio.current_time())
+        unheard = self.fleet.not_live(trio.current_time())
         some = self.kernel.rng.sample(unheard, min(MOST_GREETED, len(unheard)))
         self._greet_all(some)
 
     def greet_unheard(self) -> None:
         """Report to all instances that are not heard, as the home: they follow another one."""
-        self._greet_all(self.fleet.unheard(trio.current_time()))
+        self._greet_all(self.fleet.not_live(trio.current_time()))
 
     def _greet_all(self, instances: list[Instance]) -> None:
         report = self._own_report()
@@ -235,9 +237,9 @@
                 log(Event.PEER_REFUSED, sender=sender[0], error=str(error))
 
     def _take_report(self, report: InstanceReport, sender: tuple[str, int]) -> None:
-        known = instance_of(report.sender)
+        known = instance_from_row(report.sender)
         now_s = trio.current_time()
-        self.fleet.heard(now_s, known)
+        self.fleet.record_report(now_s, known)
         for taker in self._report_takers:
             taker(known.instance.id, report)
         home = self.fleet.home(now_s)
@@ -248,7 +250,7 @@
     def _take_view(self, view: FleetView, sender: tuple[str, int]) -> None:
         now_s = trio.current_time()
         before = self.fleet.home(now_s)
-        self.fleet.pointed(now_s, rows_of(view.instances, instance_of))
+        self.fleet.record_referral(now_s, parse_rows(view.instances, instance_from_row))
         if self.fleet.home(now_s) != before:
             self.tell_soon()
 
@@ -257,7 +259,7 @@
     ) -> None:
         """Take a reading of the list of runners, by this instance or by the home."""
         now_s = trio.current_time()
-        stopped = self.runners.take(now_s, runners, revision, read_s, by_home=by_home)
+        stopped = self.runners.apply_reading(now_s, runners, revision, read_s, from_home=by_home)
         for runner in stopped:
             log(Event.RUNNER_LEAVES, runner=runner.id, service=runner.service, revision=revision)
         self._tell_gone(stopped)
@@ -266,11 +268,11 @@
 
     def take_evacuations(self, zones: frozenset[ZoneName], revision: int, read_s: float) -> None:
         """Take a reading of the evacuated zones, by this instance or by the home."""
-        change = self.evacuations.take(zones, revision, read_s)
+        change = self.evacuations.apply_reading(zones, revision, read_s)
         if change is None:
             return
         now_s = trio.current_time()
-        self.runners.evacuate(now_s, self.evacuations.zones)
+        self.runners.set_evacuated(now_s, self.evacuations.zones)
         age_ms = round(self.evacuations.age_s(now_s) * 1000)
         for zone in sorted(change.begun):
             log(Event.ZONE_EVACUATED, zone=zone, revision=revision, age_ms=age_ms)
@@ -285,18 +287,18 @@
 
     def take_limits(self, per_s_by_id: Mapping[RunnerId, float]) -> None:
         """Take all limits of runners that the home knows of."""
-        for runner in self.limits.told_all(trio.current_time(), per_s_by_id):
+        for runner in self.limits.apply_home_limits(trio.current_time(), per_s_by_id):
             self._limit_changed(runner)
 
     def hear_limit(self, runner: RunnerId, per_s: float | None, sent_s: float) -> None:
         """Take what an answer to a request sent at `sent_s` says of a runner's limit."""
-        if self.limits.heard(trio.current_time(), runner, per_s, sent_s):
+        if self.limits.record_answer(trio.current_time(), runner, per_s, sent_s):
             self._limit_changed(runner)
 
     def take_limit(self, runner: RunnerId, per_s: float | None, age_s: float) -> None:
         """Take another instance's word of what a runner said of its limit."""
         now_s = trio.current_time()
-        if self.limits.told(now_s, runner, per_s, now_s - age_s):
+        if self.limits.record_reported(now_s, runner, per_s, now_s - age_s):
             self._limit_changed(runner)
 
     def _limit_changed(self, runner: RunnerId) -> None:
@@ -355,7 +357,7 @@
 
     def runner_born(self, runner: RunnerId, born_ms: int) -> None:
         """Take a runner's own word of when it started."""
-        gone = self.runners.started(runner, born_ms)
+        gone = self.runners.record_start(runner, born_ms)
         if gone is None:
             return
         log(Event.RUNNER_STARTED_AGAIN, runner=runner, born_ms=born_ms)
@@ -364,7 +366,7 @@
 
     def runner_back(self, runner: RunnerId) -> None:
         """Take it that a runner whose entry came back answers for itself."""
-        if self.runners.confirm(runner):
+        if self.runners.confirm_alive(runner):
             log(Event.RUNNER_BACK, runner=runner, revision=self.runners.revision)
             self.tell_soon()
 
@@ -380,6 +382,6 @@
 
     def notice(self, runner: RunnerId) -> None:
         """Take a runner's own word that it leaves."""
-        if self.runners.notice(trio.current_time(), runner):
+        if self.runners.record_leaving(trio.current_time(), runner):
             log(Event.RUNNER_LEAVES, runner=runner, by="itself")
             self.tell_soon()
--- a/egretstack/services/instance_listing.py
+++ b/egretstack/services/instance_listing.py
@@ -7,7 +7,7 @@
 import trio
 
 from egretstack.events import Event, log
-from egretstack.fleet import Instance, InstanceState, KnownInstance, StoreSight
+from egretstack.fleet import Instance, InstanceState, KnownInstance, StoreReachability
 from egretstack.ids import InstanceId, ZoneName
 from egretstack.kernel import Kernel, Service
 from egretstack.platform import ObjectKind, RevisionConflict, StoreAway, StoredObject, is_address
@@ -54,7 +54,7 @@
                 listed = [one for stored in listing.objects if (one := _listed(stored)) is not None]
                 if len(listed) < len(listing.objects):
                     log(Event.INSTANCE_UNREADABLE, count=len(listing.objects) - len(listed))
-                self._port.fleet.listed(trio.current_time(), listed)
+                self._port.fleet.add_listed(trio.current_time(), listed)
                 if self._port.is_home():
                     self._port.greet_unheard()
                 else:
@@ -67,12 +67,12 @@
 
     async def _until_unled(self) -> None:
         """Wait until no other instance was heard to be the home for a while."""
-        if not self._port.has_seeds() and not self._port.fleet.known():
+        if not self._port.has_seeds() and not self._port.fleet.known_instances():
             return  # The first of a fleet waits for nobody.
         unled_since_s = trio.current_time()
         while trio.current_time() - unled_since_s < UNLED_S:
             await trio.sleep(LOOK_S)
-            if self._port.fleet.is_led(trio.current_time()):
+            if self._port.fleet.has_live_home(trio.current_time()):
                 unled_since_s = trio.current_time()
 
     def _away_pause_s(self) -> float:
@@ -118,4 +118,4 @@
         peer,
         strength if isinstance(strength, int) else 0,
     )
-    return KnownInstance(instance, 0, InstanceState.STARTING, StoreSight.UNKNOWN, 0)
+    return KnownInstance(instance, 0, InstanceState.STARTING, StoreReachability.UNKNOWN, 0)
--- a/egretstack/services/membership.py
+++ b/egretstack/services/membership.py
@@ -13,9 +13,9 @@
 from egretstack.membership import (
     ANSWER_TIMEOUT_S,
     TICK_S,
-    Ask,
     Heartbeat,
     HeartbeatAnswer,
+    HeartbeatRequest,
     InstanceState,
     InstanceView,
     MembershipState,
@@ -129,31 +129,31 @@
         A notice that is not for good ends after some minutes unless it is given again.
         """
         log(Event.RUNNER_NOTICED, runner=runner, leaving=leaving)
-        self._state.notice(trio.current_time(), runner, leaving, for_good)
+        self._state.announce_runner(trio.current_time(), runner, leaving, for_good)
         self._publish()
 
     def _beat(self, nursery: trio.Nursery) -> None:
         for ask in self._state.tick(trio.current_time()):
             nursery.start_soon(self._ask, ask)
-        if self._told_twins != self._state.twin_alarms:
-            self._told_twins = self._state.twin_alarms
+        if self._told_twins != self._state.duplicate_alarms:
+            self._told_twins = self._state.duplicate_alarms
             log(Event.INSTANCE_ID_TWICE, instance=self.own)
         if self._state.wants_list(trio.current_time()):
             self.kernel.get(Instances).read_soon()
         self._publish()
 
-    async def _ask(self, ask: Ask) -> None:
+    async def _ask(self, ask: HeartbeatRequest) -> None:
         peer = InstanceId(ask.peer.id)
         try:
             answer = await self._send(ask)
-            self._state.answered(trio.current_time(), peer, answer)
+            self._state.on_answer(trio.current_time(), peer, answer)
         except (PeerGone, PeerRefused, RowError):
-            self._state.missed(trio.current_time(), peer)
+            self._state.on_timeout(trio.current_time(), peer)
             return
         self._hear_revision(peer, answer.revision)
         self._publish()
 
-    async def _send(self, ask: Ask) -> HeartbeatAnswer:
+    async def _send(self, ask: HeartbeatRequest) -> HeartbeatAnswer:
         port = ask.peer.ports.get(_port_name(self.kernel))
         if port is None:
             raise PeerGone("no peer port is listed")
@@ -171,7 +171,7 @@
 
     async def _answer(self, sender: InstanceId, message: Message) -> Message:
         try:
-            answer = self._state.asked(trio.current_time(), sender, message)
+            answer = self._state.on_heartbeat(trio.current_time(), sender, message)
         except RowError as error:
             raise PeerRefused(f"a row that cannot be read: {error}") from error
         self._hear_revision(sender, message.revision)
@@ -187,7 +187,7 @@
 
     async def _take_reading(self, members: list[Member]) -> None:
         async with self._listing:
-            for _ in self._state.listing(trio.current_time(), members):
+            for _ in self._state.apply_list_steps(trio.current_time(), members):
                 await trio.lowlevel.checkpoint()
         self._publish()
 
--- a/egretstack/services/relaying.py
+++ b/egretstack/services/relaying.py
@@ -91,7 +91,7 @@
 
     def _count_instances(self, now_s: float) -> None:
         """Bring up to date among how many instances what the fleet may do is split."""
-        others = self._port.fleet.known()
+        others = self._port.fleet.known_instances()
         self.tools.budget.instances = len(others) + 1
         self._split.others = tuple(one.id for one in others)
         self._split.heard = len(self._port.fleet.live(now_s)) - 1
@@ -112,7 +112,7 @@
         if request.time_left_s is not None:
             limit_s = min(limit_s, request.time_left_s)
         zones = self._zones(route, account)
-        if self._port.runners.is_barred(service.name, zones):
+        if self._port.runners.has_only_evacuated(service.name, zones):
             raise barred()
         task = Task(request, route, service, account, began_s, began_s + limit_s, zones)
         self._refuse_while_leaving(task)
--- a/egretstack/services/runner_returns.py
+++ b/egretstack/services/runner_returns.py
@@ -48,7 +48,7 @@
             resting = self._rests.resting(trio.current_time())
             returned = [
                 one
-                for one in self._port.runners.returned()
+                for one in self._port.runners.relisted()
                 if one.zone not in evacuated and one.id not in resting
             ]
             self._told_not_back &= {runner.id for runner in returned}
@@ -63,7 +63,7 @@
         health = await self._health(runner, plan.health_path)
         said = None if health is None else health.name
         if said == runner.incarnation.name:
-            self._port.runners.became_cold(trio.current_time(), runner.id, health.cold_s)
+            self._port.runners.record_cold(trio.current_time(), runner.id, health.cold_s)
             self._port.runner_back(runner.id)
         elif runner.id not in self._told_not_back:
             self._told_not_back.add(runner.id)
--- a/egretstack/services/runner_strikes.py
+++ b/egretstack/services/runner_strikes.py
@@ -3,7 +3,7 @@
 import trio
 
 from egretstack.events import Event, log
-from egretstack.fleet import InstanceReport, rows_of
+from egretstack.fleet import InstanceReport, parse_rows
 from egretstack.ids import InstanceId, RunnerId
 from egretstack.kernel import Kernel, Service
 from egretstack.placing import FleetStrikes, count_of, count_row
@@ -43,7 +43,7 @@
         return [count_row(one) for one in self._balancer.recent.counts(trio.current_time())]
 
     def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
-        counts = rows_of(report.answers, count_of)
+        counts = parse_rows(report.answers, count_of)
         self._strikes.reported(trio.current_time(), instance, counts)
         if self._port.is_home() and any(one.broke for one in counts):
             self._judge()
--- a/egretstack/services/runner_words.py
+++ b/egretstack/services/runner_words.py
@@ -3,7 +3,7 @@
 import trio
 
 from egretstack.events import Event, log
-from egretstack.fleet import InstanceReport, limit_of, rows_of
+from egretstack.fleet import InstanceReport, limit_from_row, parse_rows
 from egretstack.ids import InstanceId, RunnerId
 from egretstack.kernel import Kernel, Service
 from egretstack.messages import MessageError
@@ -38,7 +38,7 @@
         task_status.started()
         while True:
             await trio.sleep(FORGET_PERIOD_S)
-            self._port.limits.forget(self._port.runners.by_id)
+            self._port.limits.retain(self._port.runners.by_id)
             self._bounds.forget_gone()
 
     def heard(self, runner: RunnerId, answer: RunnerAnswer, sent_s: float) -> None:
@@ -56,8 +56,8 @@
 
     def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
         try:
-            limits = rows_of(report.limits, limit_of)
-            leaving = rows_of(report.leaving, lambda row: RunnerId(str(row)))
+            limits = parse_rows(report.limits, limit_from_row)
+            leaving = parse_rows(report.leaving, lambda row: RunnerId(str(row)))
         except MessageError as error:
             log(Event.PEER_REFUSED, sender=instance, error=str(error))
             return
--- a/egretstack/services/runners.py
+++ b/egretstack/services/runners.py
@@ -13,7 +13,7 @@
     MAX_REPORTS,
     NearbyReports,
     ReportChooser,
-    ReportTurns,
+    ReportSchedule,
     RunnerWatch,
 )
 from egretstack.objectapi import Member, MemberState
@@ -50,7 +50,7 @@
         self._unlisted_s: dict[RunnerId, float] = {}
         self._renewed_s: dict[RunnerId, float] = {}
         self._listeners: list[Callable[[PolicyEvent], None]] = []
-        self._turns = ReportTurns(
+        self._turns = ReportSchedule(
             settings.number("engines", "report_readings_per_s"),
             settings.number("engines", "report_period_s"),
             self._rng,
@@ -80,12 +80,12 @@
         """Ask the chooser again."""
         known = self._watch.known()
         chosen = sorted(self._chooser.choose(known) & {info.id for info in known})[:MAX_REPORTS]
-        self._turns.choose(chosen)
+        self._turns.set_runners(chosen)
         self._turns_changed.set()
 
     def doubt(self, runner_id: RunnerId) -> None:
         """Read a runner's report out of turn, after a refused connection or a broken stream."""
-        self._turns.doubt(runner_id)
+        self._turns.prioritize(runner_id)
         self._turns_changed.set()
 
     def engine(self, runner_id: RunnerId) -> EngineClient | None:
@@ -120,7 +120,7 @@
                 self._keep_client(member)
                 live_by_info[_info(member, spec)] = member.state is MemberState.LIVE
         self._drop_clients({info.id for info in live_by_info})
-        self._tell_all(self._watch.listed(live_by_info))
+        self._tell_all(self._watch.on_list(live_by_info))
         self.reconsider()
 
     def _keep_client(self, member: Member) -> None:
@@ -147,7 +147,7 @@
             while True:
                 self._turns_changed = trio.Event()
                 now_s = trio.current_time()
-                runner_id = self._turns.take(now_s, self._busy)
+                runner_id = self._turns.pop_due(now_s, self._busy)
                 if runner_id is not None:
                     self._busy.add(runner_id)
                     nursery.start_soon(self._read_report, runner_id)
@@ -162,11 +162,11 @@
             self._busy.discard(runner_id)
             self._turns_changed.set()
         if report is None:
-            self._turns.failed(trio.current_time(), runner_id)
+            self._turns.record_failure(trio.current_time(), runner_id)
             self._note_silence(runner_id)
             return
-        self._turns.succeeded(runner_id)
-        self._tell_all(self._watch.reported(runner_id, report.leaving))
+        self._turns.record_success(runner_id)
+        self._tell_all(self._watch.on_report(runner_id, report.leaving))
         self._spread(runner_id, report.leaving)
         self._tell(_reported(runner_id, report))
 
@@ -182,9 +182,9 @@
         return None
 
     def _note_silence(self, runner_id: RunnerId) -> None:
-        was_silent = self._watch.is_silent(runner_id)
-        self._tell_all(self._watch.failed(trio.current_time(), runner_id))
-        if self._watch.is_silent(runner_id) and not was_silent:
+        was_silent = self._watch.is_unresponsive(runner_id)
+        self._tell_all(self._watch.on_report_failed(trio.current_time(), runner_id))
+        if self._watch.is_unresponsive(runner_id) and not was_silent:
             log(Event.RUNNER_SILENT, runner=runner_id)
 
     def _spread(self, runner_id: RunnerId, leaving: bool) -> None:
--- a/egretstack/services/store_following.py
+++ b/egretstack/services/store_following.py
@@ -77,7 +77,7 @@
         That takes some tenths of a second. Where nobody reaches it, each instance tries on by
         itself, the fleet together no more often than its calls to the store may come.
         """
-        if not self._port.fleet.is_led(trio.current_time()):
+        if not self._port.fleet.has_live_home(trio.current_time()):
             return False
         live = len(self._port.fleet.live(trio.current_time()))
         await trio.sleep(self.kernel.rng.uniform(0, live * OWN_READING_SPREAD_S))
--- a/egretstack/services/store_reading.py
+++ b/egretstack/services/store_reading.py
@@ -11,7 +11,7 @@
 import trio
 
 from egretstack.events import Event, log
-from egretstack.fleet import Instance, StoreSight, StoreWatch, fetch_text, pack_text
+from egretstack.fleet import Instance, StoreReachability, StoreWatch, fetch_text, pack_text
 from egretstack.ids import ServiceName
 from egretstack.kernel import Kernel, Service
 from egretstack.platform import (
@@ -164,7 +164,7 @@
         if not self._port.has_seeds():
             return False
         now_s = trio.current_time()
-        wait_s = START_LED_S if self._port.fleet.is_led(now_s) else self._unled_wait_s
+        wait_s = START_LED_S if self._port.fleet.has_live_home(now_s) else self._unled_wait_s
         return now_s - self._started_s < wait_s and not self.is_informed()
 
     async def _may_be_told_soon(self) -> bool:
@@ -197,9 +197,9 @@
         """Fetch a newer configuration from a peer that has it."""
         while True:
             await trio.sleep(LOOK_S)
-            self._watch.pass_time(trio.current_time())
+            self._watch.expire(trio.current_time())
             self._tell_sight("")
-            holders = self._port.fleet.newest_config(trio.current_time())
+            holders = self._port.fleet.newer_config_holders(trio.current_time())
             if holders:
                 await self._fetch_from(self.kernel.rng.choice(holders).instance)
 
@@ -214,27 +214,27 @@
 
     def answered(self) -> None:
         """Note that the store answered a call."""
-        self._watch.answered(trio.current_time())
+        self._watch.record_answer(trio.current_time())
         self._tell_sight("")
 
     def away(self, error: StoreAway) -> None:
         """Note that the store did not answer a call."""
-        self._watch.failed(trio.current_time())
+        self._watch.record_failure(trio.current_time())
         self._tell_sight(str(error))
 
     def late(self) -> None:
         """Note that this home's list of runners is older than a runner's notice allows."""
-        self._watch.late()
+        self._watch.record_delay()
         self._tell_sight("the list of runners is old")
 
     def _tell_sight(self, error: str) -> None:
         """Tell the fleet if this instance reaches the store no more, or again."""
-        before, sight = self._port.fleet.own.store, self._watch.sight
+        before, sight = self._port.fleet.own.store, self._watch.reachability
         if sight is before:
             return
-        if sight is StoreSight.AWAY:
+        if sight is StoreReachability.UNREACHABLE:
             log(Event.STORE_AWAY, error=error)
-        elif before is StoreSight.AWAY and sight is StoreSight.READS:
+        elif before is StoreReachability.UNREACHABLE and sight is StoreReachability.REACHABLE:
             log(Event.STORE_BACK)
         self._port.describe(store=sight)
         self._port.tell_soon()
--- a/scripts/slopes_fleet.py
+++ b/scripts/slopes_fleet.py
@@ -14,21 +14,21 @@
     REPORT_PERIOD_S,
     Fleet,
     FleetNews,
-    HeldNews,
+    HeldVersion,
     Incarnation,
     InstanceReport,
     InstanceState,
     KnownInstance,
-    NewsTeller,
     Runner,
     RunnerState,
     RunnerTable,
-    StoreSight,
+    StoreReachability,
+    UpdatePublisher,
     VersionedRows,
-    instance_of,
+    broadcast_instance_row,
+    instance_from_row,
     instance_row,
     runner_row,
-    told_instance_row,
 )
 from egretstack.fleet import Instance as FleetInstance
 from egretstack.ids import InstanceId, RunnerName, ServiceName, ZoneName
@@ -90,7 +90,7 @@
         f"10.1.{number // 250}.{number % 250}:7200",
         200,
     )
-    return KnownInstance(instance, 1 << 52, InstanceState.READY, StoreSight.UNKNOWN, 123)
+    return KnownInstance(instance, 1 << 52, InstanceState.READY, StoreReachability.UNKNOWN, 123)
 
 
 def runner(number: int) -> Runner:
@@ -126,16 +126,16 @@
 def _rows(instances: int, engines: int) -> dict[str, list]:
     rows = {f"r{number}": [*runner_row(runner(number)), 0] for number in range(engines)}
     for number in range(instances):
-        rows[f"i{number}"] = told_instance_row(known(number), watches=number < 2)
+        rows[f"i{number}"] = broadcast_instance_row(known(number), watches=number < 2)
     return rows
 
 
 def _news_bytes(held: int, instances: int, engines: int) -> float:
     """Give the bytes of all that the home tells an instance that holds a version."""
-    teller = NewsTeller(lambda: 1 << 52, HeldNews(), VersionedRows())
-    teller.update(_rows(instances, engines))
+    teller = UpdatePublisher(lambda: 1 << 52, HeldVersion(), VersionedRows())
+    teller.replace_rows(_rows(instances, engines))
     name = InstanceId("e")
-    teller.note_held(name, HeldNews(teller.epoch, min(held, teller.rows.version)))
+    teller.record_held(name, HeldVersion(teller.epoch, min(held, teller.rows.version)))
     version = teller.rows.version
     holders = [f"edge-zone-{number}" for number in range(8)]
     empty = FleetNews(
@@ -148,7 +148,7 @@
     """Time for the home to take one report of an instance with two runs."""
     view = Fleet(known(0), 0.0)
     for number in range(1, instances):
-        view.heard(0.0, known(number))
+        view.record_report(0.0, known(number))
     placer = Placer(RunnerTable(), random.Random(1))
     data = [_report(number, _runs(2)) for number in range(1, instances)]
     step_s = REPORT_PERIOD_S / instances
@@ -158,8 +158,8 @@
         nonlocal now_s
         now_s += step_s
         report = decode(msgpack.unpackb(data[number % len(data)]))
-        sender = instance_of(report.sender)
-        view.heard(now_s, sender)
+        sender = instance_from_row(report.sender)
+        view.record_report(now_s, sender)
         placer.book.reported(sender.instance.id, [run_of(row) for row in report.runs])
         view.home(now_s)
 
@@ -169,7 +169,7 @@
 def _place_us(engines: int) -> float:
     """Time for the home to place one generation, with four runs on each engine."""
     table = RunnerTable()
-    table.take(0.0, [runner(number) for number in range(engines)], 1, 0.0)
+    table.apply_reading(0.0, [runner(number) for number in range(engines)], 1, 0.0)
     placer = Placer(table, random.Random(1))
     placer.book.reported(InstanceId("e"), _runs(RUNS_OF_ENGINE * engines, engines))
 
--- a/scripts/slopes_membership.py
+++ b/scripts/slopes_membership.py
@@ -74,7 +74,7 @@
     leaving_s, leaving_bytes = 0.0, 0.0
     for number in range(TRIES):
         _, before = _totals(fleet)
-        fleet.of(number).leave()
+        fleet.state_of(number).leave()
         took_s = _until_known(fleet, number, InstanceState.LEAVING)
         leaving_s = max(leaving_s, took_s)
         fleet.run(5 - took_s)
@@ -110,7 +110,7 @@
     listed = [instance(number) for number in range(size)]
     listed += [runner(number) for number in range(runners)]
     state = MembershipState(listed[0], 0.0, EPOCH_S, random.Random(1))
-    state.listed(0.0, listed)
+    state.apply_list(0.0, listed)
     changes = [_changed_us(state, number) for number in range(1, CHANGES + 1)]
     steps = _reading_us(state, [replace(listed[-1], state=MemberState.LEAVING), *listed[:-1]])
     return {
@@ -128,7 +128,7 @@
     notice = RunnerNotice(RunnerId(f"runner-{number}"), True, number, FOR_GOOD)
     message = Heartbeat(1, 0, 0, 0, number, 0, 0, [pack_row(notice)])
     began = time.perf_counter()
-    state.asked(1.0, InstanceId("entry-1"), message)
+    state.on_heartbeat(1.0, InstanceId("entry-1"), message)
     state.members()
     return (time.perf_counter() - began) * _US
 
@@ -136,7 +136,7 @@
 def _reading_us(state: MembershipState, members: list[Member]) -> list[float]:
     steps = []
     began = time.perf_counter()
-    for _ in state.listing(2.0, members):
+    for _ in state.apply_list_steps(2.0, members):
         steps.append((time.perf_counter() - began) * _US)
         began = time.perf_counter()
     state.members()
@@ -152,14 +152,14 @@
         state = fleet.start(listed[0], listed).state
         for number in range(1, size):
             other = MembershipState(listed[number], 0.0, EPOCH_S, fleet.rng)
-            state.asked(0.0, other.own, next(iter(_first(other, state))))
+            state.on_heartbeat(0.0, other.own, next(iter(_first(other, state))))
         return state
 
     return _traced_kb(build)
 
 
 def _first(sender: MembershipState, receiver: MembershipState):
-    sender.listed(0.0, [receiver.own_member])
+    sender.apply_list(0.0, [receiver.own_member])
     return [ask.message for ask in sender.tick(1.0)]
 
 
--- a/tests/fleet_fixtures.py
+++ b/tests/fleet_fixtures.py
@@ -7,7 +7,7 @@
     KnownInstance,
     Runner,
     RunnerState,
-    StoreSight,
+    StoreReachability,
 )
 from egretstack.ids import InstanceId, RunnerId, RunnerName, ServiceName, ZoneName
 from egretstack.placing import Work
@@ -27,7 +27,7 @@
 )
 
 
-def known(number, state=InstanceState.READY, *, reads_store=True, version=1, strength=0):
+def known_instance(number, state=InstanceState.READY, *, reads_store=True, version=1, strength=0):
     """Give an instance as others know it."""
     name = f"entry-{number}"
     instance = Instance(
@@ -37,7 +37,7 @@
         f"10.1.0.{number}:7200",
         strength,
     )
-    store = StoreSight.READS if reads_store else StoreSight.AWAY
+    store = StoreReachability.REACHABLE if reads_store else StoreReachability.UNREACHABLE
     return KnownInstance(instance, number, state, store, version)
 
 
@@ -49,21 +49,21 @@
     zone="leon-a",
     slots=24,
     cold_s=0.0,
-    born_ms=None,
+    started_ms=None,
     address=None,
-    back_at=0,
+    confirmed_at=0,
 ):
     """Give a runner."""
     address = address or f"10.2.0.{sum(name.encode()) % 250}:8442"
-    start = Incarnation(RunnerName(name), born_ms)
-    return Runner(start, service, address, ZoneName(zone), slots, state, cold_s, back_at)
+    start = Incarnation(RunnerName(name), started_ms)
+    return Runner(start, service, address, ZoneName(zone), slots, state, cold_s, confirmed_at)
 
 
-def work(
+def generation_request(
     attempt,
     *,
     prompt=3_000,
-    most=2_000,
+    max_output=2_000,
     hint=900,
     rank=0,
     patience_s=7.0,
@@ -76,4 +76,4 @@
     """Give a generation that wants an engine."""
     names = tuple(RunnerId(one) for one in excluded)
     terms = (patience_s, wait_s, prompt_id, names, account, zones)
-    return Work(attempt, ENGINES, prompt, most, hint, rank, *terms)
+    return Work(attempt, ENGINES, prompt, max_output, hint, rank, *terms)
--- a/tests/membership_fleet.py
+++ b/tests/membership_fleet.py
@@ -65,13 +65,13 @@
         """Start an instance that reads the list once."""
         rng = random.Random(self.rng.random())
         state = MembershipState(own, self.now_s, EPOCH_S + self.now_s, rng)
-        state.listed(self.now_s, listed)
+        state.apply_list(self.now_s, listed)
         node = Node(state)
         self.node_by_id[state.own] = node
         self._at(self.now_s + self.rng.random() * TICK_S, self._tick, node)
         return node
 
-    def of(self, number: int) -> MembershipState:
+    def state_of(self, number: int) -> MembershipState:
         """Give the state of one instance."""
         return self.node_by_id[InstanceId(f"entry-{number}")].state
 
@@ -81,7 +81,7 @@
 
     def read_list(self, number: int, listed: list[Member]) -> None:
         """Let one instance read the list."""
-        self.of(number).listed(self.now_s, listed)
+        self.state_of(number).apply_list(self.now_s, listed)
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
@@ -114,7 +114,7 @@
         if answerer is None or answerer.down or self._is_lost(node.state.own, target):
             self._at(self.now_s + ANSWER_TIMEOUT_S, self._miss, node, target)
             return
-        answer = answerer.state.asked(self.now_s, node.state.own, message)
+        answer = answerer.state.on_heartbeat(self.now_s, node.state.own, message)
         answer = self._sent(answerer, answer)
         if self._is_lost(target, node.state.own):
             self._at(self.now_s + ANSWER_TIMEOUT_S, self._miss, node, target)
@@ -126,7 +126,7 @@
             self._miss(node, peer)
             return
         try:
-            node.state.answered(self.now_s, peer, answer)
+            node.state.on_answer(self.now_s, peer, answer)
         except RowError as error:
             raise AssertionError("a row that this code packed") from error
 
@@ -134,7 +134,7 @@
         if node.down:
             self._at(self.now_s + TICK_S, self._miss, node, peer)
             return
-        node.state.missed(self.now_s, peer)
+        node.state.on_timeout(self.now_s, peer)
 
     def _is_lost(self, source: str, target: str) -> bool:
         return (source, target) in self.cuts or self.rng.random() < self.lost
--- a/tests/news_fixtures.py
+++ b/tests/news_fixtures.py
@@ -4,15 +4,15 @@
 
 from egretstack.fleet import (
     FleetNews,
-    HeldNews,
-    NewsTeller,
+    HeldVersion,
+    UpdatePublisher,
     VersionedRows,
+    broadcast_instance_row,
     instance_row,
     runner_row,
-    told_instance_row,
 )
 from egretstack.ids import InstanceId
-from tests.fleet_fixtures import known, runner
+from tests.fleet_fixtures import known_instance, runner
 
 OTHER = InstanceId("entry-1")
 INSTANCES = 195
@@ -22,15 +22,15 @@
 REPORT_S = 0.25
 
 
-def teller(epoch=7, held=None, rows=None):
+def publisher(epoch=7, held=None, rows=None):
     epochs = count(epoch)
-    return NewsTeller(lambda: next(epochs), held or HeldNews(), rows or VersionedRows())
+    return UpdatePublisher(lambda: next(epochs), held or HeldVersion(), rows or VersionedRows())
 
 
-def messages(home, part):
+def message_with(home, part):
     """Give a part as it goes out."""
     news = FleetNews(
-        home=instance_row(known(0)),
+        home=instance_row(known_instance(0)),
         epoch=home.epoch,
         continued_epoch=home.continued.epoch,
         continued_version=home.continued.version,
@@ -48,13 +48,13 @@
     return part.fill(news)
 
 
-def tell(home, follower):
+def deliver_all(home, follower):
     """Tell a follower all that it lacks, without a loss; give what became of the last part."""
     name = InstanceId(f"follower-{id(follower)}")
-    home.note_held(name, follower.held)
+    home.record_held(name, follower.held)
     for part in home.parts_for(0.0, name):
-        taken = follower.take(messages(home, part))
-    home.forget(set())
+        taken = follower.apply(message_with(home, part))
+    home.retain(set())
     return taken
 
 
@@ -65,5 +65,5 @@
         for name in map("i-{:010x}".format, range(runners))
     }
     for number in range(instances):
-        rows[f"i{number}"] = told_instance_row(known(number), watches=number < 2)
+        rows[f"i{number}"] = broadcast_instance_row(known_instance(number), watches=number < 2)
     return rows
--- a/tests/test_cold_ration.py
+++ b/tests/test_cold_ration.py
@@ -12,7 +12,7 @@
 from egretstack.routing import ColdPlan
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.store_reading import StoreReading
-from tests.fleet_fixtures import ENGINE, PLAIN, runner, work
+from tests.fleet_fixtures import ENGINE, PLAIN, generation_request, runner
 from tests.platform_site import BOUNDS, platform_site
 from tests.support import check, on_real_clock, tests_of
 
@@ -23,7 +23,7 @@
 
 def table_of(*runners):
     table = RunnerTable()
-    table.take(0.0, runners, 1, 0.0)
+    table.apply_reading(0.0, runners, 1, 0.0)
     return table
 
 
@@ -110,7 +110,7 @@
     table = table_of(one)
     check.assertTrue(table.is_cold(2.9, one.id, START_S))
     check.assertFalse(table.is_cold(3.1, one.id, START_S))
-    table.take(5.0, [replace(one, cold_s=2.0)], 2, 5.0)
+    table.apply_reading(5.0, [replace(one, cold_s=2.0)], 2, 5.0)
     check.assertTrue(table.is_cold(6.9, one.id, START_S))
     check.assertFalse(table.is_cold(7.1, one.id, START_S))
 
@@ -118,9 +118,9 @@
 def test_a_runner_that_came_back_tells_itself_how_long_it_is_cold():
     one = runner("a")
     table = table_of(one)
-    table.became_cold(1.0, one.id, 5.0)
+    table.record_cold(1.0, one.id, 5.0)
     check.assertTrue(table.is_cold(5.9, one.id, START_S))
-    table.became_cold(1.0, RunnerId("unknown"), 5.0)
+    table.record_cold(1.0, RunnerId("unknown"), 5.0)
     check.assertFalse(table.is_cold(1.0, RunnerId("unknown"), START_S))
 
 
@@ -131,7 +131,7 @@
     table = table_of(cold, warm)
     placer = Placer(table, random.Random(1), ration_of(table, per_s=3.0))
     placed = [
-        placer.place(0.0, work(f"w-{n}", prompt=200, hint=20), ENGINE, whole=True)
+        placer.place(0.0, generation_request(f"w-{n}", prompt=200, hint=20), ENGINE, whole=True)
         for n in range(20)
     ]
     check.assertTrue(all(isinstance(one, Placement) for one in placed))
@@ -144,7 +144,7 @@
     placer = Placer(table, random.Random(1), ration_of(table, per_s=2.0))
     got = []
     for step in range(30):
-        attempt = work(f"w-{step}", prompt=100, hint=20)
+        attempt = generation_request(f"w-{step}", prompt=100, hint=20)
         decided = placer.place(step * 0.1, attempt, ENGINE, whole=True)
         got.append(isinstance(decided, Placement))
     check.assertEqual(sum(got[:10]), 2)
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -18,7 +18,7 @@
 from egretstack.crashes._record import EARLY_S, EARLY_WEIGHT, LATE_WEIGHT, MAX_RUNNERS
 from egretstack.crashes._reports import REPEAT_S
 from egretstack.crashes._table import KEEP_S, KEEP_SINGLE_S, MAX_RECORDS
-from egretstack.fleet import Silence
+from egretstack.fleet import UnansweredQueries
 from egretstack.messages import MessageError
 from tests.support import check, tests_of
 
@@ -158,14 +158,14 @@
 
 
 def test_an_engine_that_was_found_ended_is_silent_until_it_answers():
-    silence = Silence()
-    silence.ended("a")
+    silence = UnansweredQueries()
+    silence.record_ended("a")
     asked = {"a", "b", "c"}
-    check.assertEqual(silence.silent(asked), {"a"})
-    silence.missed("a")
-    check.assertEqual(silence.silent(asked), {"a"})
-    silence.answered("a")
-    check.assertEqual(silence.silent(asked), frozenset())
+    check.assertEqual(silence.unresponsive(asked), {"a"})
+    silence.record_miss("a")
+    check.assertEqual(silence.unresponsive(asked), {"a"})
+    silence.record_answer("a")
+    check.assertEqual(silence.unresponsive(asked), frozenset())
 
 
 def test_bad_rows_are_refused():
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -5,7 +5,7 @@
 from egretstack.fleet import RunnerTable
 from egretstack.ids import InstanceId
 from egretstack.placing import Placer, Run
-from tests.fleet_fixtures import ENGINE, runner, work
+from tests.fleet_fixtures import ENGINE, generation_request, runner
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
@@ -26,7 +26,7 @@
 
     def __init__(self):
         table = RunnerTable()
-        table.take(0.0, [runner("a"), runner("b")], 1, 0.0)
+        table.apply_reading(0.0, [runner("a"), runner("b")], 1, 0.0)
         self.placer = Placer(table, random.Random(1))
         self.rng = random.Random(2)
         self.runs = {}
@@ -48,7 +48,10 @@
 
     def _ask(self, now_s, attempt, account):
         self.asked[account] = self.asked.get(account, 0) + 1
-        self.waiting[attempt] = (now_s, work(attempt, most=400, hint=300, account=account))
+        self.waiting[attempt] = (
+            now_s,
+            generation_request(attempt, max_output=400, hint=300, account=account),
+        )
 
     def _go_on(self, now_s):
         for attempt, (asked_s, wanted) in list(self.waiting.items()):
@@ -85,6 +88,9 @@
     one = Play()
     for number in range(8):
         one.placer.place(
-            0.0, work(f"w-{number}", account=f"account-{number % 3}"), ENGINE, whole=True
+            0.0,
+            generation_request(f"w-{number}", account=f"account-{number % 3}"),
+            ENGINE,
+            whole=True,
         )
     check.assertEqual(one.placer.book.crowding_accounts(), frozenset())
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -6,7 +6,7 @@
 from egretstack.ids import RegionName
 from egretstack.services.directory_port import DirectoryPort
 from standins.platform import HOST
-from tests.fleet_fixtures import known
+from tests.fleet_fixtures import known_instance
 from tests.platform_site import WAIT_S, platform_site
 from tests.support import check, on_real_clock, tests_of
 
@@ -27,19 +27,19 @@
     # An instance is killed, and right after it the home that vouched for it. The next home takes
     # the former one's word for a moment, as it has heard few reports itself. Callers are sent to
     # the killed one for no longer than the users' rule allows.
-    view = Fleet(known(0), 0.0)
-    first, killed, following = known(1), known(2), known(3)
+    view = Fleet(known_instance(0), 0.0)
+    first, killed, following = known_instance(1), known_instance(2), known_instance(3)
     everyone = [first, killed, following]
     for one in everyone:
-        view.heard(0.0, one)
-    view.told(0.0, first.instance.id, everyone)
+        view.record_report(0.0, one)
+    view.record_live_instances(0.0, first.instance.id, everyone)
     now_s, named_s = 0.0, 0.0
     while now_s < 2 * NAMED_AT_MOST_S:
         now_s += PERIOD_S
-        view.heard(now_s, following)
+        view.record_report(now_s, following)
         if now_s > 0.9:
             told = [following] if now_s > 2.2 else [killed, following]
-            view.told(now_s, following.instance.id, told)
+            view.record_live_instances(now_s, following.instance.id, told)
         if killed in view.live(now_s):
             named_s = now_s
     check.assertGreater(named_s, 0.0)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -37,7 +37,7 @@
 def table_of(*zones):
     table = RunnerTable()
     rows = [runner(f"r-{number}", zone=zone) for number, zone in enumerate(zones)]
-    table.take(0.0, rows, 1, 0.0)
+    table.apply_reading(0.0, rows, 1, 0.0)
     return table
 
 
@@ -51,16 +51,16 @@
     # An instance has read an evacuation itself; the home, which reads later, tells it without.
     known = Evacuations()
     check.assertFalse(known.is_known)
-    check.assertEqual(known.take([LEON_A], 7, 1.0).begun, {LEON_A})
-    check.assertIsNone(known.take([], 6, 2.0))
+    check.assertEqual(known.apply_reading([LEON_A], 7, 1.0).begun, {LEON_A})
+    check.assertIsNone(known.apply_reading([], 6, 2.0))
     check.assertEqual(known.zones, {LEON_A})
-    check.assertEqual(known.take([LEON_B], 8, 3.0).ended, {LEON_A})
+    check.assertEqual(known.apply_reading([LEON_B], 8, 3.0).ended, {LEON_A})
     check.assertEqual(known.age_s(5.0), 2.0)
 
 
 def test_news_of_a_home_that_has_read_nothing_tell_nothing():
     known = Evacuations()
-    check.assertIsNone(known.take([], 0, 1.0))
+    check.assertIsNone(known.apply_reading([], 0, 1.0))
     check.assertFalse(known.is_known)
 
 
@@ -79,13 +79,13 @@
 
 def test_runners_of_an_evacuated_zone_get_no_work_and_are_barred_if_there_are_no_others():
     table = table_of("leon-a", "leon-b")
-    table.evacuate(1.0, frozenset({LEON_A}))
+    table.set_evacuated(1.0, frozenset({LEON_A}))
     check.assertEqual([one.zone for one in table.ready(ENGINES)], [LEON_B])
-    check.assertFalse(table.is_barred(ENGINES, None))
-    check.assertTrue(table.is_barred(ENGINES, {LEON_A}))
-    table.evacuate(2.0, frozenset({LEON_A, LEON_B}))
-    check.assertTrue(table.is_barred(ENGINES, None))
-    check.assertFalse(table_of().is_barred(ENGINES, None))
+    check.assertFalse(table.has_only_evacuated(ENGINES, None))
+    check.assertTrue(table.has_only_evacuated(ENGINES, {LEON_A}))
+    table.set_evacuated(2.0, frozenset({LEON_A, LEON_B}))
+    check.assertTrue(table.has_only_evacuated(ENGINES, None))
+    check.assertFalse(table_of().has_only_evacuated(ENGINES, None))
 
 
 def test_runners_of_a_zone_that_is_back_are_taken_to_be_cold_for_a_start():
@@ -93,8 +93,8 @@
     # go to them before, and they crash.
     table = table_of("leon-a", "leon-b")
     cold, warm = (one.id for one in table.by_id.values())
-    table.evacuate(1.0, frozenset({LEON_A}))
-    table.evacuate(2.0, frozenset())
+    table.set_evacuated(1.0, frozenset({LEON_A}))
+    table.set_evacuated(2.0, frozenset())
     check.assertTrue(table.is_cold(2.9, cold, 1.0))
     check.assertFalse(table.is_cold(3.1, cold, 1.0))
     check.assertFalse(table.is_cold(2.1, warm, 1.0))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,13 +11,13 @@
     InstanceState,
     RunnerState,
     RunnerTable,
-    StoreSight,
+    StoreReachability,
     pack_text,
     unpack_text,
 )
 from egretstack.ids import InstanceId, RunnerId
 from standins.platform import configuration, route
-from tests.fleet_fixtures import ENGINES, known, runner
+from tests.fleet_fixtures import ENGINES, known_instance, runner
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
@@ -27,13 +27,13 @@
 
 def fleets(count=COUNT):
     """Give the views of instances that have all heard each other at time 0."""
-    everyone = [known(number) for number in range(count)]
+    everyone = [known_instance(number) for number in range(count)]
     views = []
     for own in everyone:
         view = Fleet(own, 0.0)
         for other in everyone:
             if other is not own:
-                view.heard(0.0, other)
+                view.record_report(0.0, other)
         views.append(view)
     return views
 
@@ -66,18 +66,22 @@
         view = fleets()[1]
     check.assertNotEqual(view.home(1.0), home)
     back = next(
-        one for one in (known(number) for number in range(COUNT)) if one.instance.id == home
+        one
+        for one in (known_instance(number) for number in range(COUNT))
+        if one.instance.id == home
     )
-    view.heard(1.2, back)
+    view.record_report(1.2, back)
     check.assertEqual(view.home(1.3), home)
 
 
 def test_an_instance_without_the_store_is_not_home_while_another_has_it():
-    everyone = [known(number) for number in range(COUNT)]
+    everyone = [known_instance(number) for number in range(COUNT)]
     home = fleets()[0].home(0.1)
-    view = Fleet(known(99), 0.0)
+    view = Fleet(known_instance(99), 0.0)
     for one in everyone:
-        view.heard(0.0, known(one.incarnation, reads_store=one.instance.id != home))
+        view.record_report(
+            0.0, known_instance(one.incarnation, reads_store=one.instance.id != home)
+        )
     check.assertNotEqual(view.home(0.1), home)
 
 
@@ -85,25 +89,25 @@
     # Clients would be sent to a dead instance for ever: each of two homes vouched for it because
     # the other did. A home vouches only by reports that came to itself.
     first, second = fleets()[:2]
-    dead = known(5)
+    dead = known_instance(5)
     for moment in range(1, 40):
         now_s = moment * 0.25
-        first.told(now_s, second.own.instance.id, second.others_heard(now_s))
-        second.told(now_s, first.own.instance.id, first.others_heard(now_s))
+        first.record_live_instances(now_s, second.own.instance.id, second.recently_reported(now_s))
+        second.record_live_instances(now_s, first.own.instance.id, first.recently_reported(now_s))
     check.assertNotIn(dead.instance.id, {one.instance.id for one in first.live(10.0)})
 
 
 def test_a_leaving_instance_is_told_of_at_once():
     view = fleets()[0]
-    view.heard(0.2, known(3, InstanceState.LEAVING))
+    view.record_report(0.2, known_instance(3, InstanceState.LEAVING))
     states = {one.instance.id: one.state for one in view.live(0.3)}
     check.assertIs(states[InstanceId("entry-3")], InstanceState.LEAVING)
 
 
 def test_a_newcomer_is_pointed_to_the_living():
-    view = Fleet(known(50), 0.0)
-    view.listed(0.0, [known(number) for number in range(COUNT)])
-    view.pointed(0.1, [known(2), known(3)])
+    view = Fleet(known_instance(50), 0.0)
+    view.add_listed(0.0, [known_instance(number) for number in range(COUNT)])
+    view.record_referral(0.1, [known_instance(2), known_instance(3)])
     check.assertIn(view.home(0.2), {f"entry-{n}" for n in (*range(COUNT), 50)})
     check.assertEqual(
         {one.instance.id for one in view.live(0.2)}, {"entry-50", "entry-2", "entry-3"}
@@ -111,22 +115,22 @@
 
 
 def test_the_newest_configuration_is_found():
-    view = Fleet(known(0, version=4), 0.0)
-    view.heard(0.0, known(1, version=7))
-    view.heard(0.0, known(2, version=5))
-    check.assertEqual([one.instance.id for one in view.newest_config(0.1)], ["entry-1"])
-    view.heard(0.1, known(2, version=7))
-    holders = {one.instance.id for one in view.newest_config(0.1)}
+    view = Fleet(known_instance(0, version=4), 0.0)
+    view.record_report(0.0, known_instance(1, version=7))
+    view.record_report(0.0, known_instance(2, version=5))
+    check.assertEqual([one.instance.id for one in view.newer_config_holders(0.1)], ["entry-1"])
+    view.record_report(0.1, known_instance(2, version=7))
+    holders = {one.instance.id for one in view.newer_config_holders(0.1)}
     check.assertEqual(holders, {"entry-1", "entry-2"})
-    view.heard(0.2, known(1, version=4))
-    view.heard(0.2, known(2, version=3))
-    check.assertEqual(view.newest_config(0.3), [])
+    view.record_report(0.2, known_instance(1, version=4))
+    view.record_report(0.2, known_instance(2, version=3))
+    check.assertEqual(view.newer_config_holders(0.3), [])
 
 
 def test_older_readings_of_the_runners_change_nothing():
     table = RunnerTable()
-    table.take(0.0, [runner("a", state=RunnerState.LEAVING)], 20, 0.0)
-    check.assertEqual(table.take(0.1, [runner("a")], 19, 0.1), [])
+    table.apply_reading(0.0, [runner("a", state=RunnerState.LEAVING)], 20, 0.0)
+    check.assertEqual(table.apply_reading(0.1, [runner("a")], 19, 0.1), [])
     check.assertFalse(table.is_ready(RunnerId("a")))
 
 
@@ -134,23 +138,23 @@
     # A request would reach a runner after its notice: the runner itself told of it, and a reading
     # of the store from just before still calls it ready.
     table = RunnerTable()
-    table.take(0.0, [runner("a"), runner("b")], 20, 0.0)
-    check.assertTrue(table.notice(0.1, RunnerId("a")))
-    check.assertFalse(table.notice(0.2, RunnerId("a")))
-    table.take(0.3, [runner("a"), runner("b")], 21, 0.3)
+    table.apply_reading(0.0, [runner("a"), runner("b")], 20, 0.0)
+    check.assertTrue(table.record_leaving(0.1, RunnerId("a")))
+    check.assertFalse(table.record_leaving(0.2, RunnerId("a")))
+    table.apply_reading(0.3, [runner("a"), runner("b")], 21, 0.3)
     check.assertEqual([one.id for one in table.ready(ENGINES)], ["b"])
 
 
 def test_a_removed_runner_gets_no_work_and_is_remembered():
     table = RunnerTable()
-    table.take(0.0, [runner("a"), runner("b")], 20, 0.0)
-    stopped = table.take(0.3, [runner("b")], 21, 0.3)
+    table.apply_reading(0.0, [runner("a"), runner("b")], 20, 0.0)
+    stopped = table.apply_reading(0.3, [runner("b")], 21, 0.3)
     check.assertEqual([one.id for one in stopped], ["a"])
     check.assertEqual(table.by_id[RunnerId("a")].state, RunnerState.MISSING)
     check.assertFalse(table.is_ready(RunnerId("a")))
-    table.take(0.6, [runner("b")], 22, 0.6)
+    table.apply_reading(0.6, [runner("b")], 22, 0.6)
     for second in range(1, 50):
-        table.take(second, [runner("b")], 22 + second, second)
+        table.apply_reading(second, [runner("b")], 22 + second, second)
     check.assertNotIn(RunnerId("a"), table.by_id)
 
 
@@ -158,29 +162,29 @@
     # Callers of one instance never reach a runner again: it was cut off from the home, read the
     # list itself and saw an entry lapse that was back before the home's next reading.
     table = RunnerTable()
-    table.take(0.0, [runner("a"), runner("b")], 20, 0.0, by_home=True)
-    table.take(0.3, [runner("b")], 21, 0.3)
+    table.apply_reading(0.0, [runner("a"), runner("b")], 20, 0.0, from_home=True)
+    table.apply_reading(0.3, [runner("b")], 21, 0.3)
     check.assertFalse(table.is_ready(RunnerId("a")))
-    table.take(0.6, [runner("a"), runner("b")], 21, 0.6, by_home=True)
+    table.apply_reading(0.6, [runner("a"), runner("b")], 21, 0.6, from_home=True)
     check.assertFalse(table.is_ready(RunnerId("a")))
-    table.take(0.9, [runner("a"), runner("b")], 23, 0.9, by_home=True)
+    table.apply_reading(0.9, [runner("a"), runner("b")], 23, 0.9, from_home=True)
     check.assertFalse(table.is_ready(RunnerId("a")))
-    table.take(3.5, [runner("a"), runner("b")], 23, 3.5, by_home=True)
+    table.apply_reading(3.5, [runner("a"), runner("b")], 23, 3.5, from_home=True)
     check.assertTrue(table.is_ready(RunnerId("a")))
 
 
 def test_since_when_a_runner_leaves():
     # A stream whose first token comes late in the notice has to know how much of it has passed.
     table = RunnerTable()
-    table.take(0.0, [runner("a"), runner("b")], 20, 0.0)
-    check.assertIsNone(table.stopped_s(RunnerId("a")))
-    table.notice(0.3, RunnerId("a"))
-    table.take(0.5, [runner("a", state=RunnerState.LEAVING)], 21, 0.5)
-    check.assertEqual(table.stopped_s(RunnerId("a")), 0.3)
-    check.assertEqual(table.stopped_s(RunnerId("b")), 0.5)
-    table.take(0.7, [runner("b")], 22, 0.7)
-    check.assertTrue(table.confirm(RunnerId("b")))
-    check.assertIsNone(table.stopped_s(RunnerId("b")))
+    table.apply_reading(0.0, [runner("a"), runner("b")], 20, 0.0)
+    check.assertIsNone(table.stopped_since_s(RunnerId("a")))
+    table.record_leaving(0.3, RunnerId("a"))
+    table.apply_reading(0.5, [runner("a", state=RunnerState.LEAVING)], 21, 0.5)
+    check.assertEqual(table.stopped_since_s(RunnerId("a")), 0.3)
+    check.assertEqual(table.stopped_since_s(RunnerId("b")), 0.5)
+    table.apply_reading(0.7, [runner("b")], 22, 0.7)
+    check.assertTrue(table.confirm_alive(RunnerId("b")))
+    check.assertIsNone(table.stopped_since_s(RunnerId("b")))
 
 
 def test_entries_that_lapsed_while_the_store_was_away():
@@ -188,21 +192,21 @@
     # runners that live, since their heartbeats found no store. Within the grace a missing entry
     # counts as living; after it, as gone.
     table = RunnerTable()
-    table.take(0.0, [runner("a"), runner("b")], 20, 0.0)
-    check.assertEqual(table.take(6.0, [], 21, 6.0), [])
+    table.apply_reading(0.0, [runner("a"), runner("b")], 20, 0.0)
+    check.assertEqual(table.apply_reading(6.0, [], 21, 6.0), [])
     check.assertEqual(len(table.ready(ENGINES)), 2)
-    table.take(7.0, [runner("a")], 22, 7.0)
+    table.apply_reading(7.0, [runner("a")], 22, 7.0)
     check.assertEqual(len(table.ready(ENGINES)), 2)
-    stopped = table.take(8.5, [runner("a")], 23, 8.5)
+    stopped = table.apply_reading(8.5, [runner("a")], 23, 8.5)
     check.assertEqual([one.id for one in stopped], ["b"])
 
 
 def test_the_strong_are_home():
     # Placing would stall for the whole fleet: the home was drawn among sixty instances on slow
     # links, which its news to all filled; it looked dead, and the next one had the same fate.
-    view = Fleet(known(0), 0.0)
+    view = Fleet(known_instance(0), 0.0)
     for number in range(1, 60):
-        view.heard(0.0, known(number, strength=10 if number in (7, 33) else 3))
+        view.record_report(0.0, known_instance(number, strength=10 if number in (7, 33) else 3))
     check.assertIn(view.home(0.1), {"entry-7", "entry-33"})
     check.assertEqual({one.id for one in view.report_targets(0.1)}, {"entry-7", "entry-33"})
 
@@ -210,66 +214,66 @@
 def test_a_change_of_rank_counts_at_once():
     # The ranking is kept for a moment. An instance that gets ready, leaves or loses the store must
     # not wait for it: questions would go to a home that does not answer.
-    view = Fleet(known(0), 0.0)
+    view = Fleet(known_instance(0), 0.0)
     for number in range(1, COUNT):
-        view.heard(0.0, known(number))
+        view.record_report(0.0, known_instance(number))
     view.home(0.1)
-    view.heard(0.1, known(COUNT, strength=10))
+    view.record_report(0.1, known_instance(COUNT, strength=10))
     check.assertEqual(view.home(0.1), f"entry-{COUNT}")
-    view.heard(0.1, known(COUNT, strength=10, reads_store=False))
+    view.record_report(0.1, known_instance(COUNT, strength=10, reads_store=False))
     check.assertNotEqual(view.home(0.1), f"entry-{COUNT}")
 
 
 def sighted(view, number, store):
     """Let a view hear of an instance that it sees the store so."""
-    view.heard(0.1, replace(known(number), store=store))
+    view.record_report(0.1, replace(known_instance(number), store=store))
 
 
 def test_an_outage_of_the_store_does_not_move_the_home_through_the_fleet():
     # Callers wait for places: the store is down, the home says so and hands over to an instance
     # that has not tried, which finds out the same and hands over again, and so on through 195
     # instances within a second. One takes over only once somebody is known to reach the store.
-    view = Fleet(known(0), 0.0)
-    view.own = replace(view.own, store=StoreSight.UNKNOWN)
+    view = Fleet(known_instance(0), 0.0)
+    view.own = replace(view.own, store=StoreReachability.UNKNOWN)
     for number in range(1, COUNT):
-        sighted(view, number, StoreSight.UNKNOWN)
+        sighted(view, number, StoreReachability.UNKNOWN)
     first, second = view.home(0.1), view.report_targets(0.1)[-1].id
-    numbers = {known(number).instance.id: number for number in range(COUNT)}
+    numbers = {known_instance(number).instance.id: number for number in range(COUNT)}
     if first == view.own.instance.id:
-        view.own = replace(view.own, store=StoreSight.AWAY)
+        view.own = replace(view.own, store=StoreReachability.UNREACHABLE)
     else:
-        sighted(view, numbers[first], StoreSight.AWAY)
+        sighted(view, numbers[first], StoreReachability.UNREACHABLE)
     check.assertEqual(view.home(0.1), first)
-    sighted(view, numbers[second], StoreSight.READS)
+    sighted(view, numbers[second], StoreReachability.REACHABLE)
     check.assertEqual(view.home(0.1), second)
-    sighted(view, numbers[second], StoreSight.AWAY)
+    sighted(view, numbers[second], StoreReachability.UNREACHABLE)
     check.assertEqual(view.home(0.1), first)
 
 
 def outage_ends(lasted_s, home_reads_after_s):
     """Play an outage of the store for all; give the home before it, and at moments after it."""
-    view = Fleet(known(0), 0.0)
-    numbers = {known(number).instance.id: number for number in range(COUNT)}
+    view = Fleet(known_instance(0), 0.0)
+    numbers = {known_instance(number).instance.id: number for number in range(COUNT)}
 
     def hear(now_s, sight_by_number):
-        view.own = replace(view.own, store=sight_by_number.get(0, StoreSight.AWAY))
+        view.own = replace(view.own, store=sight_by_number.get(0, StoreReachability.UNREACHABLE))
         for number in range(1, COUNT):
-            store = sight_by_number.get(number, StoreSight.AWAY)
-            view.heard(now_s, replace(known(number), store=store))
+            store = sight_by_number.get(number, StoreReachability.UNREACHABLE)
+            view.record_report(now_s, replace(known_instance(number), store=store))
         home = view.home(now_s)
-        view.still_told(now_s, home)
+        view.record_home_alive(now_s, home)
         return home
 
-    before = hear(0.0, dict.fromkeys(range(COUNT), StoreSight.READS))
+    before = hear(0.0, dict.fromkeys(range(COUNT), StoreReachability.REACHABLE))
     for step in range(1, round(lasted_s / 0.25) + 1):
         hear(step * 0.25, {})
     began_s = round(lasted_s / 0.25) * 0.25
     readers, homes = {}, []
     others = [number for name, number in numbers.items() if name != before]
     for step in range(1, 13):
-        readers[others[step % len(others)]] = StoreSight.READS
+        readers[others[step % len(others)]] = StoreReachability.REACHABLE
         if step * 0.25 >= home_reads_after_s:
-            readers[numbers[before]] = StoreSight.READS
+            readers[numbers[before]] = StoreReachability.REACHABLE
         homes.append(hear(began_s + step * 0.25, readers))
     return before, homes
 
@@ -298,28 +302,34 @@
     # tells nobody but the next in line; the others hear it alone and wait until it seems silent.
     view = next(one for one in fleets() if one.home(0.1) != one.own.instance.id)
     first = view.home(0.1)
-    number = next(n for n in range(COUNT) if known(n).instance.id == first)
-    view.pointed(0.2, [known(number, InstanceState.LEAVING)])
+    number = next(n for n in range(COUNT) if known_instance(n).instance.id == first)
+    view.record_referral(0.2, [known_instance(number, InstanceState.LEAVING)])
     check.assertNotEqual(view.home(0.2), first)
 
 
 def test_a_few_try_the_store_for_a_home_that_does_not_reach_it():
     # The home is cut off from the store alone. Nobody would hear of leaving runners, or all
     # instances would ask the store at once.
-    everyone = [known(number) for number in range(40)]
-    home = Fleet(known(0), 0.0)
+    everyone = [known_instance(number) for number in range(40)]
+    home = Fleet(known_instance(0), 0.0)
     for one in everyone[1:]:
-        home.heard(0.0, one)
+        home.record_report(0.0, one)
     first = home.home(0.1)
     watchers = 0
     for own in everyone:
-        store = StoreSight.AWAY if own.instance.id == first else StoreSight.UNKNOWN
+        store = (
+            StoreReachability.UNREACHABLE if own.instance.id == first else StoreReachability.UNKNOWN
+        )
         view = Fleet(replace(own, store=store), 0.0)
         for other in everyone:
-            store = StoreSight.AWAY if other.instance.id == first else StoreSight.UNKNOWN
-            view.heard(0.0, replace(other, store=store))
+            store = (
+                StoreReachability.UNREACHABLE
+                if other.instance.id == first
+                else StoreReachability.UNKNOWN
+            )
+            view.record_report(0.0, replace(other, store=store))
         view.home(0.1)
-        view.still_told(0.1, first)
+        view.record_home_alive(0.1, first)
         watchers += view.is_watcher(0.2)
     check.assertEqual(watchers, 3)
 
@@ -330,7 +340,7 @@
     views = fleets(9)
     home = {view.home(0.1) for view in views}.pop()
     for view in views:
-        view.told(0.2, home, [known(number) for number in range(9)])
+        view.record_live_instances(0.2, home, [known_instance(number) for number in range(9)])
     check.assertEqual(sum(view.is_watcher(0.3) for view in views), 2)
     check.assertTrue(all(view.is_watcher(2.0) for view in views))
 
--- a/tests/test_fleet_news.py
+++ b/tests/test_fleet_news.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 
 from egretstack.fleet import (
+    ApplyResult,
     FleetNews,
-    HeldNews,
-    NewsFollower,
-    NewsKeeper,
-    Taken,
+    HeldVersion,
+    UpdateFollower,
+    UpdateReplica,
     instance_row,
     runner_row,
 )
@@ -22,8 +22,16 @@
 from egretstack.messages import MessageError, decode, encode
 from egretstack.services.fleet_news import FleetNewsService
 from egretstack.services.fleet_port import FleetPort
-from tests.fleet_fixtures import known, runner
-from tests.news_fixtures import INSTANCES, MAX_DATAGRAM, OTHER, fleet_rows, messages, tell, teller
+from tests.fleet_fixtures import known_instance, runner
+from tests.news_fixtures import (
+    INSTANCES,
+    MAX_DATAGRAM,
+    OTHER,
+    deliver_all,
+    fleet_rows,
+    message_with,
+    publisher,
+)
 from tests.platform_site import platform_site
 from tests.support import check, on_real_clock, tests_of
 
@@ -31,23 +39,23 @@
 
 
 def test_a_newcomer_gets_everything_and_then_what_changes():
-    home, follower = teller(), NewsFollower()
-    home.update(fleet_rows())
-    check.assertIs(tell(home, follower), Taken.WHOLE)
+    home, follower = publisher(), UpdateFollower()
+    home.replace_rows(fleet_rows())
+    check.assertIs(deliver_all(home, follower), ApplyResult.WHOLE)
     check.assertEqual(follower.rows.rows(), fleet_rows())
     rows = fleet_rows(instances=INSTANCES - 1)
-    home.update(rows)
-    home.note_held(OTHER, follower.held)
+    home.replace_rows(rows)
+    home.record_held(OTHER, follower.held)
     (part,) = home.parts_for(1.0, OTHER)
     check.assertLess(len(part.packed), 60)
-    check.assertIs(follower.take(messages(home, part)), Taken.WHOLE)
+    check.assertIs(follower.apply(message_with(home, part)), ApplyResult.WHOLE)
     check.assertEqual(follower.rows.rows(), rows)
 
 
 def test_no_datagram_takes_more_than_one_packet():
-    home = teller()
-    home.update(fleet_rows(420, 1_700))
-    sizes = [len(encode(messages(home, part))) for part in home.parts_for(0.0, OTHER)]
+    home = publisher()
+    home.replace_rows(fleet_rows(420, 1_700))
+    sizes = [len(encode(message_with(home, part))) for part in home.parts_for(0.0, OTHER)]
     check.assertLessEqual(max(sizes), MAX_DATAGRAM)
 
 
@@ -55,69 +63,69 @@
     # An instance on a link of 10 Mbit/s gets as many bytes in a fleet of 300 as in one of 30.
     sizes = set()
     for instances in (30, 100, 300):
-        home, follower = teller(), NewsFollower()
-        home.update(fleet_rows(instances))
-        tell(home, follower)
-        home.note_held(OTHER, follower.held)
+        home, follower = publisher(), UpdateFollower()
+        home.replace_rows(fleet_rows(instances))
+        deliver_all(home, follower)
+        home.record_held(OTHER, follower.held)
         (part,) = home.parts_for(1.0, OTHER)
         check.assertEqual(part.packed, b"")
-        sizes.add(len(encode(messages(home, part))))
+        sizes.add(len(encode(message_with(home, part))))
     check.assertLess(max(sizes), min(sizes) + 8)
 
 
 def test_a_new_home_goes_on_where_the_former_one_was():
     # The home dies. The next in line has the same rows; each of 195 instances needs the rows that
     # differ, and not all of them at once.
-    former, heir, follower = teller(), NewsFollower(), NewsFollower()
-    former.update(fleet_rows())
-    tell(former, heir)
-    tell(former, follower)
-    home = teller(9, heir.held, heir.rows)
+    former, heir, follower = publisher(), UpdateFollower(), UpdateFollower()
+    former.replace_rows(fleet_rows())
+    deliver_all(former, heir)
+    deliver_all(former, follower)
+    home = publisher(9, heir.held, heir.rows)
     rows = fleet_rows(INSTANCES - 1)
-    home.update(rows)
-    home.note_held(OTHER, follower.held)
+    home.replace_rows(rows)
+    home.record_held(OTHER, follower.held)
     parts = home.parts_for(1.0, OTHER)
     check.assertLess(sum(len(part.packed) for part in parts), 60)
-    check.assertIs(follower.take(messages(home, parts[0])), Taken.WHOLE)
+    check.assertIs(follower.apply(message_with(home, parts[0])), ApplyResult.WHOLE)
     check.assertEqual(follower.rows.rows(), rows)
-    check.assertEqual(follower.held, HeldNews(9, home.rows.version))
+    check.assertEqual(follower.held, HeldVersion(9, home.rows.version))
 
 
 def test_what_a_new_home_never_heard_is_dropped():
     # The former home told this instance more than its heir. By the heir's numbers that can't be
     # told apart, so that everything is told anew.
-    former, heir, follower = teller(), NewsFollower(), NewsFollower()
-    former.update({"ia": [1]})
-    tell(former, heir)
-    former.update({"ia": [1], "ib": [2]})
-    tell(former, follower)
-    home = teller(9, heir.held, heir.rows)
-    home.update({"ia": [1], "ic": [3]})
-    check.assertIs(tell(home, follower), Taken.WHOLE)
+    former, heir, follower = publisher(), UpdateFollower(), UpdateFollower()
+    former.replace_rows({"ia": [1]})
+    deliver_all(former, heir)
+    former.replace_rows({"ia": [1], "ib": [2]})
+    deliver_all(former, follower)
+    home = publisher(9, heir.held, heir.rows)
+    home.replace_rows({"ia": [1], "ic": [3]})
+    check.assertIs(deliver_all(home, follower), ApplyResult.WHOLE)
     check.assertEqual(follower.rows.rows(), {"ia": [1], "ic": [3]})
     check.assertIn("ib", follower.pop_changed())
 
 
 def test_a_home_that_started_again_begins_anew():
-    follower = NewsFollower()
-    before = teller()
-    before.update(fleet_rows(3))
-    tell(before, follower)
-    again = teller(8)
-    again.update(fleet_rows(2))
-    check.assertIs(tell(again, follower), Taken.WHOLE)
+    follower = UpdateFollower()
+    before = publisher()
+    before.replace_rows(fleet_rows(3))
+    deliver_all(before, follower)
+    again = publisher(8)
+    again.replace_rows(fleet_rows(2))
+    check.assertIs(deliver_all(again, follower), ApplyResult.WHOLE)
     check.assertEqual(follower.rows.rows(), fleet_rows(2))
 
 
 def test_an_instance_that_was_home_follows_the_next_one():
-    own = teller(5)
-    own.update({"ia": [1]})
-    follower = NewsFollower()
+    own = publisher(5)
+    own.replace_rows({"ia": [1]})
+    follower = UpdateFollower()
     follower.adopt(own)
-    check.assertEqual(follower.held, HeldNews(5, 1))
-    home = teller(6)
-    home.update({"ib": [1]})
-    check.assertIs(tell(home, follower), Taken.WHOLE)
+    check.assertEqual(follower.held, HeldVersion(5, 1))
+    home = publisher(6)
+    home.replace_rows({"ib": [1]})
+    check.assertIs(deliver_all(home, follower), ApplyResult.WHOLE)
     check.assertEqual(follower.rows.rows(), {"ib": [1]})
 
 
@@ -125,29 +133,29 @@
     # An instance takes itself for home for a moment, as another heir of the same home does, and
     # then follows that one. Its own versions must not pass for those of the home before: a runner
     # that was told meanwhile would never be known here.
-    former, heir, own = teller(), NewsFollower(), NewsKeeper(lambda: 11)
-    former.update({"ra": [1]})
-    tell(former, own.follow())
-    former.update({"ra": [1], "rb": [2]})
-    tell(former, heir)
-    own.lead().update({"ra": [3], "rc": [4], "rd": [5]})
-    check.assertEqual(own.held, HeldNews(11, 4))
-    home = teller(9, heir.held, heir.rows)
-    home.update({"ra": [1], "rb": [2], "re": [6]})
-    home.note_held(OTHER, own.held)
+    former, heir, own = publisher(), UpdateFollower(), UpdateReplica(lambda: 11)
+    former.replace_rows({"ra": [1]})
+    deliver_all(former, own.follow())
+    former.replace_rows({"ra": [1], "rb": [2]})
+    deliver_all(former, heir)
+    own.lead().replace_rows({"ra": [3], "rc": [4], "rd": [5]})
+    check.assertEqual(own.held, HeldVersion(11, 4))
+    home = publisher(9, heir.held, heir.rows)
+    home.replace_rows({"ra": [1], "rb": [2], "re": [6]})
+    home.record_held(OTHER, own.held)
     for part in home.parts_for(0.0, OTHER):
-        own.follow().take(messages(home, part))
+        own.follow().apply(message_with(home, part))
     check.assertEqual(own.follow().rows.rows(), home.rows.rows())
 
 
 def test_removed_rows_are_forgotten_in_the_end():
-    home, follower = teller(), NewsFollower()
+    home, follower = publisher(), UpdateFollower()
     for number in range(MAX_REMOVED + 10):
-        home.update({f"i{number}": [0], "ia": [0]})
+        home.replace_rows({f"i{number}": [0], "ia": [0]})
         if number == 5:
-            tell(home, follower)
+            deliver_all(home, follower)
     check.assertLess(len(home.rows), MAX_REMOVED)
-    check.assertIs(tell(home, follower), Taken.WHOLE)
+    check.assertIs(deliver_all(home, follower), ApplyResult.WHOLE)
     check.assertEqual(follower.rows.rows(), home.rows.rows())
 
 
@@ -178,21 +186,21 @@
 def test_any_losses_doubles_and_orders_of_arrival_give_a_state_that_was(steps):
     # An instance would send requests to a runner that has left, or refuse them with runners free:
     # datagrams are lost, come twice, late and in another order, and a home starts again.
-    home, follower, sent, states = teller(), NewsFollower(), [], {(0, 0): {}, (7, 0): {}}
+    home, follower, sent, states = publisher(), UpdateFollower(), [], {(0, 0): {}, (7, 0): {}}
     for number, (rows, arrivals, restarts) in enumerate(steps):
         if restarts and number % 5 == 0:
-            home = teller(100 + number)
+            home = publisher(100 + number)
             states[home.epoch, 0] = {}
-        home.update(rows)
+        home.replace_rows(rows)
         states[home.epoch, home.rows.version] = rows
-        home.note_held(OTHER, follower.held)
-        sent += [messages(home, part) for part in home.parts_for(float(number), OTHER)]
+        home.record_held(OTHER, follower.held)
+        sent += [message_with(home, part) for part in home.parts_for(float(number), OTHER)]
         for arrival in arrivals:
             if arrival < len(sent):
-                follower.take(sent[-1 - arrival])
+                follower.apply(sent[-1 - arrival])
         held = follower.held
         check.assertEqual(follower.rows.rows(), states[held.epoch, held.version])
-    check.assertIs(tell(home, follower), Taken.WHOLE)
+    check.assertIs(deliver_all(home, follower), ApplyResult.WHOLE)
     check.assertEqual(follower.rows.rows(), home.rows.rows())
 
 
@@ -213,7 +221,7 @@
         before = news._as_of.runners_revision
         runners = list(port.runners.by_id.values())[:1]
         now_s = trio.current_time()
-        port.runners.take(now_s, runners, port.runners.revision + 7, now_s)
+        port.runners.apply_reading(now_s, runners, port.runners.revision + 7, now_s)
         report = other.get(FleetPort)._own_report()
         news._take_report(InstanceId(other.settings.instance), replace(report, held=[0, 0, True]))
         check.assertEqual({one.runners_revision for one in sent}, {before})
@@ -228,7 +236,7 @@
     async with platform_site(entries=1, plain=1) as site:
         kernel = site.kernels[0]
         port = kernel.get(FleetPort)
-        row = [*instance_row(known(9, strength=60))]
+        row = [*instance_row(known_instance(9, strength=60))]
         rows = [[[1, "rx", [1, 2]]], [[1, "ix", []]], [[1, "r", [*runner_row(runner("a")), "x"]]]]
         for number, changes in enumerate(rows):
             packed = zlib.compress(msgpack.packb(changes))
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -12,7 +12,7 @@
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.store_reading import StoreReading
 from standins.platform import GENERATION, HOST, configuration, route
-from tests.fleet_fixtures import work
+from tests.fleet_fixtures import generation_request
 from tests.platform_site import REGION_BY_ZONE, platform_site
 from tests.stream_reader import read
 from tests.support import check, on_real_clock, tests_of
@@ -67,7 +67,7 @@
 
 def test_the_zones_of_a_generation_go_with_it_to_the_home():
     for zones in (None, frozenset(), frozenset({COLIMA})):
-        one = work("w", zones=zones)
+        one = generation_request("w", zones=zones)
         check.assertEqual(work_of(work_row(one)), one)
 
 
--- a/tests/test_limit_ration.py
+++ b/tests/test_limit_ration.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from egretstack.fleet import RunnerLimits, RunnerTable, limit_of
+from egretstack.fleet import RunnerLimits, RunnerTable, limit_from_row
 from egretstack.ids import InstanceId, RunnerId
 from egretstack.messages import MessageError
 from egretstack.placing import FleetSplit, LimitRation, SendPart
@@ -25,9 +25,9 @@
     split.heard = instances - 1 if heard is None else heard
     table = RunnerTable()
     one = runner("a")
-    table.take(0.0, [one], 1, 0.0)
+    table.apply_reading(0.0, [one], 1, 0.0)
     limits = RunnerLimits()
-    limits.heard(0.0, A, per_s, 0.0)
+    limits.record_answer(0.0, A, per_s, 0.0)
     return LimitRation(split, table, limits), one
 
 
@@ -119,7 +119,7 @@
     times = []
     for step in range(STEPS):
         now_s = step * STEP_S
-        limits.heard(now_s, A, None if step % 4 == 3 else 1.0, now_s)
+        limits.record_answer(now_s, A, None if step % 4 == 3 else 1.0, now_s)
         if step % 4 != 3 and ration.allows(now_s, one, SendPart.PLAIN):
             ration.sent(now_s, A, SendPart.PLAIN)
             times.append(now_s)
@@ -129,54 +129,54 @@
 def test_an_answer_that_was_under_way_takes_no_limit_back():
     # Guards against a limit that is lost to an answer made before it was named.
     limits = RunnerLimits()
-    check.assertTrue(limits.heard(1.0, A, 2.0, 0.9))
-    check.assertFalse(limits.heard(1.1, A, None, 0.95))
+    check.assertTrue(limits.record_answer(1.0, A, 2.0, 0.9))
+    check.assertFalse(limits.record_answer(1.1, A, None, 0.95))
     check.assertEqual(limits.per_s(A), 2.0)
-    check.assertTrue(limits.heard(1.3, A, None, 1.2))
+    check.assertTrue(limits.record_answer(1.3, A, None, 1.2))
     check.assertIsNone(limits.per_s(A))
 
 
 def test_the_latest_word_counts_whoever_heard_it():
     limits = RunnerLimits()
-    limits.heard(5.0, A, 2.0, 4.9)
-    check.assertFalse(limits.told(5.1, A, None, 4.8))
-    check.assertTrue(limits.told(5.2, A, None, 5.1))
-    check.assertFalse(limits.told(5.3, A, 2.0, 5.0))
+    limits.record_answer(5.0, A, 2.0, 4.9)
+    check.assertFalse(limits.record_reported(5.1, A, None, 4.8))
+    check.assertTrue(limits.record_reported(5.2, A, None, 5.1))
+    check.assertFalse(limits.record_reported(5.3, A, 2.0, 5.0))
     check.assertIsNone(limits.per_s(A))
 
 
 def test_what_the_home_tells_counts_once_its_own_word_is_old():
     # Guards against an instance that keeps a limit which others heard taken back.
     limits = RunnerLimits()
-    limits.heard(5.0, A, 2.0, 4.9)
-    check.assertEqual(limits.told_all(5.5, {}), set())
-    check.assertEqual(limits.told_all(6.1, {}), {A})
+    limits.record_answer(5.0, A, 2.0, 4.9)
+    check.assertEqual(limits.apply_home_limits(5.5, {}), set())
+    check.assertEqual(limits.apply_home_limits(6.1, {}), {A})
     check.assertIsNone(limits.per_s(A))
 
 
 def test_what_the_home_tells_again_and_again_grows_no_younger():
     # Guards against a next home that believes its former one rather than who asked the runner.
     limits = RunnerLimits()
-    limits.told_all(5.0, {A: 2.0})
+    limits.apply_home_limits(5.0, {A: 2.0})
     for step in range(20):
-        limits.told_all(5.0 + step, {A: 3.0})
+        limits.apply_home_limits(5.0 + step, {A: 3.0})
     check.assertEqual(limits.per_s(A), 3.0)
-    check.assertTrue(limits.told(26.0, A, None, 5.5))
+    check.assertTrue(limits.record_reported(26.0, A, None, 5.5))
 
 
 def test_whoever_becomes_home_hears_every_limit():
     # Guards against a home that started a moment ago and knows of no limit.
     old, new = RunnerLimits(), RunnerLimits()
-    old.told_all(5.0, {A: 2.0})
-    for runner_id, per_s, age_s in map(limit_of, old.rows(60.0)):
-        new.told(60.0, runner_id, per_s, 60.0 - age_s)
+    old.apply_home_limits(5.0, {A: 2.0})
+    for runner_id, per_s, age_s in map(limit_from_row, old.rows(60.0)):
+        new.record_reported(60.0, runner_id, per_s, 60.0 - age_s)
     check.assertEqual(new.limited(), {A: 2.0})
 
 
 def test_a_limit_that_was_taken_back_is_reported_for_a_while():
     limits = RunnerLimits()
-    limits.heard(5.0, A, 2.0, 4.9)
-    limits.heard(6.0, A, None, 5.9)
+    limits.record_answer(5.0, A, 2.0, 4.9)
+    limits.record_answer(6.0, A, None, 5.9)
     check.assertEqual(limits.rows(6.5), [[A, None, 500]])
     check.assertEqual(limits.rows(9.0), [])
 
@@ -184,5 +184,5 @@
 def test_rows_that_are_no_limits_are_refused():
     for row in (None, [], ["a"], [1, 2.0, 3], ["a", "x", 3], ["a", -1.0, 3], ["a", 1.0, -3]):
         with check.assertRaises(MessageError):
-            limit_of(row)
-    check.assertEqual(limit_of(["a", 2, 500]), (A, 2.0, 0.5))
+            limit_from_row(row)
+    check.assertEqual(limit_from_row(["a", 2, 500]), (A, 2.0, 0.5))
--- a/tests/test_limits_views.py
+++ b/tests/test_limits_views.py
@@ -61,7 +61,7 @@
 def test_all_learn_of_a_leaving_home_soon():
     # A home that leaves stops to lend at once; the others, the new home among them, learn it.
     for fleet, _, size in each_fleet():
-        fleet.of(size - 1).leave()
+        fleet.state_of(size - 1).leave()
         times = learning_times(fleet, InstanceId(f"entry-{size - 1}"), live=False)
         check.assertLessEqual(times[-1], VIEW_LAG_S)
 
--- a/tests/test_membership_choice.py
+++ b/tests/test_membership_choice.py
@@ -8,11 +8,11 @@
 
 from egretstack.ids import AccountId, InstanceId, ModelName, RunnerId, ServiceName, ZoneName
 from egretstack.membership import (
-    ENTRIES_ANSWERED,
+    ENTRIES_PER_ANSWER,
     MAX_REPORTS,
     NearbyReports,
     ReadingPlan,
-    ReportTurns,
+    ReportSchedule,
     entries_for,
 )
 from egretstack.membership._report_turns import JITTER, MAX_AHEAD
@@ -54,7 +54,7 @@
     own = instance(99)
     live = [instance(n) for n in range(near)] + [instance(50 + n, "b") for n in range(far)]
     found = chosen("acme", live, own, leaves)
-    check.assertTrue(1 <= len(found) <= ENTRIES_ANSWERED)
+    check.assertTrue(1 <= len(found) <= ENTRIES_PER_ANSWER)
     check.assertEqual(len(set(found)), len(found))
     if far and near:
         check.assertTrue(any(int(name.removeprefix("entry-")) in range(50, 62) for name in found))
@@ -106,25 +106,25 @@
     found = []
     for step in range(int(seconds / rate_check_s)):
         now_s = step * rate_check_s
-        runner = turns.take(now_s, set())
+        runner = turns.pop_due(now_s, set())
         if runner is not None:
             found.append((now_s, runner))
-            turns.succeeded(runner) if answers(runner) else turns.failed(now_s, runner)
+            turns.record_success(runner) if answers(runner) else turns.record_failure(now_s, runner)
     return found
 
 
 @given(st.integers(1, 40), st.integers(0, 40), st.integers(0, 5))
 def test_readings_stay_below_their_rate_also_when_many_runners_fail(runners, failing, seed):
-    turns = ReportTurns(2.0, 0.5, random.Random(seed))
-    turns.choose(RunnerId(f"r-{number}") for number in range(runners))
+    turns = ReportSchedule(2.0, 0.5, random.Random(seed))
+    turns.set_runners(RunnerId(f"r-{number}") for number in range(runners))
     dead = {f"r-{number}" for number in range(failing)}
     found = readings(turns, 30, lambda runner: runner not in dead)
     check.assertLessEqual(len(found), 30 * 2 * (1 + JITTER) + MAX_AHEAD + 2)
 
 
 def test_turns_are_shared_evenly_and_two_runners_are_read_once_a_second():
-    turns = ReportTurns(2.0, 0.5, random.Random(1))
-    turns.choose([RunnerId("a"), RunnerId("b")])
+    turns = ReportSchedule(2.0, 0.5, random.Random(1))
+    turns.set_runners([RunnerId("a"), RunnerId("b")])
     found = readings(turns, 20, lambda runner: True)
     times = [at_s for at_s, runner in found if runner == "a"]
     for gap_s in (after - before for before, after in itertools.pairwise(times)):
@@ -134,15 +134,15 @@
 def test_a_doubted_runner_is_read_at_once_and_the_turns_after_it_wait():
     # A caller's stream to a runner broke. Its report would tell whether the runner is away, but
     # its turn is 20 s off; until then new work would go there.
-    turns = ReportTurns(2.0, 0.5, random.Random(1))
-    turns.choose(RunnerId(f"r-{number}") for number in range(40))
+    turns = ReportSchedule(2.0, 0.5, random.Random(1))
+    turns.set_runners(RunnerId(f"r-{number}") for number in range(40))
     found = readings(turns, 30, lambda runner: True)
     last_s, doubted = found[0][0], found[0][1]
     check.assertEqual(last_s, 0.0)
-    turns.choose(RunnerId(f"r-{number}") for number in range(40))
+    turns.set_runners(RunnerId(f"r-{number}") for number in range(40))
     read_last = found[-1][1]
-    turns.doubt(read_last)
-    check.assertEqual(turns.take(30.6, set()), read_last)
-    check.assertIsNone(turns.take(30.6, {doubted}))
-    turns.doubt(read_last)
-    check.assertNotEqual(turns.take(30.7, set()), read_last)
+    turns.prioritize(read_last)
+    check.assertEqual(turns.pop_due(30.6, set()), read_last)
+    check.assertIsNone(turns.pop_due(30.6, {doubted}))
+    turns.prioritize(read_last)
+    check.assertNotEqual(turns.pop_due(30.7, set()), read_last)
--- a/tests/test_membership_state.py
+++ b/tests/test_membership_state.py
@@ -18,7 +18,7 @@
 
 
 def state_of(fleet, observer, subject):
-    view = fleet.of(observer).views().get(InstanceId(f"entry-{subject}"))
+    view = fleet.state_of(observer).views().get(InstanceId(f"entry-{subject}"))
     return None if view is None else view.state
 
 
@@ -39,21 +39,21 @@
 
 def incarnation_of(fleet, number):
     """Tell how often an instance has answered suspicions, from an arbitrary start."""
-    return fleet.of(number)._row.incarnation
+    return fleet.state_of(number)._row.incarnation
 
 
 def digests(fleet, observers):
-    return {fleet.of(one).digest for one in observers}
+    return {fleet.state_of(one).digest for one in observers}
 
 
 def test_a_leaving_instance_is_known_to_all_within_seconds():
     fleet, _ = fleet_of(60)
     fleet.run(5)
-    fleet.of(7).leave()
+    fleet.state_of(7).leave()
     fleet.run(QUIETLY_KNOWN_S)
     check.assertEqual(states(fleet, 7, range(60)), {InstanceState.LEAVING})
     for observer in range(60):
-        live = {member.id for member in fleet.of(observer).live(fleet.now_s)}
+        live = {member.id for member in fleet.state_of(observer).live(fleet.now_s)}
         check.assertNotIn("entry-7", live)
 
 
@@ -63,7 +63,7 @@
     fleet, _ = fleet_of(40)
     fleet.lost = 0.2
     fleet.run(5)
-    fleet.of(3).leave()
+    fleet.state_of(3).leave()
     fleet.run(2 * LEAVING_KNOWN_S)
     check.assertLessEqual(
         states(fleet, 3, range(40)), {InstanceState.LEAVING, InstanceState.SUSPECT}
@@ -88,7 +88,7 @@
 def test_an_instance_that_says_it_stops_is_gone_at_once():
     fleet, _ = fleet_of(30)
     fleet.run(5)
-    fleet.of(4).stop()
+    fleet.state_of(4).stop()
     fleet.run(LEAVING_KNOWN_S)
     check.assertEqual(states(fleet, 4, range(30)), {InstanceState.GONE})
 
@@ -99,7 +99,7 @@
     # suspicion, so callers are sent to both all the time. Nor is it suspected every few seconds.
     fleet, _ = fleet_of(12)
     fleet.run(5)
-    watched = int(sorted(fleet.of(0).neighbours())[0].removeprefix("entry-"))
+    watched = int(sorted(fleet.state_of(0).neighbours())[0].removeprefix("entry-"))
     fleet.cut({watched}, {0})
     fleet.cut({0}, {watched})
     before = incarnation_of(fleet, watched)
@@ -145,14 +145,14 @@
     # Two heartbeats to a neighbour got no answer, then this process is frozen. The third answer
     # is overdue when it thaws; taken as the third miss, it would accuse a neighbour that is well.
     state = MembershipState(instance(0), 0.0, EPOCH_S, random.Random(1))
-    state.listed(0.0, [instance(0), instance(1)])
+    state.apply_list(0.0, [instance(0), instance(1)])
     for now_s in (1.0, 2.0):
         state.tick(now_s)
-        state.missed(now_s + 0.1, InstanceId("entry-1"))
+        state.on_timeout(now_s + 0.1, InstanceId("entry-1"))
     state.tick(3.0)
-    state.listed(60.0, [instance(0), instance(1)])
+    state.apply_list(60.0, [instance(0), instance(1)])
     state.tick(60.0)
-    state.missed(60.0, InstanceId("entry-1"))
+    state.on_timeout(60.0, InstanceId("entry-1"))
     check.assertIs(state.views()[InstanceId("entry-1")].state, InstanceState.LIVE)
 
 
@@ -161,7 +161,7 @@
     # suspicion. Thawed, the time it had is long over here, but its answer has not come yet.
     fleet, _ = fleet_of(6)
     fleet.run(5)
-    state = fleet.of(0)
+    state = fleet.state_of(0)
     state._set_state(fleet.now_s, InstanceId("entry-1"), InstanceState.SUSPECT)
     fleet.node(0).down = True
     fleet.run(3)
@@ -183,10 +183,10 @@
         fleet.node(3).down = False
         fleet.run(6)
     check.assertEqual(state_of(fleet, 0, 3), InstanceState.LIVE)
-    live = {member.id for member in fleet.of(0).live(fleet.now_s)}
+    live = {member.id for member in fleet.state_of(0).live(fleet.now_s)}
     check.assertNotIn("entry-3", live)
     fleet.run(31)
-    check.assertIn("entry-3", {member.id for member in fleet.of(0).live(fleet.now_s)})
+    check.assertIn("entry-3", {member.id for member in fleet.state_of(0).live(fleet.now_s)})
 
 
 def test_an_instance_restarted_under_the_same_id_is_live_again():
@@ -205,10 +205,10 @@
     # newer row that says it is gone, so its own word would not count until it goes above that.
     fleet, listed = fleet_of(12)
     fleet.run(50)
-    fleet.of(3).stop()
+    fleet.state_of(3).stop()
     fleet.run(3)
     behind = MembershipState(instance(3), fleet.now_s, EPOCH_S - 3600, random.Random(1))
-    behind.listed(fleet.now_s, listed)
+    behind.apply_list(fleet.now_s, listed)
     fleet.node(3).state = behind
     fleet.run(LEAVING_KNOWN_S + 5)
     check.assertEqual(states(fleet, 3, range(12)), {InstanceState.LIVE})
@@ -251,7 +251,7 @@
     fleet, listed = fleet_of(12)
     fleet.run(120)
     fleet.node(1).down = True
-    fleet.of(2).leave()
+    fleet.state_of(2).leave()
     fleet.start(instance(50), listed)
     fleet.run(GONE_KNOWN_S)
     observers = set(range(12)) - {1}
@@ -288,7 +288,7 @@
     fleet.read_list(5, changed)
     fleet.run(LEAVING_KNOWN_S)
     for number in range(20):
-        names = {member.id for member in fleet.of(number).members()}
+        names = {member.id for member in fleet.state_of(number).members()}
         check.assertNotIn("runner-4", names)
         check.assertIn("runner-77", names)
 
@@ -304,10 +304,10 @@
             fleet.start(instance(number), leaving)
     fleet.start(instance(5), listed)
     fleet.run(5)
-    check.assertFalse(fleet.of(5).wants_list(fleet.now_s))
+    check.assertFalse(fleet.state_of(5).wants_list(fleet.now_s))
     fleet.run(70)
-    check.assertTrue(fleet.of(5).wants_list(fleet.now_s))
-    check.assertEqual([fleet.of(n).wants_list(fleet.now_s) for n in range(5)], [False] * 5)
+    check.assertTrue(fleet.state_of(5).wants_list(fleet.now_s))
+    check.assertEqual([fleet.state_of(n).wants_list(fleet.now_s) for n in range(5)], [False] * 5)
     fleet.read_list(5, leaving)
     fleet.run(LEAVING_KNOWN_S)
     check.assertEqual(len(digests(fleet, range(8))), 1)
@@ -318,18 +318,18 @@
     fleet.run(5)
 
     def runner_states():
-        found = [m for n in range(12) for m in fleet.of(n).members() if m.id == "runner-2"]
+        found = [m for n in range(12) for m in fleet.state_of(n).members() if m.id == "runner-2"]
         return {member.state for member in found}
 
-    fleet.of(0).notice(fleet.now_s, RunnerId("runner-2"), True, for_good=True)
+    fleet.state_of(0).announce_runner(fleet.now_s, RunnerId("runner-2"), True, for_good=True)
     fleet.run(LEAVING_KNOWN_S)
     check.assertEqual(runner_states(), {MemberState.LEAVING})
     fleet.run(240)
     check.assertEqual(runner_states(), {MemberState.LEAVING})
-    fleet.of(7).notice(fleet.now_s, RunnerId("runner-2"), False, for_good=True)
+    fleet.state_of(7).announce_runner(fleet.now_s, RunnerId("runner-2"), False, for_good=True)
     fleet.run(LEAVING_KNOWN_S)
     check.assertEqual(runner_states(), {MemberState.LIVE})
-    fleet.of(3).notice(fleet.now_s, RunnerId("runner-2"), True, for_good=False)
+    fleet.state_of(3).announce_runner(fleet.now_s, RunnerId("runner-2"), True, for_good=False)
     fleet.run(LEAVING_KNOWN_S)
     check.assertEqual(runner_states(), {MemberState.LEAVING})
     fleet.run(240)
--- a/tests/test_membership_twins.py
+++ b/tests/test_membership_twins.py
@@ -28,7 +28,7 @@
             row = other._table.get(InstanceRow.key_of("entry-0"))
             told[row.incarnation, row.member.host] = row
             message = Heartbeat(1, 0, 0, 0, step, 0, 0, [pack_row(row)])
-            state.asked(now_s, InstanceId("entry-1"), message)
+            state.on_heartbeat(now_s, InstanceId("entry-1"), message)
     return both, told
 
 
@@ -37,7 +37,7 @@
     # and goes above it, once a second for ever, and all instances hear of every change; callers
     # are sent to one or the other in turn. It has to be told, and to come to rest.
     (one, other), told = twins(200)
-    check.assertGreaterEqual(max(one.twin_alarms, other.twin_alarms), 1)
+    check.assertGreaterEqual(max(one.duplicate_alarms, other.duplicate_alarms), 1)
     check.assertLessEqual(len(told), 2 * ANSWERS + 2)
     row = one._table.get(InstanceRow.key_of("entry-0"))
     check.assertEqual(row, other._table.get(InstanceRow.key_of("entry-0")))
@@ -50,7 +50,7 @@
     other.stop()
     told = replace(other._row, incarnation=one._table.get(other._row.key).incarnation)
     message = Heartbeat(1, 0, 0, 0, 9999, 0, 0, [pack_row(told)])
-    one.asked(60.0, InstanceId("entry-1"), message)
+    one.on_heartbeat(60.0, InstanceId("entry-1"), message)
     one.tick(62.0)
     check.assertIs(one.views()[InstanceId("entry-0")].state, InstanceState.LIVE)
     check.assertEqual(one.views()[InstanceId("entry-0")].member.host, instance(0).host)
--- a/tests/test_membership_work.py
+++ b/tests/test_membership_work.py
@@ -79,7 +79,7 @@
 
 def test_patience_has_an_end():
     fleet, _ = fleet_of(3)
-    detector = fleet.of(0)._detector
+    detector = fleet.state_of(0)._detector
     peer = InstanceId("entry-1")
     for _ in range(20):
         detector.wronged(0.0, peer)
@@ -93,10 +93,10 @@
     # message would hold up the tokens that pass through the same loop, the more the larger the
     # fleet is.
     state = MembershipState(instance(0), 0.0, EPOCH_S, random.Random(1))
-    state.listed(0.0, [instance(n) for n in range(100)] + [runner(n) for n in range(400)])
+    state.apply_list(0.0, [instance(n) for n in range(100)] + [runner(n) for n in range(400)])
     before = {member.id: member for member in state.members()}
     views = dict(state.views())
-    state.notice(1.0, RunnerId("runner-7"), True, for_good=True)
+    state.announce_runner(1.0, RunnerId("runner-7"), True, for_good=True)
     changed = [member.id for member in state.members() if member is not before[member.id]]
     check.assertEqual(changed, ["runner-7"])
     check.assertTrue(all(view is views[name] for name, view in state.views().items()))
@@ -108,7 +108,7 @@
     members = [runner(number) for number in range(500)]
     for reading in (members, [], members):
         sizes = [len(state.members())]
-        for _ in state.listing(1.0, reading):
+        for _ in state.apply_list_steps(1.0, reading):
             sizes.append(len(state.members()))
         steps = [abs(after - old) for old, after in itertools.pairwise(sizes)]
         check.assertLessEqual(max(steps), STEP_ROWS)
@@ -121,15 +121,15 @@
     # would be sent to the one that leaves.
     state = MembershipState(instance(0), 0.0, EPOCH_S, random.Random(1))
     members = [runner(number) for number in range(200)]
-    state.listed(0.0, members)
-    steps = state.listing(10.0, members)
+    state.apply_list(0.0, members)
+    steps = state.apply_list_steps(10.0, members)
     next(steps)
     table = state._table
     table.put(ListedRow(members[-1], MemberState.LEAVING, 20_000), "peer")
     table.put(ListedRow(runner(999), MemberState.LIVE, 20_000), "peer")
     for _ in steps:
         pass
-    state.notice(11.0, RunnerId("runner-0"), True, for_good=True)
+    state.announce_runner(11.0, RunnerId("runner-0"), True, for_good=True)
     state_by_id = {member.id: member.state for member in state.members()}
     check.assertIs(state_by_id[members[-1].id], MemberState.LEAVING)
     check.assertIs(state_by_id["runner-999"], MemberState.LIVE)
@@ -188,7 +188,7 @@
 
 def test_a_heartbeat_without_news_is_small():
     state = MembershipState(instance(0), 0.0, EPOCH_S, random.Random(1))
-    state.listed(0.0, [instance(0), instance(1)])
+    state.apply_list(0.0, [instance(0), instance(1)])
     ask = next(iter(state.tick(1.0)))
     check.assertIsInstance(ask.message, Heartbeat)
     check.assertLessEqual(len(encode(replace(ask.message, rows=[]))), 60)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -21,7 +21,7 @@
     work_row,
 )
 from egretstack.traffic import RunnerLoad
-from tests.fleet_fixtures import ENGINE, ENGINES, PLAIN, runner, work
+from tests.fleet_fixtures import ENGINE, ENGINES, PLAIN, generation_request, runner
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
@@ -32,12 +32,12 @@
 def placer(*names):
     """Give a placer and its runners."""
     table = RunnerTable()
-    table.take(0.0, [runner(name) for name in names], 1, 0.0)
+    table.apply_reading(0.0, [runner(name) for name in names], 1, 0.0)
     return Placer(table, random.Random(1)), table
 
 
 def place(one, attempt, now_s=0.0, **more):
-    return one.place(now_s, work(attempt, **more), ENGINE, whole=True)
+    return one.place(now_s, generation_request(attempt, **more), ENGINE, whole=True)
 
 
 def test_prompts_are_spread_before_any_is_read():
@@ -62,7 +62,7 @@
 
 def test_a_short_generation_gets_no_copy():
     one, _ = placer("a", "b")
-    check.assertIsNone(place(one, "w1", most=40, hint=12).backup)
+    check.assertIsNone(place(one, "w1", max_output=40, hint=12).backup)
 
 
 def test_a_question_asked_twice_gets_one_answer():
@@ -74,7 +74,7 @@
 
 def test_leaving_and_excluded_engines_get_nothing():
     one, table = placer("a", "b", "c")
-    table.notice(0.0, RunnerId("a"))
+    table.record_leaving(0.0, RunnerId("a"))
     for number in range(5):
         check.assertEqual(place(one, f"w{number}", excluded=("b",)).runner, "c")
 
@@ -83,13 +83,13 @@
     one, _ = placer()
     refused = place(one, "w1")
     check.assertIsInstance(refused, PlaceRefused)
-    check.assertGreater(one.room_after_s(0.0, work("w1")), 0)
+    check.assertGreater(one.room_after_s(0.0, generation_request("w1")), 0)
 
 
 def test_a_full_engine_gets_no_more_runs():
     # A stream that someone reads would be preempted: forecast peaks beyond the memory.
     one, _ = placer("a")
-    runs = [Run(work(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(9)]
+    runs = [Run(generation_request(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(9)]
     one.book.reported(OWN, runs)
     check.assertIsInstance(place(one, "w1"), PlaceRefused)
     one.book.reported(OWN, runs[:3])
@@ -99,7 +99,9 @@
 def test_copies_yield_to_runs():
     # Work would be refused for the sake of copies, which engines drop when room runs out.
     one, _ = placer("a", "b")
-    runs = [Run(work(f"r{n}"), RunnerId("b"), RunnerId("a"), 100, True) for n in range(7)]
+    runs = [
+        Run(generation_request(f"r{n}"), RunnerId("b"), RunnerId("a"), 100, True) for n in range(7)
+    ]
     one.book.reported(OWN, runs)
     placed = place(one, "w1")
     check.assertEqual((placed.runner, placed.backup), ("a", None))
@@ -108,29 +110,33 @@
 def test_what_cannot_start_in_time_is_refused_at_once():
     one, _ = placer("a")
     for number in range(12):
-        place(one, f"w{number}", prompt=1_000, hint=10, most=40)
+        place(one, f"w{number}", prompt=1_000, hint=10, max_output=40)
     check.assertIsInstance(place(one, "late", patience_s=0.5), PlaceRefused)
     check.assertIsInstance(place(one, "patient", patience_s=5.0), Placement)
 
 
 def test_runs_of_dead_instances_are_forgotten():
     one, _ = placer("a")
-    one.book.reported(OWN, [Run(work(f"r{n}"), RunnerId("a"), None, 0, True) for n in range(9)])
+    one.book.reported(
+        OWN, [Run(generation_request(f"r{n}"), RunnerId("a"), None, 0, True) for n in range(9)]
+    )
     one.gone([InstanceId("entry-2")])
     check.assertIsInstance(place(one, "w1"), Placement)
 
 
 def test_loads_that_the_home_told_count_where_runs_are_not_known():
     one, table = placer("a", "b")
-    one.book.reported(OWN, [Run(work(f"r{n}"), RunnerId("a"), None, 0, True) for n in range(6)])
+    one.book.reported(
+        OWN, [Run(generation_request(f"r{n}"), RunnerId("a"), None, 0, True) for n in range(6)]
+    )
     rows = one.book.load_rows(0.0)
     other = Placer(table, random.Random(2))
     other.book.told(0.0, rows)
-    check.assertEqual(other.place(0.0, work("w1"), ENGINE, whole=False).runner, "b")
+    check.assertEqual(other.place(0.0, generation_request("w1"), ENGINE, whole=False).runner, "b")
 
 
 def test_rows_of_works_and_runs_come_back():
-    run = Run(work("w1", excluded=("x",)), RunnerId("a"), RunnerId("b"), 44, True)
+    run = Run(generation_request("w1", excluded=("x",)), RunnerId("a"), RunnerId("b"), 44, True)
     check.assertEqual(run_of(run_row(run)), run)
     check.assertEqual(work_of(work_row(run.work)), run.work)
 
@@ -223,8 +229,8 @@
 
 def test_a_copy_kept_in_case_is_begun_on_free_links_only():
     one, _ = placer("a", "b")
-    run = Run(work("r1"), RunnerId("a"), None, 100, True)
-    one.book.reported(OWN, [run, Run(work("r2"), RunnerId("a"), None, 100, True)])
+    run = Run(generation_request("r1"), RunnerId("a"), None, 100, True)
+    one.book.reported(OWN, [run, Run(generation_request("r2"), RunnerId("a"), None, 100, True)])
     check.assertEqual(one.begin_copy(0.0, one.book.run("r2"), ENGINE), "b")
     check.assertIsNone(one.begin_copy(0.0, run, ENGINE))
     check.assertEqual(one.begin_copy(1.0, run, ENGINE), "b")
@@ -253,10 +259,10 @@
     # Ten works that wait would take turns in asking, and the room that came free would go to
     # whoever asked next. The home keeps the order, and gives the room out when it comes.
     one, _ = placer("a")
-    full = [Run(work(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(10)]
+    full = [Run(generation_request(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(10)]
     one.book.reported(OWN, full)
-    one.wait(0.0, work("low", prompt=4_000, rank=5), ENGINE)
-    one.wait(0.05, work("high", rank=0), ENGINE)
+    one.wait(0.0, generation_request("low", prompt=4_000, rank=5), ENGINE)
+    one.wait(0.05, generation_request("high", rank=0), ENGINE)
     check.assertEqual(one.settle(0.1), [])
     one.book.reported(OWN, full[:8])
     check.assertEqual([placed.attempt for placed in one.settle(0.2)], ["high"])
@@ -282,13 +288,13 @@
     # is late whatever happens. Served in the order of asking, it makes the next caller late too,
     # until every answer is.
     one, _ = placer("a")
-    full = [Run(work(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(10)]
+    full = [Run(generation_request(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(10)]
     one.book.reported(OWN, full)
-    one.wait(0.0, work("first", patience_s=1.8, prompt_id="p"), ENGINE)
+    one.wait(0.0, generation_request("first", patience_s=1.8, prompt_id="p"), ENGINE)
     one.settle(0.1)
     one.ended("first")
-    one.wait(2.0, work("back", patience_s=1.8, prompt_id="p"), ENGINE)
-    one.wait(2.1, work("fresh", patience_s=1.8, prompt_id="q"), ENGINE)
+    one.wait(2.0, generation_request("back", patience_s=1.8, prompt_id="p"), ENGINE)
+    one.wait(2.1, generation_request("fresh", patience_s=1.8, prompt_id="q"), ENGINE)
     one.book.reported(OWN, full[:8])
     check.assertEqual([placed.attempt for placed in one.settle(2.2)], ["fresh"])
 
@@ -297,11 +303,11 @@
     # Refused a second time, a caller gets nothing at all; a late answer is worth something to it.
     # It may not take the last of an engine's memory, which the next caller needs to be in time.
     one, _ = placer("a")
-    full = [Run(work(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(8)]
+    full = [Run(generation_request(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(8)]
     one.book.reported(OWN, full)
-    one.wait(0.0, work("late", patience_s=0.0), ENGINE)
+    one.wait(0.0, generation_request("late", patience_s=0.0), ENGINE)
     check.assertEqual(one.settle(0.1), [])
-    one.wait(0.1, work("late", patience_s=0.0), ENGINE)
+    one.wait(0.1, generation_request("late", patience_s=0.0), ENGINE)
     one.book.reported(OWN, full[:5])
     check.assertEqual([placed.attempt for placed in one.settle(0.2)], ["late"])
 
@@ -309,12 +315,12 @@
 def test_a_prompt_that_was_served_may_be_sent_anew():
     # A session that asks the same again is no caller that comes back after a refusal.
     one, _ = placer("a")
-    one.wait(0.0, work("first", patience_s=1.8, prompt_id="p"), ENGINE)
+    one.wait(0.0, generation_request("first", patience_s=1.8, prompt_id="p"), ENGINE)
     check.assertEqual([placed.attempt for placed in one.settle(0.1)], ["first"])
-    full = [Run(work(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(10)]
+    full = [Run(generation_request(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(10)]
     one.book.reported(OWN, full)
-    one.wait(5.0, work("again", patience_s=1.8, prompt_id="p"), ENGINE)
-    one.wait(5.1, work("other", prompt=4_000, patience_s=1.8, prompt_id="q"), ENGINE)
+    one.wait(5.0, generation_request("again", patience_s=1.8, prompt_id="p"), ENGINE)
+    one.wait(5.1, generation_request("other", prompt=4_000, patience_s=1.8, prompt_id="q"), ENGINE)
     one.book.reported(OWN, full[:8])
     check.assertEqual([placed.attempt for placed in one.settle(5.2)], ["again"])
 
@@ -324,7 +330,10 @@
     # of the next seconds are refused for as long as those runs go on.
     one, _ = placer("a", "b", "c", "d")
     small = replace(ENGINE, kv_capacity_tokens=22_000)
-    placed = [one.place(0.0, work(f"w{n}", prompt=3_100), small, whole=True) for n in range(8)]
+    placed = [
+        one.place(0.0, generation_request(f"w{n}", prompt=3_100), small, whole=True)
+        for n in range(8)
+    ]
     copies = sum(1 for placement in placed if placement.backup)
     check.assertGreater(copies, 0)
     check.assertLess(copies, 8)
@@ -334,11 +343,11 @@
     # Nothing would be placed for a moment after each work that gave up: the first in order no
     # longer asks, and the room is kept for it.
     one, _ = placer("a")
-    full = [Run(work(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(10)]
+    full = [Run(generation_request(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(10)]
     one.book.reported(OWN, full)
-    one.wait(0.0, work("gone", rank=0), ENGINE)
-    one.wait(0.0, work("silent", rank=1), ENGINE)
-    one.wait(0.7, work("here", rank=5), ENGINE)
+    one.wait(0.0, generation_request("gone", rank=0), ENGINE)
+    one.wait(0.0, generation_request("silent", rank=1), ENGINE)
+    one.wait(0.7, generation_request("here", rank=5), ENGINE)
     one.ended("gone")
     one.book.reported(OWN, full[:8])
     check.assertEqual([placed.attempt for placed in one.settle(0.9)], ["here"])
@@ -346,9 +355,11 @@
 
 def test_short_work_passes_what_waits():
     one, _ = placer("a")
-    one.book.reported(OWN, [Run(work(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(9)])
-    one.wait(0.0, work("long", prompt=6_000), ENGINE)
-    one.wait(0.0, work("short", prompt=800, most=40, hint=10, rank=5), ENGINE)
+    one.book.reported(
+        OWN, [Run(generation_request(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(9)]
+    )
+    one.wait(0.0, generation_request("long", prompt=6_000), ENGINE)
+    one.wait(0.0, generation_request("short", prompt=800, max_output=40, hint=10, rank=5), ENGINE)
     check.assertEqual([placed.attempt for placed in one.settle(0.1)], ["short"])
 
 
@@ -374,8 +385,10 @@
     # the notice is enough for five in the same zone only.
     table = RunnerTable()
     leaving = runner("a", state=RunnerState.LEAVING)
-    table.take(0.0, [leaving, runner("near"), runner("far", zone="leon-b")], 1, 0.0)
+    table.apply_reading(0.0, [leaving, runner("near"), runner("far", zone="leon-b")], 1, 0.0)
     one = Placer(table, random.Random(1))
-    on_near = [Run(work(f"n{n}"), RunnerId("near"), None, 100, True) for n in range(5)]
-    one.book.reported(OWN, [Run(work("r"), RunnerId("a"), None, 100, True), *on_near])
+    on_near = [
+        Run(generation_request(f"n{n}"), RunnerId("near"), None, 100, True) for n in range(5)
+    ]
+    one.book.reported(OWN, [Run(generation_request("r"), RunnerId("a"), None, 100, True), *on_near])
     check.assertEqual(one.begin_copy(0.0, one.book.run("r"), ENGINE), "near")
--- a/tests/test_promises_properties.py
+++ b/tests/test_promises_properties.py
@@ -17,7 +17,7 @@
 from egretstack.platform import Bounds
 from egretstack.relay import RetryBudget, RunKnowledge
 from egretstack.routing import RoutingConfiguration, VersionGate
-from tests.fleet_fixtures import ENGINE, ENGINES, known, runner, work
+from tests.fleet_fixtures import ENGINE, ENGINES, generation_request, known_instance, runner
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
@@ -44,14 +44,14 @@
 
 
 _other = st.builds(
-    known,
+    known_instance,
     st.integers(1, 5),
     st.sampled_from(InstanceState),
     reads_store=st.booleans(),
     strength=st.integers(0, 2),
 )
 _fleet_step = st.tuples(
-    st.sampled_from(("heard", "pointed", "told", "listed", "own")),
+    st.sampled_from(("heard", "record_referral", "told", "add_listed", "own")),
     _other,
     st.sampled_from((0.0, 0.0, 0.06, 0.3, 1.2, 4.0)),
 )
@@ -61,17 +61,17 @@
 @given(st.lists(_fleet_step, max_size=40))
 def test_a_kept_ranking_gives_the_same_home(steps):
     # Questions would go to an instance that has left, for as long as the ranking is kept.
-    kept, fresh = Fleet(known(0), 0.0), RankingEachTime(known(0), 0.0)
+    kept, fresh = Fleet(known_instance(0), 0.0), RankingEachTime(known_instance(0), 0.0)
     now_s = 0.0
     for kind, other, passed_s in steps:
         now_s += passed_s
         for view in (kept, fresh):
             if kind == "heard":
-                view.heard(now_s, other)
+                view.record_report(now_s, other)
             elif kind == "own":
                 view.own = replace(view.own, store=other.store, state=other.state)
             elif kind == "told":
-                view.told(now_s, other.instance.id, [other])
+                view.record_live_instances(now_s, other.instance.id, [other])
             else:
                 getattr(view, kind)(now_s, [other])
         check.assertEqual(kept.home(now_s), fresh.home(now_s))
@@ -106,13 +106,13 @@
     for now_s, step in enumerate(steps):
         if isinstance(step, str):
             if step in table.by_id:
-                table.notice(float(now_s), RunnerId(step))
+                table.record_leaving(float(now_s), RunnerId(step))
                 left.add(step)
         else:
             revision, states = step
             listed = [runner(name, state=state) for name, state in states.items()]
             taken = revision >= table.revision
-            table.take(float(now_s), listed, revision, float(now_s))
+            table.apply_reading(float(now_s), listed, revision, float(now_s))
             if taken:
                 left |= {name for name, state in states.items() if state is RunnerState.LEAVING}
         check.assertFalse(left & {one.id for one in table.ready(ENGINES)})
@@ -180,7 +180,7 @@
 @given(st.lists(_asking, max_size=40), st.integers(0, 99))
 def test_no_work_is_placed_twice_or_beyond_an_engines_slots(steps, seed):
     table = RunnerTable()
-    table.take(0.0, [runner(name, slots=3) for name in RUNNERS], 1, 0.0)
+    table.apply_reading(0.0, [runner(name, slots=3) for name in RUNNERS], 1, 0.0)
     one = Placer(table, random.Random(seed))
     places = {}
     for number, (attempt, prompt, rank, patience_s, gives_up) in enumerate(steps):
@@ -189,10 +189,14 @@
             one.ended(name)
             places.pop(name, None)
         elif name not in places:
-            asked = work(name, prompt=prompt, rank=rank, patience_s=patience_s, prompt_id=name)
+            asked = generation_request(
+                name, prompt=prompt, rank=rank, patience_s=patience_s, prompt_id=name
+            )
             one.wait(number * 0.01, asked, ENGINE)
         for placed in one.settle(number * 0.01):
             check.assertNotIn(placed.attempt, places)
-            places[placed.attempt] = Run(work(placed.attempt), placed.placement.runner, None)
+            places[placed.attempt] = Run(
+                generation_request(placed.attempt), placed.placement.runner, None
+            )
         runs = [run.runner for run in places.values()]
         check.assertLessEqual(max((runs.count(name) for name in RUNNERS), default=0), 3)
--- a/tests/test_runner_entries.py
+++ b/tests/test_runner_entries.py
@@ -170,7 +170,7 @@
         check.assertGreaterEqual(one.slots, 1)
         check.assertTrue(one.incarnation.name.isprintable() and one.service)
     check.assertLessEqual(len(bad), len(entries))
-    RunnerTable().take(0.0, known.runners(), 1, 0.0)
+    RunnerTable().apply_reading(0.0, known.runners(), 1, 0.0)
 
 
 @EXAMPLES
@@ -188,7 +188,7 @@
     entries = RunnerEntries()
     taken(entries, stored("i-1", GOOD | {"service": "unheard-of"}))
     table = RunnerTable()
-    table.take(0.0, entries.runners(), 1, 0.0)
+    table.apply_reading(0.0, entries.runners(), 1, 0.0)
     check.assertEqual(table.ready(ServiceName("llm")), [])
 
 
