--- a/tests/test_runner_incarnations.py
+++ b/tests/test_runner_incarnations.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from egretstack.fleet import RunnerState, RunnerTable, runner_of, runner_row
+from egretstack.fleet import RunnerState, RunnerTable, runner_from_row, runner_row
 from egretstack.ids import RunnerId
 from tests.fleet_fixtures import ENGINES, runner
 from tests.support import check, tests_of
@@ -17,7 +17,7 @@
 def ready_births(table):
     """Give name and birth of each runner that may get work."""
     return {
-        (one.incarnation.name, one.incarnation.born_ms)
+        (one.incarnation.name, one.incarnation.started_ms)
         for one in table.by_id.values()
         if table.is_ready(one.id)
     }
@@ -27,9 +27,9 @@
     # The engine would stand idle for as long as its name is remembered: it had announced its end,
     # and a notice is final. It is final for that start only.
     table = RunnerTable()
-    table.take(0.0, [runner("a", born_ms=100)], 10, 0.0)
-    table.notice(0.1, RunnerId("a@100"))
-    stopped = table.take(0.2, [runner("a", born_ms=200)], 11, 0.2)
+    table.apply_reading(0.0, [runner("a", started_ms=100)], 10, 0.0)
+    table.record_leaving(0.1, RunnerId("a@100"))
+    stopped = table.apply_reading(0.2, [runner("a", started_ms=200)], 11, 0.2)
     check.assertEqual([one.state for one in stopped], [RunnerState.GONE])
     check.assertEqual(ready_births(table), {("a", 200)})
     check.assertTrue(table.is_gone(RunnerId("a@100")))
@@ -39,48 +39,48 @@
     # Its report comes from the new process while the store still lists the former one: each later
     # reading of the old entry would undo the news.
     table = RunnerTable()
-    table.take(0.0, [runner("a", born_ms=100)], 10, 0.0)
-    check.assertEqual(table.started(RunnerId("a@100"), 200).id, "a@100")
-    check.assertIsNone(table.started(RunnerId("a@100"), 200))
-    table.take(0.2, [runner("a", born_ms=100)], 11, 0.2)
+    table.apply_reading(0.0, [runner("a", started_ms=100)], 10, 0.0)
+    check.assertEqual(table.record_start(RunnerId("a@100"), 200).id, "a@100")
+    check.assertIsNone(table.record_start(RunnerId("a@100"), 200))
+    table.apply_reading(0.2, [runner("a", started_ms=100)], 11, 0.2)
     check.assertEqual(ready_births(table), {("a", 200)})
-    table.take(0.3, [runner("a", born_ms=100, state=RunnerState.LEAVING)], 12, 0.3)
+    table.apply_reading(0.3, [runner("a", started_ms=100, state=RunnerState.LEAVING)], 12, 0.3)
     check.assertEqual(ready_births(table), {("a", 200)})
 
 
 def test_silence_of_the_former_start_is_not_the_new_ones():
     table = RunnerTable()
-    table.take(0.0, [runner("a", born_ms=100)], 10, 0.0)
-    table.silent = frozenset({RunnerId("a@100")})
+    table.apply_reading(0.0, [runner("a", started_ms=100)], 10, 0.0)
+    table.unresponsive = frozenset({RunnerId("a@100")})
     check.assertEqual(table.ready(ENGINES), [])
-    table.take(0.2, [runner("a", born_ms=200)], 11, 0.2)
+    table.apply_reading(0.2, [runner("a", started_ms=200)], 11, 0.2)
     check.assertEqual(ready_births(table), {("a", 200)})
 
 
 def test_two_entries_of_one_name():
     table = RunnerTable()
-    table.take(0.0, [runner("a", born_ms=200), runner("a", born_ms=100)], 10, 0.0)
+    table.apply_reading(0.0, [runner("a", started_ms=200), runner("a", started_ms=100)], 10, 0.0)
     check.assertEqual(ready_births(table), {("a", 200)})
-    table.take(0.1, [runner("a", born_ms=100), runner("a", born_ms=300)], 11, 0.1)
+    table.apply_reading(0.1, [runner("a", started_ms=100), runner("a", started_ms=300)], 11, 0.1)
     check.assertEqual(ready_births(table), {("a", 300)})
 
 
 def test_peers_learn_of_both_starts():
     home, peer, newcomer = RunnerTable(), RunnerTable(), RunnerTable()
-    home.take(0.0, [runner("a", born_ms=100)], 10, 0.0)
-    peer.take(0.0, [runner("a", born_ms=100)], 10, 0.0)
-    home.started(RunnerId("a@100"), 200)
-    rows = [runner_of(runner_row(one)) for one in home.by_id.values()]
+    home.apply_reading(0.0, [runner("a", started_ms=100)], 10, 0.0)
+    peer.apply_reading(0.0, [runner("a", started_ms=100)], 10, 0.0)
+    home.record_start(RunnerId("a@100"), 200)
+    rows = [runner_from_row(runner_row(one)) for one in home.by_id.values()]
     for table in (peer, newcomer):
-        table.take(0.1, rows, 10, 0.1)
+        table.apply_reading(0.1, rows, 10, 0.1)
         check.assertEqual(ready_births(table), {("a", 200)})
         check.assertFalse(table.is_ready(RunnerId("a@100")))
 
 
 def test_a_runner_without_births_is_told_apart_by_its_name_only():
     table = RunnerTable()
-    table.take(0.0, [runner("a")], 10, 0.0)
-    check.assertIsNone(table.started(RunnerId("a"), 200))
+    table.apply_reading(0.0, [runner("a")], 10, 0.0)
+    check.assertIsNone(table.record_start(RunnerId("a"), 200))
     check.assertEqual([one.id for one in table.ready(ENGINES)], ["a"])
 
 
@@ -89,20 +89,20 @@
     # seconds, its entry lapsed, and it went on serving. Its entry alone does not let it back.
     home, peer = RunnerTable(), RunnerTable()
     for table in (home, peer):
-        table.take(0.0, [runner("a"), runner("b")], 10, 0.0)
-        table.take(0.5, [runner("b")], 11, 0.5)
+        table.apply_reading(0.0, [runner("a"), runner("b")], 10, 0.0)
+        table.apply_reading(0.5, [runner("b")], 11, 0.5)
         check.assertEqual([one.id for one in table.ready(ENGINES)], ["b"])
-    home.take(1.0, [runner("a"), runner("b")], 12, 1.0)
+    home.apply_reading(1.0, [runner("a"), runner("b")], 12, 1.0)
     check.assertEqual([one.id for one in home.ready(ENGINES)], ["b"])
-    check.assertEqual([one.id for one in home.returned()], ["a"])
-    check.assertTrue(home.confirm(RunnerId("a")))
-    check.assertFalse(home.confirm(RunnerId("a")))
-    rows = [runner_of(runner_row(one)) for one in home.by_id.values()]
-    peer.take(1.2, rows, 12, 1.2)
-    home.take(1.3, [runner("a"), runner("b")], 13, 1.3)
+    check.assertEqual([one.id for one in home.relisted()], ["a"])
+    check.assertTrue(home.confirm_alive(RunnerId("a")))
+    check.assertFalse(home.confirm_alive(RunnerId("a")))
+    rows = [runner_from_row(runner_row(one)) for one in home.by_id.values()]
+    peer.apply_reading(1.2, rows, 12, 1.2)
+    home.apply_reading(1.3, [runner("a"), runner("b")], 13, 1.3)
     for table in (home, peer):
         check.assertEqual({one.id for one in table.ready(ENGINES)}, {"a", "b"})
-    peer.take(1.4, [runner("b")], 14, 1.4)
+    peer.apply_reading(1.4, [runner("b")], 14, 1.4)
     check.assertEqual([one.id for one in peer.ready(ENGINES)], ["b"])
 
 
@@ -110,20 +110,20 @@
     # The store lists a runner again that is gone, by a heartbeat long on its way; another one has
     # its address. Nobody asks there in its name.
     table = RunnerTable()
-    table.take(0.0, [runner("a", address="10.2.0.9:80")], 10, 0.0)
-    table.take(1.0, [], 11, 1.0)
+    table.apply_reading(0.0, [runner("a", address="10.2.0.9:80")], 10, 0.0)
+    table.apply_reading(1.0, [], 11, 1.0)
     new = runner("b", address="10.2.0.9:80")
-    table.take(2.0, [runner("a", address="10.2.0.9:80"), new], 12, 2.0)
-    check.assertEqual(table.returned(), [])
+    table.apply_reading(2.0, [runner("a", address="10.2.0.9:80"), new], 12, 2.0)
+    check.assertEqual(table.relisted(), [])
     check.assertEqual([one.id for one in table.ready(ENGINES)], ["b"])
 
 
 def test_a_runner_that_said_it_leaves_is_not_asked_again():
     table = RunnerTable()
-    table.take(0.0, [runner("a", state=RunnerState.LEAVING)], 10, 0.0)
-    table.take(0.5, [], 11, 0.5)
-    table.take(1.0, [runner("a")], 12, 1.0)
-    check.assertEqual(table.returned(), [])
+    table.apply_reading(0.0, [runner("a", state=RunnerState.LEAVING)], 10, 0.0)
+    table.apply_reading(0.5, [], 11, 0.5)
+    table.apply_reading(1.0, [runner("a")], 12, 1.0)
+    check.assertEqual(table.relisted(), [])
     check.assertEqual(table.ready(ENGINES), [])
 
 
@@ -131,12 +131,12 @@
     # The home's question is on its way when the entry tells that the runner leaves; an answer that
     # comes after it is older news.
     table = RunnerTable()
-    table.take(0.0, [runner("a")], 10, 0.0)
-    table.take(0.5, [], 11, 0.5)
-    table.take(1.0, [runner("a")], 12, 1.0)
-    check.assertEqual([one.id for one in table.returned()], ["a"])
-    table.take(1.1, [runner("a", state=RunnerState.LEAVING)], 13, 1.1)
-    check.assertFalse(table.confirm(RunnerId("a")))
+    table.apply_reading(0.0, [runner("a")], 10, 0.0)
+    table.apply_reading(0.5, [], 11, 0.5)
+    table.apply_reading(1.0, [runner("a")], 12, 1.0)
+    check.assertEqual([one.id for one in table.relisted()], ["a"])
+    table.apply_reading(1.1, [runner("a", state=RunnerState.LEAVING)], 13, 1.1)
+    check.assertFalse(table.confirm_alive(RunnerId("a")))
     check.assertEqual(table.ready(ENGINES), [])
 
 
@@ -163,19 +163,19 @@
                 for name, born, _ in entries:
                     newest[name] = max(newest.get(name, 0), born)
             state = {True: RunnerState.LEAVING, False: RunnerState.READY}
-            listed = [runner(name, born_ms=b, state=state[left]) for name, b, left in entries]
-            table.take(float(second), listed, revision, float(second))
+            listed = [runner(name, started_ms=b, state=state[left]) for name, b, left in entries]
+            table.apply_reading(float(second), listed, revision, float(second))
         elif kind == "born" and rest[0] in newest:
             name, born = rest
-            table.started(RunnerId(f"{name}@{newest[name]}"), born)
+            table.record_start(RunnerId(f"{name}@{newest[name]}"), born)
             newest[name] = max(newest[name], born)
         elif kind == "notice":
             name, born = rest
             if RunnerId(f"{name}@{born}") in table.by_id:
-                table.notice(float(second), RunnerId(f"{name}@{born}"))
+                table.record_leaving(float(second), RunnerId(f"{name}@{born}"))
                 told.add((name, born))
         elif kind == "silent":
-            table.silent = frozenset({RunnerId(f"{rest[0]}@{rest[1]}")})
+            table.unresponsive = frozenset({RunnerId(f"{rest[0]}@{rest[1]}")})
         ready = ready_births(table)
         check.assertTrue(all(newest[name] == born for name, born in ready), ready)
         check.assertFalse(ready & told)
@@ -187,9 +187,9 @@
     table = RunnerTable()
     for second, (kind, *rest) in enumerate(steps):
         if kind == "reading":
-            listed = [runner(name, born_ms=b) for name, b, _ in rest[1]]
-            table.take(float(second), listed, rest[0], float(second))
+            listed = [runner(name, started_ms=b) for name, b, _ in rest[1]]
+            table.apply_reading(float(second), listed, rest[0], float(second))
         elif kind == "notice":
-            table.notice(float(second), RunnerId(f"{rest[0]}@{rest[1]}"))
-    table.take(99.0, [runner("a", born_ms=born)], 99, 99.0)
+            table.record_leaving(float(second), RunnerId(f"{rest[0]}@{rest[1]}"))
+    table.apply_reading(99.0, [runner("a", started_ms=born)], 99, 99.0)
     check.assertIn(("a", born), ready_births(table))
--- a/tests/test_runner_leaving.py
+++ b/tests/test_runner_leaving.py
@@ -29,7 +29,7 @@
 
 def sees_leaving(site, runner, entry=0):
     """Tell whether an instance knows that a runner leaves."""
-    return site.kernels[entry].get(FleetPort).runners.stopped_s(runner.runner_id) is not None
+    return site.kernels[entry].get(FleetPort).runners.stopped_since_s(runner.runner_id) is not None
 
 
 def isolate(site):
--- a/tests/test_runner_rests.py
+++ b/tests/test_runner_rests.py
@@ -158,7 +158,7 @@
     # Guards against a rest that the home keeps for others, or that a shorter one cuts off.
     table = RunnerTable()
     one = runner("a")
-    table.take(0.0, [one], 1, 0.0)
+    table.apply_reading(0.0, [one], 1, 0.0)
     rests = RunnerRests(table)
     rests.asked(1.0, one.id, 3.0)
     rests.asked(1.5, one.id, 1.0)
--- a/tests/test_runner_strikes.py
+++ b/tests/test_runner_strikes.py
@@ -15,7 +15,7 @@
 )
 from egretstack.services.fleet_port import FleetPort
 from standins.platform import PlainFault
-from tests.fleet_fixtures import ENGINE, PLAIN, runner, work
+from tests.fleet_fixtures import ENGINE, PLAIN, generation_request, runner
 from tests.platform_site import platform_site
 from tests.stream_reader import read
 from tests.support import check, on_real_clock, tests_of
@@ -75,13 +75,15 @@
 
 def test_no_generation_goes_to_a_suspected_engine():
     table = RunnerTable()
-    table.take(0.0, [runner("a"), runner("b")], 1, 0.0)
+    table.apply_reading(0.0, [runner("a"), runner("b")], 1, 0.0)
     table.suspects = frozenset({BAD})
     placer = Placer(table, random.Random(1))
-    places = [placer.place(0.0, work(f"w-{n}"), ENGINE, whole=True).runner for n in range(4)]
+    places = [
+        placer.place(0.0, generation_request(f"w-{n}"), ENGINE, whole=True).runner for n in range(4)
+    ]
     check.assertEqual(set(places), {"b"})
-    table.take(0.1, [runner("a")], 2, 0.1)
-    check.assertEqual(placer.place(0.1, work("w-9"), ENGINE, whole=True).runner, BAD)
+    table.apply_reading(0.1, [runner("a")], 2, 0.1)
+    check.assertEqual(placer.place(0.1, generation_request("w-9"), ENGINE, whole=True).runner, BAD)
 
 
 def test_counts_end_with_the_window():
