--- a/egretstack/fleet/__init__.py
+++ b/egretstack/fleet/__init__.py
@@ -37,8 +37,8 @@
 from egretstack.fleet._runner import Incarnation, Runner, RunnerState
 from egretstack.fleet._runner_limits import RunnerLimits, checked_limit, limit_from_row
 from egretstack.fleet._runner_table import RunnerTable
-from egretstack.fleet._silence import UnansweredQueries
 from egretstack.fleet._store_watch import StoreWatch
+from egretstack.fleet._unanswered import UnansweredQueries
 from egretstack.fleet._versioned_rows import VersionedRows
 
 __all__ = [
--- a/egretstack/fleet/_configuration_link.py
+++ b/egretstack/fleet/_configuration_link.py
@@ -15,13 +15,13 @@
 TRANSFER_TIMEOUT_S = 1.0
 MAX_BYTES = 4_194_304
 """Several times the largest object that the store holds."""
-_LEVEL = 1
+_COMPRESSION_LEVEL = 1
 """The fastest: rows of a configuration are so alike that a higher one gains little."""
 
 
 def pack_text(text: bytes) -> bytes:
     """Give what peers get for a text; made once for all of them."""
-    return msgpack.packb(zlib.compress(text, _LEVEL))
+    return msgpack.packb(zlib.compress(text, _COMPRESSION_LEVEL))
 
 
 async def send_packed(stream: trio.SocketStream, packed: bytes) -> None:
@@ -42,8 +42,8 @@
         with trio.fail_after(TRANSFER_TIMEOUT_S):
             stream, _ = await open_connection(host, int(port))
             async with stream:
-                async for part in stream:
-                    data += part
+                async for chunk in stream:
+                    data += chunk
                     if len(data) > MAX_BYTES:
                         raise OSError("a configuration too large")
         return unpack_text(bytes(data))
--- a/egretstack/fleet/_fleet.py
+++ b/egretstack/fleet/_fleet.py
@@ -15,29 +15,29 @@
 
 REPORT_PERIOD_S = 0.25
 """How often instances report and the home tells; also the grain of all that is learned so."""
-SILENT_AFTER_S = 1.1
+INSTANCE_TIMEOUT_S = 1.1
 """Four reports missed: datagrams are lost now and then, rarely four in a row."""
-HOME_SILENT_AFTER_S = 0.8
+HOME_TIMEOUT_S = 0.8
 """Three tellings missed; then the next in line is asked."""
-SHUNNED_S = 3.0
+HOME_EXCLUSION_S = 3.0
 """How long a silent home is left out of the choice, unless it is heard again."""
-POINTED_AGE_S = 0.5
+REFERRAL_AGE_S = 0.5
 """How old second-hand word of an instance is taken to be."""
-VOUCHED_LIFE_S = 2.5
+HOME_LIVENESS_TTL_S = 2.5
 """How long the word of a home counts after its last telling: until it is taken for silent, and the
 next one has been heard of, told everybody, and perhaps had to tell again. Callers would meanwhile
 be sent to the few instances that this one hears itself."""
-LISTED_HOPE_S = 1.5
+LISTED_CANDIDATE_S = 1.5
 """How long an instance that is only listed somewhere counts as a possible home."""
-PROBES = 2
+STORE_PROBES = 2
 """Instances that try the store while the home does not reach it, beside the next in line."""
-OUTAGE_S = 2.0
+OUTAGE_THRESHOLD_S = 2.0
 """How long nobody reads the store in an outage of all. A home that is cut off alone is replaced
 sooner than that: one of a few others is asked to read, and does."""
-RETURN_S = 1.5
+STORE_RETURN_GRACE_S = 1.5
 """Time for the home to read the store after such an outage, before whoever reads takes its place:
 its call that is under way may hang for a second, and then it asks again."""
-RANKED_FOR_S = 0.05
+RANKING_TTL_S = 0.05
 """How long a ranking is kept while nobody's rank changes. It is asked for at each
 message, and sorting a large fleet each time takes the time that messages need. An instance that
 fell silent is noticed this much later."""
@@ -55,14 +55,14 @@
     """Its place by hash."""
     rank: Rank
     """Worked out when what is known of it changes, which is far less often than it is asked for."""
-    heard_s: float
+    last_seen_s: float
     """When its own report last came, or a home that hears it told of it."""
-    reported_s: float = float("-inf")
+    last_report_s: float = float("-inf")
     """When its own report last came. But for its first moments a home vouches by this alone, or two
     homes would keep an instance alive by telling each other of it."""
-    vouched: bool = False
+    live_per_home: bool = False
     """Whether the home last told that it lives."""
-    shunned_until_s: float = float("-inf")
+    excluded_until_s: float = float("-inf")
 
 
 class Fleet:
@@ -74,83 +74,83 @@
         self._record_by_id: dict[InstanceId, _Record] = {}
         self._home: InstanceId | None = None
         self._home_since_s = now_s
-        self._told_s = float("-inf")
+        self._home_update_s = float("-inf")
         """When the present home last told."""
-        self._vouched_s = float("-inf")
+        self._home_liveness_s = float("-inf")
         """When a home last told which instances live, or that this has not changed."""
-        self._told_config = 0
-        self._told_holders: tuple[InstanceId, ...] = ()
-        self._unread_since_s: float | None = None
+        self._newest_config = 0
+        self._newest_config_holders: tuple[InstanceId, ...] = ()
+        self._outage_since_s: float | None = None
         """Since when no instance is known to reach the store, and some tried."""
-        self._returned_s = float("-inf")
+        self._store_returned_s = float("-inf")
         """When the store was back after an outage of all."""
-        self._kept_ranking: list[InstanceId] = []
-        self._ranked_own: KnownInstance | None = None
+        self._cached_ranking: list[InstanceId] = []
+        self._cached_for_own: KnownInstance | None = None
         """What was known of this instance when the kept ranking was made; None if it is void."""
-        self._ranked_s = now_s
+        self._cached_s = now_s
 
     def add_listed(self, now_s: float, instances: Iterable[KnownInstance]) -> None:
         """Note instances that the store lists; they may be long gone."""
         for known in instances:
             if known.instance.id not in self._record_by_id:
-                self._note(now_s - SILENT_AFTER_S, known)
+                self._upsert(now_s - INSTANCE_TIMEOUT_S, known)
 
     def record_referral(self, now_s: float, instances: Iterable[KnownInstance]) -> None:
         """Note the living instances that one which is not the home pointed to."""
         for known in instances:
-            record = self._note(now_s, known)
+            record = self._upsert(now_s, known)
             if record is not None:
-                record.heard_s = max(record.heard_s, now_s - POINTED_AGE_S)
+                record.last_seen_s = max(record.last_seen_s, now_s - REFERRAL_AGE_S)
 
     def record_report(self, now_s: float, known: KnownInstance) -> None:
         """Note a report that an instance sent itself."""
-        record = self._note(now_s, known)
+        record = self._upsert(now_s, known)
         if record is not None:
-            record.reported_s = now_s
-            self._heard_now(now_s, record)
+            record.last_report_s = now_s
+            self._mark_seen(now_s, record)
 
     def record_live_instances(
         self, now_s: float, sender: InstanceId, rows: Iterable[KnownInstance]
     ) -> None:
         """Note which instances live, all of them, as one that takes itself for the home told."""
-        vouched = {sender}
+        live = {sender}
         for known in rows:
-            if self._note(now_s, self._with_version(now_s, known)) is not None:
-                vouched.add(known.instance.id)
+            if self._upsert(now_s, self._with_reported_config(now_s, known)) is not None:
+                live.add(known.instance.id)
         for name, record in self._record_by_id.items():
-            if record.vouched != (name in vouched):
-                record.vouched = name in vouched
-                self._ranked_own = None
+            if record.live_per_home != (name in live):
+                record.live_per_home = name in live
+                self._cached_for_own = None
         self.record_home_alive(now_s, sender)
 
     def record_home_alive(self, now_s: float, sender: InstanceId) -> None:
         """Note that the home told that the instances it vouched for still live."""
         record = self._record_by_id.get(sender)
         if record is not None:
-            self._heard_now(now_s, record)
+            self._mark_seen(now_s, record)
         if sender == self._home:
-            self._told_s = self._vouched_s = now_s
+            self._home_update_s = self._home_liveness_s = now_s
 
     def record_home(self, now_s: float, known: KnownInstance) -> None:
         """Note an instance that tells as the home."""
-        record = self._note(now_s, known)
+        record = self._upsert(now_s, known)
         if record is not None:
-            self._heard_now(now_s, record)
+            self._mark_seen(now_s, record)
         if known.instance.id == self._home:
-            self._told_s = now_s
+            self._home_update_s = now_s
 
     def record_newest_config(self, version: int, holders: Iterable[InstanceId]) -> None:
         """Note the newest configuration of the fleet, and some instances that have it."""
-        self._told_config = version
-        self._told_holders = tuple(holders)
+        self._newest_config = version
+        self._newest_config_holders = tuple(holders)
 
     def home(self, now_s: float) -> InstanceId:
         """Give the instance that is asked for decisions of the whole fleet."""
         ranked = self._ranked(now_s)
         first = ranked[0]
-        if first == self._home and self._is_silent(now_s):
-            self._record_by_id[first].shunned_until_s = now_s + SHUNNED_S
-            self._ranked_own = None
+        if first == self._home and self._is_home_unresponsive(now_s):
+            self._record_by_id[first].excluded_until_s = now_s + HOME_EXCLUSION_S
+            self._cached_for_own = None
             first = self._ranked(now_s)[0]
         if first != self._home:
             self._home = first
@@ -168,27 +168,29 @@
         """
         self.home(now_s)
         own = self.own.instance.id
-        silent = self._home != own and now_s - self._told_s > HOME_SILENT_AFTER_S
+        silent = self._home != own and now_s - self._home_update_s > HOME_TIMEOUT_S
         return silent or own in self.watchers(now_s)
 
     def watchers(self, now_s: float) -> set[InstanceId]:
         """Give the instances that watch the store for all, as far as is known here."""
         ranked = self._ranked(now_s)
-        return {*ranked[:2], *self._probes(ranked)}
+        return {*ranked[:2], *self._store_probes(ranked)}
 
-    def _probes(self, ranked: list[InstanceId]) -> list[InstanceId]:
+    def _store_probes(self, ranked: list[InstanceId]) -> list[InstanceId]:
         """Give who tries the store because the home does not reach it.
 
         A few at a time: one that reaches it becomes home. If all tried, an outage of the store
         would cost as many calls as there are instances, again and again.
         """
-        if self._store(ranked[0]) is not StoreReachability.UNREACHABLE:
+        if self._store_reachability(ranked[0]) is not StoreReachability.UNREACHABLE:
             return []
-        return [one for one in ranked if self._store(one) is not StoreReachability.UNREACHABLE][
-            :PROBES
-        ]
+        return [
+            one
+            for one in ranked
+            if self._store_reachability(one) is not StoreReachability.UNREACHABLE
+        ][:STORE_PROBES]
 
-    def _store(self, instance: InstanceId) -> StoreReachability:
+    def _store_reachability(self, instance: InstanceId) -> StoreReachability:
         own = instance == self.own.instance.id
         return self.own.store if own else self._record_by_id[instance].known.store
 
@@ -201,7 +203,7 @@
     def live(self, now_s: float) -> list[KnownInstance]:
         """Give the instances that were heard of lately, this one first."""
         others = [
-            record.known for record in self._record_by_id.values() if self._lives(now_s, record)
+            record.known for record in self._record_by_id.values() if self._is_live(now_s, record)
         ]
         return [self.own, *others]
 
@@ -211,12 +213,12 @@
         A new home also takes the former one's word for as long as a report may take to come: it was
         not next in line for all of them if two homes died.
         """
-        is_new = now_s - self._home_since_s < SILENT_AFTER_S
+        is_new = now_s - self._home_since_s < INSTANCE_TIMEOUT_S
         return [
             record.known
             for record in self._record_by_id.values()
-            if now_s - record.reported_s < SILENT_AFTER_S
-            or (is_new and record.vouched and self._is_vouched(now_s))
+            if now_s - record.last_report_s < INSTANCE_TIMEOUT_S
+            or (is_new and record.live_per_home and self._is_home_liveness_fresh(now_s))
         ]
 
     def not_live(self, now_s: float) -> list[Instance]:
@@ -224,13 +226,13 @@
         return [
             record.known.instance
             for record in self._record_by_id.values()
-            if not self._lives(now_s, record)
+            if not self._is_live(now_s, record)
         ]
 
     def has_live_home(self, now_s: float) -> bool:
         """Tell whether this instance hears a home other than itself."""
         home = self.home(now_s)
-        return home != self.own.instance.id and now_s - self._told_s <= HOME_SILENT_AFTER_S
+        return home != self.own.instance.id and now_s - self._home_update_s <= HOME_TIMEOUT_S
 
     def last_known(self, instance: InstanceId) -> KnownInstance | None:
         """Give what was last said of another instance."""
@@ -259,74 +261,74 @@
         """
         live = self.live(now_s)
         newest = max(known.config_version for known in live)
-        if max(newest, self._told_config) <= self.own.config_version:
+        if max(newest, self._newest_config) <= self.own.config_version:
             return []
-        if self._told_config > newest:
-            told = set(self._told_holders)
+        if self._newest_config > newest:
+            told = set(self._newest_config_holders)
             return [known for known in live if known.instance.id in told]
         return [known for known in live if known.config_version == newest]
 
-    def _with_version(self, now_s: float, known: KnownInstance) -> KnownInstance:
+    def _with_reported_config(self, now_s: float, known: KnownInstance) -> KnownInstance:
         """Give an instance that a home told of, with the configuration that it reported itself."""
         record = self._record_by_id.get(known.instance.id)
-        if record is None or now_s - record.reported_s >= SILENT_AFTER_S:
+        if record is None or now_s - record.last_report_s >= INSTANCE_TIMEOUT_S:
             return known
         version = max(known.config_version, record.known.config_version)
         return replace(known, config_version=version)
 
-    def _is_vouched(self, now_s: float) -> bool:
-        return now_s - self._vouched_s < VOUCHED_LIFE_S
+    def _is_home_liveness_fresh(self, now_s: float) -> bool:
+        return now_s - self._home_liveness_s < HOME_LIVENESS_TTL_S
 
-    def _lives(self, now_s: float, record: _Record) -> bool:
-        heard = now_s - record.heard_s < SILENT_AFTER_S
-        return heard or (record.vouched and self._is_vouched(now_s))
+    def _is_live(self, now_s: float, record: _Record) -> bool:
+        seen = now_s - record.last_seen_s < INSTANCE_TIMEOUT_S
+        return seen or (record.live_per_home and self._is_home_liveness_fresh(now_s))
 
-    def _note(self, now_s: float, known: KnownInstance) -> _Record | None:
-        name = known.instance.id
-        if name == self.own.instance.id:
+    def _upsert(self, now_s: float, known: KnownInstance) -> _Record | None:
+        instance = known.instance.id
+        if instance == self.own.instance.id:
             return None
-        record = self._record_by_id.get(name)
+        record = self._record_by_id.get(instance)
         if record is None:
             if len(self._record_by_id) >= MAX_INSTANCES:
-                self._forget_oldest()
-            record = self._record_by_id[name] = _Record(
-                known, digest := _digest(name), _rank(known, digest), now_s
+                self._evict_oldest()
+            record = self._record_by_id[instance] = _Record(
+                known, digest := _digest(instance), _rank(known, digest), now_s
             )
-            self._ranked_own = None
-        if record.known != known or not self._may_be_home(now_s, record):
-            self._ranked_own = None
+            self._cached_for_own = None
+        if record.known != known or not self._is_candidate(now_s, record):
+            self._cached_for_own = None
         if record.known is not known:
             record.known, record.rank = known, _rank(known, record.digest)
         return record
 
-    def _heard_now(self, now_s: float, record: _Record) -> None:
-        if record.shunned_until_s > now_s:
-            self._ranked_own = None
-        record.heard_s = now_s
-        record.shunned_until_s = float("-inf")
+    def _mark_seen(self, now_s: float, record: _Record) -> None:
+        if record.excluded_until_s > now_s:
+            self._cached_for_own = None
+        record.last_seen_s = now_s
+        record.excluded_until_s = float("-inf")
 
-    def _forget_oldest(self) -> None:
-        oldest = min(self._record_by_id, key=lambda name: self._record_by_id[name].heard_s)
+    def _evict_oldest(self) -> None:
+        oldest = min(self._record_by_id, key=lambda name: self._record_by_id[name].last_seen_s)
         del self._record_by_id[oldest]
 
-    def _is_silent(self, now_s: float) -> bool:
+    def _is_home_unresponsive(self, now_s: float) -> bool:
         if self._home == self.own.instance.id:
             return False
-        return now_s - max(self._told_s, self._home_since_s) > HOME_SILENT_AFTER_S
+        return now_s - max(self._home_update_s, self._home_since_s) > HOME_TIMEOUT_S
 
     def _ranked(self, now_s: float) -> list[InstanceId]:
-        fresh = 0.0 <= now_s - self._ranked_s < RANKED_FOR_S
-        if not fresh or self._ranked_own is not self.own:
-            self._kept_ranking = self._rank_all(now_s)
-            self._ranked_own, self._ranked_s = self.own, now_s
-        return self._kept_ranking
+        fresh = 0.0 <= now_s - self._cached_s < RANKING_TTL_S
+        if not fresh or self._cached_for_own is not self.own:
+            self._cached_ranking = self._rank_all(now_s)
+            self._cached_for_own, self._cached_s = self.own, now_s
+        return self._cached_ranking
 
-    def _may_be_home(self, now_s: float, record: _Record) -> bool:
+    def _is_candidate(self, now_s: float, record: _Record) -> bool:
         """Tell whether an instance is not shunned, and was heard of lately."""
-        if record.shunned_until_s > now_s:
+        if record.excluded_until_s > now_s:
             return False
-        hoped = now_s - record.heard_s < SILENT_AFTER_S + LISTED_HOPE_S
-        return hoped or (record.vouched and self._is_vouched(now_s))
+        recent = now_s - record.last_seen_s < INSTANCE_TIMEOUT_S + LISTED_CANDIDATE_S
+        return recent or (record.live_per_home and self._is_home_liveness_fresh(now_s))
 
     def _rank_all(self, now_s: float) -> list[InstanceId]:
         """Give all that may be home, the first to be it in front.
@@ -337,12 +339,12 @@
         store answers first, a few in each tenth of a second, would take its place one after the
         other, and generations be placed by several of them.
         """
-        records = [one for one in self._record_by_id.values() if self._may_be_home(now_s, one)]
+        records = [one for one in self._record_by_id.values() if self._is_candidate(now_s, one)]
         stores = {one.known.store for one in records} | {self.own.store}
         rows = [one.rank for one in records]
         rows.append(_rank(self.own, self._own_digest))
-        self._note_outage(now_s, stores)
-        returning = now_s - self._returned_s < RETURN_S
+        self._track_outage(now_s, stores)
+        returning = now_s - self._store_returned_s < STORE_RETURN_GRACE_S
         if (
             StoreReachability.REACHABLE in stores
             and StoreReachability.UNREACHABLE in stores
@@ -359,14 +361,14 @@
         rows.sort()
         return [row[3] for row in rows]
 
-    def _note_outage(self, now_s: float, stores: set[StoreReachability]) -> None:
+    def _track_outage(self, now_s: float, stores: set[StoreReachability]) -> None:
         """Note when nobody reaches the store, and when that is over."""
         if StoreReachability.REACHABLE in stores:
-            began_s, self._unread_since_s = self._unread_since_s, None
-            if began_s is not None and now_s - began_s >= OUTAGE_S:
-                self._returned_s = now_s
-        elif StoreReachability.UNREACHABLE in stores and self._unread_since_s is None:
-            self._unread_since_s = now_s
+            began_s, self._outage_since_s = self._outage_since_s, None
+            if began_s is not None and now_s - began_s >= OUTAGE_THRESHOLD_S:
+                self._store_returned_s = now_s
+        elif StoreReachability.UNREACHABLE in stores and self._outage_since_s is None:
+            self._outage_since_s = now_s
 
 
 def _digest(instance: InstanceId) -> bytes:
--- a/egretstack/fleet/_messages.py
+++ b/egretstack/fleet/_messages.py
@@ -177,13 +177,13 @@
 
 def instance_row(known: KnownInstance) -> list:
     """Give the row of an instance."""
-    one = known.instance
+    instance = known.instance
     return [
-        one.id,
-        one.zone,
-        one.front_address,
-        one.peer_address,
-        one.strength,
+        instance.id,
+        instance.zone,
+        instance.front_address,
+        instance.peer_address,
+        instance.strength,
         known.incarnation,
         known.state.value,
         known.store.value,
@@ -237,24 +237,24 @@
 def runner_from_row(row: object) -> Runner:
     """Read the row of a runner. Raises MessageError."""
     try:
-        name, born_ms, service, address, zone, slots, state, cold_ms, back_at = row
+        name, started_ms, service, address, zone, slots, state, cold_ms, confirmed_at = row
         return Runner(
-            Incarnation(RunnerName(str(name)), None if born_ms is None else int(born_ms)),
+            Incarnation(RunnerName(str(name)), None if started_ms is None else int(started_ms)),
             ServiceName(str(service)),
             str(address),
             ZoneName(str(zone)),
             int(slots),
             RunnerState(state),
             int(cold_ms) / 1000,
-            int(back_at),
+            int(confirmed_at),
         )
     except (TypeError, ValueError) as error:
         raise MessageError(f"not a runner: {error}") from error
 
 
-def parse_rows(rows: Iterable, read) -> list:
+def parse_rows(rows: Iterable, parse_row) -> list:
     """Read the rows of a message; raise MessageError if there are too many or one is bad."""
     rows = list(rows)
     if len(rows) > MAX_ROWS:
         raise MessageError(f"{len(rows)} rows")
-    return [read(row) for row in rows]
+    return [parse_row(row) for row in rows]
--- a/egretstack/fleet/_nearest.py
+++ b/egretstack/fleet/_nearest.py
@@ -10,15 +10,15 @@
     instances: list[Instance],
     region_by_zone: Mapping[ZoneName, RegionName],
     region: RegionName,
-    home_regions: Collection[RegionName],
+    allowed_regions: Collection[RegionName],
 ) -> list[Instance]:
     """Give the instances of the callers' region, else of the homes of what they ask, else all.
 
     Bodies of requests that are bound to regions then go to no others, as long as an instance is
     ready in one of them.
     """
-    for regions in ({region}, home_regions):
-        near = [one for one in instances if region_by_zone.get(one.zone) in regions]
-        if near:
-            return near
+    for regions in ({region}, allowed_regions):
+        nearby = [one for one in instances if region_by_zone.get(one.zone) in regions]
+        if nearby:
+            return nearby
     return instances
--- a/egretstack/fleet/_news.py
+++ b/egretstack/fleet/_news.py
@@ -30,12 +30,12 @@
 RESEND_AFTER_S = 0.3
 """How long news are taken to be on their way, from the first that is not reported to be held: a
 little more than a report's period. Whoever misses some asks at once."""
-ANSWERED_S = 0.1
+ACK_TIMEOUT_S = 0.1
 """Time after which an instance's report shows what was told before, many times a round trip. One
 that does not has lost it: a later report need not be waited for."""
 REPEAT_AFTER_S = 0.05
 """When urgent news go out once more, before the reports can tell who has lost them."""
-_LEVEL = 1
+_COMPRESSION_LEVEL = 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,19 +55,19 @@
     upto: int
     packed: bytes
 
-    def fill(self, news: FleetNews) -> FleetNews:
+    def fill(self, update: FleetNews) -> FleetNews:
         """Give news with these rows."""
-        return replace(news, base=self.base, upto=self.upto, rows=self.packed)
+        return replace(update, base=self.base, upto=self.upto, rows=self.packed)
 
 
 @dataclass(slots=True)
-class _Told:
+class _Progress:
     held: int = 0
     sent: int = 0
-    sent_s: float = float("-inf")
+    first_sent_s: float = float("-inf")
     """When the first of what is sent and not held yet went out. Were it the last, a part that was
     lost would never be sent again while other rows change."""
-    latest_s: float = float("-inf")
+    last_sent_s: float = float("-inf")
     """When the last of it went out."""
 
 
@@ -85,9 +85,9 @@
         self.epoch = draw_epoch()
         self.continued = held
         self.rows = rows
-        self._told_by_instance: dict[InstanceId, _Told] = {}
+        self._progress_by_instance: dict[InstanceId, _Progress] = {}
         self._parts_by_base: dict[int, list[UpdatePart]] = {}
-        self._parts_state: tuple[int, int] | None = None
+        self._parts_version: tuple[int, int] | None = None
         self._urgent_since: int | None = None
         """The version before the urgent changes that have been told once; None if all were told
         again."""
@@ -100,7 +100,7 @@
                 HeldVersion(),
                 VersionedRows(),
             )
-            self._told_by_instance.clear()
+            self._progress_by_instance.clear()
             self._urgent_since = None
         return self.rows.replace_all(row_by_key)
 
@@ -122,49 +122,49 @@
         """
         if self._urgent_since is None:
             return []
-        told = self._told(instance)
-        base = max(told.held, self._urgent_since)
+        progress = self._progress(instance)
+        base = max(progress.held, self._urgent_since)
         return [] if base >= self.rows.version else self._parts(base)
 
     def record_held(self, instance: InstanceId, held: HeldVersion, *, missed: bool = False) -> None:
         """Note what an instance reports to hold; `missed` if it could not use what came later."""
-        told = self._told(instance)
-        told.held = self._own_version(held)
+        progress = self._progress(instance)
+        progress.held = self._translate_version(held)
         if missed:
-            told.sent = told.held
+            progress.sent = progress.held
 
     def retain(self, kept: set[InstanceId]) -> None:
         """Forget instances that are not among those kept."""
-        for instance in self._told_by_instance.keys() - kept:
-            del self._told_by_instance[instance]
+        for instance in self._progress_by_instance.keys() - kept:
+            del self._progress_by_instance[instance]
 
     def is_behind(self, now_s: float, instance: InstanceId) -> bool:
         """Tell whether an instance that has just reported lacks something not on its way."""
-        told = self._told(instance)
-        if now_s - told.latest_s >= ANSWERED_S:
-            told.sent = told.held
+        progress = self._progress(instance)
+        if now_s - progress.last_sent_s >= ACK_TIMEOUT_S:
+            progress.sent = progress.held
         return self._base(now_s, instance) < self.rows.version
 
     def parts_for(self, now_s: float, instance: InstanceId) -> list[UpdatePart]:
         """Give what to send to an instance now, and take it as sent; at least one part."""
         base = self._base(now_s, instance)
-        told = self._told(instance)
-        if base == told.held:
-            told.sent_s = now_s
+        progress = self._progress(instance)
+        if base == progress.held:
+            progress.first_sent_s = now_s
         if base < self.rows.version:
-            told.latest_s = now_s
-        told.sent = self.rows.version
+            progress.last_sent_s = now_s
+        progress.sent = self.rows.version
         return self._parts(base)
 
-    def _told(self, instance: InstanceId) -> _Told:
-        return self._told_by_instance.setdefault(instance, _Told())
+    def _progress(self, instance: InstanceId) -> _Progress:
+        return self._progress_by_instance.setdefault(instance, _Progress())
 
     def _base(self, now_s: float, instance: InstanceId) -> int:
-        told = self._told(instance)
-        on_its_way = now_s - told.sent_s < RESEND_AFTER_S
-        return max(told.held, told.sent) if on_its_way else told.held
+        progress = self._progress(instance)
+        in_flight = now_s - progress.first_sent_s < RESEND_AFTER_S
+        return max(progress.held, progress.sent) if in_flight else progress.held
 
-    def _own_version(self, held: HeldVersion) -> int:
+    def _translate_version(self, held: HeldVersion) -> int:
         """Give a version of another home in this one's numbers; 0 if it tells nothing here."""
         continued = self.continued
         goes_on = held.epoch == continued.epoch and held.version <= continued.version
@@ -174,11 +174,11 @@
 
     def _parts(self, base: int) -> list[UpdatePart]:
         state = self.epoch, self.rows.version
-        if self._parts_state != state:
-            self._parts_state, self._parts_by_base = state, {}
+        if self._parts_version != state:
+            self._parts_version, self._parts_by_base = state, {}
         parts = self._parts_by_base.get(base)
         if parts is None:
-            parts = list(_split(base, self.rows.version, self.rows.changes_since(base)))
+            parts = list(_split_changes(base, self.rows.version, self.rows.changes_since(base)))
             self._parts_by_base[base] = parts
         return parts
 
@@ -209,39 +209,39 @@
         """What this instance holds."""
         return HeldVersion(self._epoch, self.rows.version)
 
-    def adopt(self, teller: UpdatePublisher) -> None:
+    def adopt(self, publisher: UpdatePublisher) -> None:
         """Hold what this instance told itself as the home it was until now."""
-        self.rows, self._epoch = teller.rows, teller.epoch
+        self.rows, self._epoch = publisher.rows, publisher.epoch
 
-    def apply(self, news: FleetNews) -> ApplyResult:
+    def apply(self, update: FleetNews) -> ApplyResult:
         """Take news of the home. Raises MessageError."""
-        changes = unpack_changes(news.rows)
-        if not 0 <= news.base <= news.upto <= news.latest:
+        changes = unpack_changes(update.rows)
+        if not 0 <= update.base <= update.upto <= update.latest:
             raise MessageError("news with versions out of order")
         if len(self.rows) + len(changes) > MAX_KEYS:
             raise MessageError("news of more than any fleet has")
-        turned = news.epoch == self._epoch or self._turn_to(news)
-        self.missed = not turned or news.base > self.rows.version
+        same_epoch = update.epoch == self._epoch or self._switch_epoch(update)
+        self.missed = not same_epoch or update.base > self.rows.version
         if self.missed:
             return ApplyResult.GAP
-        self._changed.update(self.rows.apply(changes, news.upto))
-        return ApplyResult.WHOLE if self.rows.version >= news.latest else ApplyResult.PART
+        self._changed.update(self.rows.apply(changes, update.upto))
+        return ApplyResult.WHOLE if self.rows.version >= update.latest else ApplyResult.PART
 
     def pop_changed(self) -> set[str]:
         """Give the keys of the rows that changed since they were last asked for."""
         changed, self._changed = self._changed, set()
         return changed
 
-    def _turn_to(self, news: FleetNews) -> bool:
+    def _switch_epoch(self, update: FleetNews) -> bool:
         """Take another home's numbers for the rows held, or begin anew; False if neither can be."""
-        goes_on = news.continued_epoch == self._epoch != 0
-        if goes_on and self.rows.version <= news.continued_version:
-            self._epoch = news.epoch
+        goes_on = update.continued_epoch == self._epoch != 0
+        if goes_on and self.rows.version <= update.continued_version:
+            self._epoch = update.epoch
             return True
-        if news.base > 0:
+        if update.base > 0:
             return False
         self._changed.update(self.rows.rows())
-        self.rows, self._epoch = VersionedRows(), news.epoch
+        self.rows, self._epoch = VersionedRows(), update.epoch
         return True
 
 
@@ -251,12 +251,12 @@
     def __init__(self, draw_epoch: Callable[[], int]) -> None:
         self._draw_epoch = draw_epoch
         self._follower = UpdateFollower()
-        self._teller: UpdatePublisher | None = None
+        self._publisher: UpdatePublisher | None = None
 
     @property
     def publisher(self) -> UpdatePublisher | None:
         """The home's side, only while this instance is the home."""
-        return self._teller
+        return self._publisher
 
     @property
     def held(self) -> HeldVersion:
@@ -265,33 +265,33 @@
         A home has versions of its own. Told under its former home's epoch, they would look like
         that one's, and another heir of it would leave out what this instance lacks.
         """
-        if self._teller is not None:
-            return HeldVersion(self._teller.epoch, self._teller.rows.version)
+        if self._publisher is not None:
+            return HeldVersion(self._publisher.epoch, self._publisher.rows.version)
         return self._follower.held
 
     @property
     def missed(self) -> bool:
         """Whether this instance missed news of the home it follows."""
-        return self._teller is None and self._follower.missed
+        return self._publisher is None and self._follower.missed
 
     def lead(self) -> UpdatePublisher:
         """Give the home's side, from now on this instance's."""
-        if self._teller is None:
+        if self._publisher is None:
             held, rows = self._follower.held, self._follower.rows
-            self._teller = UpdatePublisher(self._draw_epoch, held, rows)
-        return self._teller
+            self._publisher = UpdatePublisher(self._draw_epoch, held, rows)
+        return self._publisher
 
     def follow(self) -> UpdateFollower:
         """Give the other side; what this instance told as the home is what it holds."""
-        if self._teller is not None:
-            self._follower.adopt(self._teller)
-            self._teller = None
+        if self._publisher is not None:
+            self._follower.adopt(self._publisher)
+            self._publisher = None
         return self._follower
 
 
 def pack_changes(changes: list[RowChange]) -> bytes:
     """Give changes as one datagram carries them."""
-    return zlib.compress(msgpack.packb(changes), _LEVEL) if changes else b""
+    return zlib.compress(msgpack.packb(changes), _COMPRESSION_LEVEL) if changes else b""
 
 
 def unpack_changes(packed: bytes) -> list[RowChange]:
@@ -308,13 +308,13 @@
     return [change_from_row(row) for row in rows]
 
 
-def _split(base: int, latest: int, changes: list[RowChange]) -> Iterator[UpdatePart]:
+def _split_changes(base: int, latest: int, changes: list[RowChange]) -> Iterator[UpdatePart]:
     """Give parts that each fit a datagram; the last one reaches the latest version."""
     packed = pack_changes(changes)
     if len(packed) <= MAX_PACKED_BYTES or len(changes) == 1:
         yield UpdatePart(base, latest, packed)
         return
     middle = len(changes) // 2
-    border = changes[middle - 1].version
-    yield from _split(base, border, changes[:middle])
-    yield from _split(border, latest, changes[middle:])
+    middle_version = changes[middle - 1].version
+    yield from _split_changes(base, middle_version, changes[:middle])
+    yield from _split_changes(middle_version, latest, changes[middle:])
--- a/egretstack/fleet/_runner.py
+++ b/egretstack/fleet/_runner.py
@@ -5,7 +5,7 @@
 
 from egretstack.ids import RunnerId, RunnerName, ServiceName, ZoneName
 
-_BIRTH_MARK = "@"
+_START_MARK = "@"
 
 
 class RunnerState(Enum):
@@ -40,7 +40,7 @@
         """The key of all that is known of this start; another start has another one."""
         if self.started_ms is None:
             return RunnerId(self.name)
-        return RunnerId(f"{self.name}{_BIRTH_MARK}{self.started_ms}")
+        return RunnerId(f"{self.name}{_START_MARK}{self.started_ms}")
 
     def is_before(self, other: "Incarnation") -> bool:
         """Tell whether `other` is a later start of the same runner."""
--- a/egretstack/fleet/_runner_limits.py
+++ b/egretstack/fleet/_runner_limits.py
@@ -11,20 +11,20 @@
 from egretstack.ids import RunnerId
 from egretstack.messages import MessageError
 
-REPEAT_S = 2.0
+WITHDRAWAL_REPEAT_S = 2.0
 """How long it goes with each report that a limit was taken back."""
-MOST_TOLD = 32
+MAX_REPORTED = 32
 """Words in one report, some 40 bytes each."""
-TOLD_AGE_S = 1.0
+HOME_LIMIT_AGE_S = 1.0
 """Age of what the home tells: an instance's own word of the last second may not have reached it."""
-MOST_PER_S = 1_000_000.0
+MAX_PER_S = 1_000_000.0
 MAX_AGE_MS = 3_600_000
 
 
 @dataclass(frozen=True, slots=True)
-class _Word:
+class _LimitReport:
     per_s: float | None
-    said_s: float
+    reported_s: float
     since_s: float
     """When it was first known here that the runner names a limit, or none."""
     is_own: bool
@@ -35,7 +35,7 @@
     """The latest word of each runner that named a limit."""
 
     def __init__(self) -> None:
-        self._word_by_id: dict[RunnerId, _Word] = {}
+        self._report_by_id: dict[RunnerId, _LimitReport] = {}
 
     def record_answer(
         self, now_s: float, runner_id: RunnerId, per_s: float | None, sent_s: float
@@ -47,21 +47,21 @@
         An answer without a limit may have been on its way when the runner named one. It counts if
         its request was sent after this was known.
         """
-        known = self._word_by_id.get(runner_id)
+        known = self._report_by_id.get(runner_id)
         if per_s is None and (known is None or not _is_later(sent_s, known)):
             return False
         return self._put(now_s, runner_id, per_s, now_s, is_own=True)
 
     def record_reported(
-        self, now_s: float, runner_id: RunnerId, per_s: float | None, said_s: float
+        self, now_s: float, runner_id: RunnerId, per_s: float | None, reported_s: float
     ) -> bool:
         """Take another instance's word of what a runner said at a time; tells what `heard` does."""
-        known = self._word_by_id.get(runner_id)
-        if said_s <= (known.said_s if known is not None else float("-inf")):
+        known = self._report_by_id.get(runner_id)
+        if reported_s <= (known.reported_s if known is not None else float("-inf")):
             return False
         if per_s is None and known is None:
             return False
-        return self._put(now_s, runner_id, per_s, said_s, is_own=False)
+        return self._put(now_s, runner_id, per_s, reported_s, is_own=False)
 
     def apply_home_limits(
         self, now_s: float, per_s_by_id: Mapping[RunnerId, float]
@@ -73,21 +73,21 @@
         """
         changed = set()
         for runner_id in {*per_s_by_id, *self.limited()}:
-            per_s, known = per_s_by_id.get(runner_id), self._word_by_id.get(runner_id)
+            per_s, known = per_s_by_id.get(runner_id), self._report_by_id.get(runner_id)
             if known is not None and None not in (known.per_s, per_s):
-                self._word_by_id[runner_id] = replace(known, per_s=per_s)
-            elif self.record_reported(now_s, runner_id, per_s, now_s - TOLD_AGE_S):
+                self._report_by_id[runner_id] = replace(known, per_s=per_s)
+            elif self.record_reported(now_s, runner_id, per_s, now_s - HOME_LIMIT_AGE_S):
                 changed.add(runner_id)
         return changed
 
     def per_s(self, runner_id: RunnerId) -> float | None:
         """Give how many requests a second a runner takes; None if it names no limit."""
-        word = self._word_by_id.get(runner_id)
-        return None if word is None else word.per_s
+        report = self._report_by_id.get(runner_id)
+        return None if report is None else report.per_s
 
     def limited(self) -> dict[RunnerId, float]:
         """Give the limits of the runners that name one."""
-        words = self._word_by_id.items()
+        words = self._report_by_id.items()
         return {one: word.per_s for one, word in words if word.per_s is not None}
 
     def rows(self, now_s: float) -> list:
@@ -96,27 +96,36 @@
         Whoever becomes home next may have started a moment ago, and know of none.
         """
         words = [
-            (word.said_s, one, word.per_s)
-            for one, word in self._word_by_id.items()
-            if word.per_s is not None or (word.is_own and now_s - word.said_s <= REPEAT_S)
+            (word.reported_s, one, word.per_s)
+            for one, word in self._report_by_id.items()
+            if word.per_s is not None
+            or (word.is_own and now_s - word.reported_s <= WITHDRAWAL_REPEAT_S)
         ]
         words.sort(key=lambda one: -one[0])
-        return [[one, per_s, _age_ms(now_s - said_s)] for said_s, one, per_s in words[:MOST_TOLD]]
+        return [
+            [one, per_s, _age_ms(now_s - said_s)] for said_s, one, per_s in words[:MAX_REPORTED]
+        ]
 
     def retain(self, kept: Container[RunnerId]) -> None:
         """Forget runners that are not among those kept."""
-        for gone in [one for one in self._word_by_id if one not in kept]:
-            del self._word_by_id[gone]
+        for gone in [one for one in self._report_by_id if one not in kept]:
+            del self._report_by_id[gone]
 
     def _put(
-        self, now_s: float, runner_id: RunnerId, per_s: float | None, said_s: float, *, is_own: bool
+        self,
+        now_s: float,
+        runner_id: RunnerId,
+        per_s: float | None,
+        reported_s: float,
+        *,
+        is_own: bool,
     ) -> bool:
         """Keep a word; tell whether the runner is limited now and was not, or is not any more."""
-        known = self._word_by_id.get(runner_id)
+        known = self._report_by_id.get(runner_id)
         was_limited = known is not None and known.per_s is not None
         goes_on = known is not None and was_limited == (per_s is not None)
         since_s = known.since_s if goes_on else now_s
-        self._word_by_id[runner_id] = _Word(per_s, said_s, since_s, is_own)
+        self._report_by_id[runner_id] = _LimitReport(per_s, reported_s, since_s, is_own)
         return not goes_on
 
 
@@ -135,7 +144,7 @@
 
 def checked_limit(per_s: object) -> float:
     """Give a limit of a message in requests a second. Raises MessageError."""
-    if not isinstance(per_s, int | float) or not 0 <= per_s <= MOST_PER_S:
+    if not isinstance(per_s, int | float) or not 0 <= per_s <= MAX_PER_S:
         raise MessageError("a limit that is no rate")
     return float(per_s)
 
@@ -144,6 +153,6 @@
     return min(MAX_AGE_MS, max(0, round(age_s * 1000)))
 
 
-def _is_later(sent_s: float, known: _Word) -> bool:
-    own_s = known.said_s if known.is_own else float("-inf")
+def _is_later(sent_s: float, known: _LimitReport) -> bool:
+    own_s = known.reported_s if known.is_own else float("-inf")
     return sent_s > max(known.since_s, own_s)
--- a/egretstack/fleet/_runner_table.py
+++ b/egretstack/fleet/_runner_table.py
@@ -10,7 +10,7 @@
 from egretstack.fleet._runner import Incarnation, Runner, RunnerState
 from egretstack.ids import RunnerId, RunnerName, ServiceName, ZoneName
 
-AWAY_AFTER_S = 1.5
+STORE_UNAVAILABLE_AFTER_S = 1.5
 """Without a reading for so long the store counts as away: entries may have lapsed meanwhile.
 
 A little over one heartbeat of the runners; an entry lapses after three.
@@ -21,9 +21,9 @@
 Living runners are back in the store within 2 s of its return; dropping all of them at once would
 leave no runner at all for that time.
 """
-TRUST_AFTER_S = RETURN_GRACE_S + 0.8
+HOME_TRUST_DELAY_S = RETURN_GRACE_S + 0.8
 """How long an instance keeps to its own reading of a missing entry against the home's word."""
-FORGET_S = 40.0
+REMOVED_RETENTION_S = 40.0
 """How long a removed runner is remembered, for streams that still run there."""
 
 
@@ -43,17 +43,17 @@
         """Availability zones whose runners get nothing more until the operator takes it back."""
         self._latest_by_name: dict[RunnerName, Incarnation] = {}
         """The latest start of each runner that any news told of."""
-        self._missing_at_by_id: dict[RunnerId, int] = {}
+        self._missing_revision_by_id: dict[RunnerId, int] = {}
         """Revision of the first reading that did not list a runner."""
-        self._stopped_s_by_id: dict[RunnerId, float] = {}
+        self._stopped_since_s_by_id: dict[RunnerId, float] = {}
         """When each runner that leaves, or is gone, was first known to."""
-        self._returned: set[RunnerId] = set()
+        self._relisted: set[RunnerId] = set()
         """Missing runners that are listed as ready again."""
         self._grace_until_s = float("-inf")
         self._removed_s_by_id: dict[RunnerId, float] = {}
         self._cold_until_s_by_id: dict[RunnerId, float] = {}
         """By the runner's own word."""
-        self._back_s_by_zone: dict[ZoneName, float] = {}
+        self._evacuation_ended_s_by_zone: dict[ZoneName, float] = {}
         """When the evacuation of a zone was taken back."""
 
     def apply_reading(
@@ -72,19 +72,21 @@
         """
         if revision < self.revision:
             return []
-        away_s = read_s - self.read_s
-        if away_s > AWAY_AFTER_S and self.by_id:
+        unread_s = read_s - self.read_s
+        if unread_s > STORE_UNAVAILABLE_AFTER_S and self.by_id:
             self._grace_until_s = read_s + RETURN_GRACE_S
         self.revision = revision
         self.read_s = max(self.read_s, read_s)
         runners = list(runners)
-        self._note_cold(now_s, runners)
-        stopped = [gone for runner in runners if (gone := self._note_start(runner)) is not None]
-        listed = self._listed(runners)
+        self._record_cold_times(now_s, runners)
+        stopped = [
+            gone for runner in runners if (gone := self._supersede_former_start(runner)) is not None
+        ]
+        listed = self._listed_by_id(runners)
         if from_home:
-            self._trust(now_s, listed.values())
-        stopped += self._replace(now_s, listed)
-        self._drop_strangers(listed)
+            self._readmit_per_home(now_s, listed.values())
+        stopped += self._update_known(now_s, listed)
+        self._drop_reused_addresses(listed)
         return stopped
 
     def record_unchanged(self, revision: int, read_s: float) -> None:
@@ -101,7 +103,7 @@
         self.by_id[runner.id] = runner
         return True
 
-    def record_start(self, runner_id: RunnerId, born_ms: int) -> Runner | None:
+    def record_start(self, runner_id: RunnerId, started_ms: int) -> Runner | None:
         """Take a runner's own word of its start; give the former start if that has thereby ended.
 
         The store's entry may lag: until it tells more, the new start serves as the former did.
@@ -110,24 +112,26 @@
         known = self.by_id.get(runner_id)
         if known is None or known.incarnation.started_ms is None:
             return None
-        new = Incarnation(known.incarnation.name, born_ms)
-        if not self._latest_by_name[new.name].is_before(new):
+        later = Incarnation(known.incarnation.name, started_ms)
+        if not self._latest_by_name[later.name].is_before(later):
             return None
-        return self._note_start(replace(known, incarnation=new, state=RunnerState.READY))
+        return self._supersede_former_start(
+            replace(known, incarnation=later, state=RunnerState.READY)
+        )
 
     def record_leaving(self, now_s: float, runner_id: RunnerId) -> bool:
         """Note that a runner itself said that it leaves; tell whether that is news."""
         runner = self.by_id.get(runner_id)
         if runner is None or runner.state in (RunnerState.LEAVING, RunnerState.GONE):
             return False
-        self._returned.discard(runner_id)
-        self._stopped_s_by_id.setdefault(runner_id, now_s)
+        self._relisted.discard(runner_id)
+        self._stopped_since_s_by_id.setdefault(runner_id, now_s)
         self.by_id[runner_id] = replace(runner, state=RunnerState.LEAVING)
         return True
 
     def stopped_since_s(self, runner_id: RunnerId) -> float | None:
         """Give since when a runner is known to get no more work; None if it may, or is silent."""
-        return self._stopped_s_by_id.get(runner_id)
+        return self._stopped_since_s_by_id.get(runner_id)
 
     def is_leaving(self, runner_id: RunnerId) -> bool:
         """Tell whether a runner leaves or has left; whoever says otherwise is late."""
@@ -137,22 +141,24 @@
     def leaving(self) -> list[RunnerId]:
         """Give the runners that leave, in the order in which that was known."""
         return [
-            one for one in self._stopped_s_by_id if self.by_id[one].state is RunnerState.LEAVING
+            one
+            for one in self._stopped_since_s_by_id
+            if self.by_id[one].state is RunnerState.LEAVING
         ]
 
     def relisted(self) -> list[Runner]:
         """Give the missing runners that are listed again; one that answers is to be confirmed."""
-        return [self.by_id[one] for one in self._returned]
+        return [self.by_id[one] for one in self._relisted]
 
     def has_missing(self) -> bool:
         """Tell whether runners are missing that the home's word may let back."""
-        return bool(self._missing_at_by_id)
+        return bool(self._missing_revision_by_id)
 
     def confirm_alive(self, runner_id: RunnerId) -> bool:
         """Note that a returned runner answered for itself; tell whether that is news."""
-        if runner_id not in self._returned:
+        if runner_id not in self._relisted:
             return False
-        self._let_back(replace(self.by_id[runner_id], confirmed_at_revision=self.revision + 1))
+        self._readmit(replace(self.by_id[runner_id], confirmed_at_revision=self.revision + 1))
         return True
 
     def ready(self, service: ServiceName) -> list[Runner]:
@@ -191,7 +197,7 @@
     def set_evacuated(self, now_s: float, zones: frozenset[ZoneName]) -> None:
         """Take it that these zones are evacuated now, and no others."""
         for zone in self.evacuated - zones:
-            self._back_s_by_zone[zone] = now_s
+            self._evacuation_ended_s_by_zone[zone] = now_s
         self.evacuated = zones
 
     def is_cold(self, now_s: float, runner_id: RunnerId, start_s: float) -> bool:
@@ -204,8 +210,8 @@
         if runner is None:
             return False
         until_s = self._cold_until_s_by_id.get(runner_id, now_s)
-        back_s = self._back_s_by_zone.get(runner.zone, float("-inf"))
-        return now_s < max(until_s, back_s + start_s)
+        evacuation_ended_s = self._evacuation_ended_s_by_zone.get(runner.zone, float("-inf"))
+        return now_s < max(until_s, evacuation_ended_s + start_s)
 
     def record_cold(self, now_s: float, runner_id: RunnerId, cold_s: float) -> None:
         """Take a runner's own word of how much longer it is cold."""
@@ -223,14 +229,14 @@
         """Give how old the last reading is."""
         return now_s - self.read_s
 
-    def _note_cold(self, now_s: float, runners: Iterable[Runner]) -> None:
+    def _record_cold_times(self, now_s: float, runners: Iterable[Runner]) -> None:
         """Note how long runners stay cold, when their entries say something new of it."""
         for runner in runners:
             known = self.by_id.get(runner.id)
             if runner.cold_s > 0 and (known is None or known.cold_s != runner.cold_s):
                 self._cold_until_s_by_id[runner.id] = now_s + runner.cold_s
 
-    def _note_start(self, runner: Runner) -> Runner | None:
+    def _supersede_former_start(self, runner: Runner) -> Runner | None:
         """Take the latest start of a runner for the only one; give the one that thereby ended."""
         name = runner.incarnation.name
         former = self._latest_by_name.get(name)
@@ -240,12 +246,12 @@
         if former is None or former.id not in self.by_id:
             return None
         self.by_id[runner.id] = runner
-        self._returned.discard(former.id)
-        gone = replace(self.by_id[former.id], state=RunnerState.GONE)
-        self.by_id[former.id] = gone
-        return gone
+        self._relisted.discard(former.id)
+        ended = replace(self.by_id[former.id], state=RunnerState.GONE)
+        self.by_id[former.id] = ended
+        return ended
 
-    def _listed(self, runners: list[Runner]) -> dict[RunnerId, Runner]:
+    def _listed_by_id(self, runners: list[Runner]) -> dict[RunnerId, Runner]:
         """Give the runners by id; where an entry of an earlier start lags, the later one as known.
 
         What is told of a start that has ended stays as it is told.
@@ -259,7 +265,7 @@
                 listed.setdefault(latest_id, self.by_id[latest_id])
         return listed
 
-    def _trust(self, now_s: float, listed: Iterable[Runner]) -> None:
+    def _readmit_per_home(self, now_s: float, listed: Iterable[Runner]) -> None:
         """Let back the missing runners that the home, by a later reading, takes for living.
 
         An instance that reads for itself may see an entry lapse that the home never missed. Nobody
@@ -268,39 +274,39 @@
         instance has read itself binds it, so that it waits until that is over.
         """
         for runner in listed:
-            missing_at = self._missing_at_by_id.get(runner.id, self.revision)
-            missing_s = now_s - self._stopped_s_by_id.get(runner.id, now_s)
+            missing_revision = self._missing_revision_by_id.get(runner.id, self.revision)
+            missing_s = now_s - self._stopped_since_s_by_id.get(runner.id, now_s)
             ready = runner.state is RunnerState.READY
-            if ready and missing_at < self.revision and missing_s > TRUST_AFTER_S:
-                self._let_back(runner)
+            if ready and missing_revision < self.revision and missing_s > HOME_TRUST_DELAY_S:
+                self._readmit(runner)
 
-    def _replace(self, now_s: float, listed: dict[RunnerId, Runner]) -> list[Runner]:
+    def _update_known(self, now_s: float, listed: dict[RunnerId, Runner]) -> list[Runner]:
         stopped = []
         for known in list(self.by_id.values()):
-            now = listed.get(known.id)
-            if now is None and self._keep_missing(now_s, known):
+            updated = listed.get(known.id)
+            if updated is None and self._keep_or_forget(now_s, known):
                 continue
-            now = self._changed(known, now)
-            if known.state is RunnerState.READY and now.state is not RunnerState.READY:
-                stopped.append(now)
-                self._stopped_s_by_id.setdefault(known.id, now_s)
-            self.by_id[known.id] = now
+            updated = self._merge_listed(known, updated)
+            if known.state is RunnerState.READY and updated.state is not RunnerState.READY:
+                stopped.append(updated)
+                self._stopped_since_s_by_id.setdefault(known.id, now_s)
+            self.by_id[known.id] = updated
         for runner in listed.values():
             self._removed_s_by_id.pop(runner.id, None)
             if runner.id not in self.by_id and runner.state is RunnerState.LEAVING:
-                self._stopped_s_by_id[runner.id] = now_s
+                self._stopped_since_s_by_id[runner.id] = now_s
             self.by_id.setdefault(runner.id, runner)
         return stopped
 
-    def _changed(self, known: Runner, listed: Runner | None) -> Runner:
+    def _merge_listed(self, known: Runner, listed: Runner | None) -> Runner:
         """Give what is known of a runner once the list, or its silence, is taken in."""
         if listed is None:
             if known.state is not RunnerState.READY:
                 return known
-            self._missing_at_by_id[known.id] = self.revision
+            self._missing_revision_by_id[known.id] = self.revision
             return replace(known, state=RunnerState.MISSING)
-        back_at = max(known.confirmed_at_revision, listed.confirmed_at_revision)
-        listed = replace(listed, confirmed_at_revision=back_at)
+        confirmed_at = max(known.confirmed_at_revision, listed.confirmed_at_revision)
+        listed = replace(listed, confirmed_at_revision=confirmed_at)
         if known.state in (RunnerState.LEAVING, RunnerState.GONE):
             # A notice is final: one that came from the runner itself may be newer than this
             # reading, and no runner takes a notice back.
@@ -308,57 +314,59 @@
             return replace(listed, state=final)
         if known.state is RunnerState.READY:
             if listed.state is RunnerState.MISSING:
-                self._missing_at_by_id[known.id] = self.revision
+                self._missing_revision_by_id[known.id] = self.revision
             return listed
-        return self._again(listed)
+        return self._merge_relisted(listed)
 
-    def _again(self, listed: Runner) -> Runner:
+    def _merge_relisted(self, listed: Runner) -> Runner:
         """Give what is known of a missing runner that is listed.
 
         Whether it lives has to be asked of itself: an entry also comes back by a heartbeat that
         was long on its way, from a runner that is gone by then.
         """
         if listed.state is not RunnerState.READY:
-            self._returned.discard(listed.id)
+            self._relisted.discard(listed.id)
             return listed
-        if listed.confirmed_at_revision > self._missing_at_by_id.get(listed.id, 0):
-            return self._let_back(listed)
-        self._returned.add(listed.id)
+        if listed.confirmed_at_revision > self._missing_revision_by_id.get(listed.id, 0):
+            return self._readmit(listed)
+        self._relisted.add(listed.id)
         return replace(listed, state=RunnerState.MISSING)
 
-    def _let_back(self, runner: Runner) -> Runner:
-        self._returned.discard(runner.id)
-        self._missing_at_by_id.pop(runner.id, None)
-        self._stopped_s_by_id.pop(runner.id, None)
+    def _readmit(self, runner: Runner) -> Runner:
+        self._relisted.discard(runner.id)
+        self._missing_revision_by_id.pop(runner.id, None)
+        self._stopped_since_s_by_id.pop(runner.id, None)
         self.by_id[runner.id] = replace(runner, state=RunnerState.READY)
         return self.by_id[runner.id]
 
-    def _keep_missing(self, now_s: float, runner: Runner) -> bool:
+    def _keep_or_forget(self, now_s: float, runner: Runner) -> bool:
         """Tell whether a runner that is not listed stays as it is known, or is forgotten."""
         if now_s < self._grace_until_s and runner.state is not RunnerState.GONE:
             return True
-        self._returned.discard(runner.id)
+        self._relisted.discard(runner.id)
         removed_s = self._removed_s_by_id.setdefault(runner.id, now_s)
-        if now_s - removed_s > FORGET_S:
+        if now_s - removed_s > REMOVED_RETENTION_S:
             self._forget(runner)
             return True
         return False
 
-    def _drop_strangers(self, listed: dict[RunnerId, Runner]) -> None:
+    def _drop_reused_addresses(self, listed: dict[RunnerId, Runner]) -> None:
         """Leave a returned runner alone while another one is listed at its address."""
-        taken = {
+        used_addresses = {
             runner.address
             for runner in listed.values()
             if runner.state in (RunnerState.READY, RunnerState.LEAVING)
-            and runner.id not in self._returned
+            and runner.id not in self._relisted
+        }
+        self._relisted = {
+            one for one in self._relisted if self.by_id[one].address not in used_addresses
         }
-        self._returned = {one for one in self._returned if self.by_id[one].address not in taken}
 
     def _forget(self, runner: Runner) -> None:
         del self.by_id[runner.id]
         del self._removed_s_by_id[runner.id]
-        self._missing_at_by_id.pop(runner.id, None)
-        self._stopped_s_by_id.pop(runner.id, None)
+        self._missing_revision_by_id.pop(runner.id, None)
+        self._stopped_since_s_by_id.pop(runner.id, None)
         self._cold_until_s_by_id.pop(runner.id, None)
         if self._latest_by_name.get(runner.incarnation.name) == runner.incarnation:
             del self._latest_by_name[runner.incarnation.name]
--- a/egretstack/fleet/_store_watch.py
+++ b/egretstack/fleet/_store_watch.py
@@ -2,9 +2,9 @@
 
 from egretstack.fleet._instance import StoreReachability
 
-SIGHT_LIFE_S = 2.5
+REACHABLE_TTL_S = 2.5
 """How long an answer of the store tells that an instance reaches it: two watches."""
-AWAY_LIFE_S = 5.0
+UNREACHABLE_TTL_S = 5.0
 """How long a failure tells the opposite; after an outage of the store nobody would try else."""
 
 
@@ -42,9 +42,9 @@
     def expire(self, now_s: float) -> None:
         """Let go of what is too old to be told."""
         lapsed = {
-            StoreReachability.REACHABLE: now_s - self._answered_s > SIGHT_LIFE_S,
+            StoreReachability.REACHABLE: now_s - self._answered_s > REACHABLE_TTL_S,
             StoreReachability.UNREACHABLE: now_s - max(self._failed_s, self._answered_s)
-            > AWAY_LIFE_S,
+            > UNREACHABLE_TTL_S,
         }
         if lapsed.get(self.reachability, False):
             self.reachability = StoreReachability.UNKNOWN
--- a/egretstack/fleet/_silence.py
+++ b/egretstack/fleet/_unanswered.py
@@ -2,7 +2,7 @@
 
 from egretstack.ids import RunnerId
 
-SILENT_AFTER = 2
+UNRESPONSIVE_AFTER = 2
 """Questions in a row without an answer: one may be lost with its connection."""
 OWN_FAULT_SHARE = 0.5
 """Share of silent runners above which the fault is taken to be this instance's own.
@@ -27,13 +27,17 @@
 
     def record_ended(self, runner_id: RunnerId) -> None:
         """Note that a runner was found to have ended; it is silent until it answers."""
-        self._missed_by_id[runner_id] = max(SILENT_AFTER, self._missed_by_id.get(runner_id, 0))
+        self._missed_by_id[runner_id] = max(
+            UNRESPONSIVE_AFTER, self._missed_by_id.get(runner_id, 0)
+        )
 
-    def unresponsive(self, asked: set[RunnerId]) -> frozenset[RunnerId]:
+    def unresponsive(self, queried: set[RunnerId]) -> frozenset[RunnerId]:
         """Give the silent ones among the runners asked; none if too many are."""
-        for runner_id in set(self._missed_by_id) - asked:
+        for runner_id in set(self._missed_by_id) - queried:
             del self._missed_by_id[runner_id]
-        silent = {one for one, missed in self._missed_by_id.items() if missed >= SILENT_AFTER}
-        if len(silent) > OWN_FAULT_SHARE * len(asked):
+        unresponsive = {
+            one for one, missed in self._missed_by_id.items() if missed >= UNRESPONSIVE_AFTER
+        }
+        if len(unresponsive) > OWN_FAULT_SHARE * len(queried):
             return frozenset()
-        return frozenset(silent)
+        return frozenset(unresponsive)
--- a/egretstack/fleet/_versioned_rows.py
+++ b/egretstack/fleet/_versioned_rows.py
@@ -53,7 +53,7 @@
         for change in changes:
             if change.version <= self.version:
                 continue
-            self._keep(change)
+            self._store(change)
             changed.append(change.key)
         self.version = max(self.version, version)
         return changed
@@ -70,9 +70,9 @@
 
     def _put(self, key: str, row: Row | None) -> None:
         self.version += 1
-        self._keep(RowChange(self.version, key, row))
+        self._store(RowChange(self.version, key, row))
 
-    def _keep(self, change: RowChange) -> None:
+    def _store(self, change: RowChange) -> None:
         before = self._change_by_key.get(change.key)
         was_removed = before is not None and before.row is None
         self.removed += (change.row is None) - was_removed
--- a/egretstack/membership/__init__.py
+++ b/egretstack/membership/__init__.py
@@ -10,12 +10,12 @@
 )
 from egretstack.membership._messages import Heartbeat, HeartbeatAnswer
 from egretstack.membership._reading import ReadingPlan
-from egretstack.membership._report_turns import ReportSchedule
+from egretstack.membership._report_schedule import ReportSchedule
 from egretstack.membership._rows import InstanceState, RowError
 from egretstack.membership._runner_watch import RunnerWatch
 from egretstack.membership._state import (
     ANSWER_TIMEOUT_S,
-    HEARTBEAT_S,
+    HEARTBEAT_INTERVAL_S,
     TICK_S,
     HeartbeatRequest,
     MembershipState,
@@ -25,7 +25,7 @@
 __all__ = [
     "ANSWER_TIMEOUT_S",
     "ENTRIES_PER_ANSWER",
-    "HEARTBEAT_S",
+    "HEARTBEAT_INTERVAL_S",
     "MAX_REPORTS",
     "TICK_S",
     "Heartbeat",
--- a/egretstack/membership/_choice.py
+++ b/egretstack/membership/_choice.py
@@ -9,7 +9,7 @@
 from egretstack.policy import RunnerInfo
 
 ENTRIES_PER_ANSWER = 5
-FROM_OTHER_ZONES = 2
+OTHER_ZONE_ENTRIES = 2
 """Places kept for other availability zones: a caller that knew only its own would have nowhere
 to go for as long as it keeps the answer, should that zone fail."""
 MAX_REPORTS = 32
@@ -36,10 +36,10 @@
     if not own_leaves or not by_id:
         by_id[own.id] = own
     ranked = sorted(by_id.values(), key=lambda one: rendezvous(account, one.id))
-    near = [member for member in ranked if member.zone == zone]
-    far = [member for member in ranked if member.zone != zone]
-    kept = min(FROM_OTHER_ZONES, len(far))
-    return (near[: ENTRIES_PER_ANSWER - kept] + far)[:ENTRIES_PER_ANSWER]
+    own_zone = [member for member in ranked if member.zone == zone]
+    other_zones = [member for member in ranked if member.zone != zone]
+    reserved = min(OTHER_ZONE_ENTRIES, len(other_zones))
+    return (own_zone[: ENTRIES_PER_ANSWER - reserved] + other_zones)[:ENTRIES_PER_ANSWER]
 
 
 class ReportChooser(ABC):
@@ -56,7 +56,7 @@
     def __init__(self, instance: InstanceId, zone: ZoneName, limit: int = MAX_REPORTS) -> None:
         self._instance = instance
         self._zone = zone
-        self._most = limit
+        self._limit = limit
 
     def choose(self, runners: Iterable[RunnerInfo]) -> set[RunnerId]:
         """Choose among the runners that take work."""
@@ -66,9 +66,9 @@
         chosen: set[RunnerId] = set()
         place = 0
         longest = max((len(found) for found in by_service.values()), default=0)
-        while len(chosen) < self._most and place < longest:
+        while len(chosen) < self._limit and place < longest:
             for found in by_service.values():
-                if place < len(found) and len(chosen) < self._most:
+                if place < len(found) and len(chosen) < self._limit:
                     chosen.add(found[place].id)
             place += 1
         return chosen
--- a/egretstack/membership/_agreement.py
+++ b/egretstack/membership/_divergence.py
@@ -4,20 +4,20 @@
 
 from egretstack.ids import InstanceId
 
-DISAGREED_S = 10.0
+DIVERGED_AFTER_S = 10.0
 """Well above the time that news takes to reach everyone."""
-AGAIN_S = 60.0
+REREAD_INTERVAL_S = 60.0
 
 
 @dataclass
-class Agreement:
+class DivergenceDetector:
     """Compares digests; times are seconds on the runtime's clock."""
 
     _agrees_by_peer: dict[InstanceId, bool] = field(default_factory=dict)
     _since_s: float | None = None
     _read_s: float = float("-inf")
 
-    def compared(self, now_s: float, peer: InstanceId, agrees: bool) -> None:
+    def record_comparison(self, now_s: float, peer: InstanceId, agrees: bool) -> None:
         """Take note whether a neighbour's digest equals this process's."""
         self._agrees_by_peer[peer] = agrees
         differing = sum(not one for one in self._agrees_by_peer.values())
@@ -26,21 +26,21 @@
         elif self._since_s is None:
             self._since_s = now_s
 
-    def listed(self, now_s: float) -> None:
+    def record_list_read(self, now_s: float) -> None:
         """This process has read the list."""
         self._read_s = now_s
 
-    def wants_list(self, now_s: float) -> bool:
+    def needs_list(self, now_s: float) -> bool:
         """Tell whether to read the list ahead of the plan.
 
         The first reading of a process is sent to nobody. If it was an old one, nobody would
         correct it until the next reading; most neighbours then disagree with this process.
         """
-        if self._since_s is None or now_s - self._since_s < DISAGREED_S:
+        if self._since_s is None or now_s - self._since_s < DIVERGED_AFTER_S:
             return False
-        return now_s - self._read_s >= AGAIN_S
+        return now_s - self._read_s >= REREAD_INTERVAL_S
 
-    def forget(self, peers: set[InstanceId]) -> None:
+    def retain(self, peers: set[InstanceId]) -> None:
         """Forget all neighbours but these."""
         for peer in self._agrees_by_peer.keys() - peers:
             del self._agrees_by_peer[peer]
--- a/egretstack/membership/_twin.py
+++ b/egretstack/membership/_duplicates.py
@@ -4,11 +4,11 @@
 
 from egretstack.membership._rows import InstanceRow, InstanceState
 
-ANSWERS = 3
+MAX_REFUTATIONS = 3
 WINDOW_S = 300.0
 
 
-class TwinWatch:
+class DuplicateDetector:
     """Counts rows that only another process of this id can have made; times in seconds.
 
     Two such processes would overrule each other's rows once a second for ever, and every change
@@ -17,17 +17,17 @@
 
     def __init__(self) -> None:
         self.alarms = 0
-        self._answered_s: deque[float] = deque(maxlen=ANSWERS)
+        self._refuted_s: deque[float] = deque(maxlen=MAX_REFUTATIONS)
 
-    def may_answer(self, now_s: float, held: InstanceRow) -> bool:
+    def may_refute(self, now_s: float, held: InstanceRow) -> bool:
         """Tell whether to go above the row that the others hold of this instance."""
         # Others only ever accuse; that is answered always, or a live instance would stay gone.
         if held.state in (InstanceState.SUSPECT, InstanceState.GONE):
             return True
         # A former run may have left such a row behind, but not several in a row.
-        if len(self._answered_s) == ANSWERS and now_s - self._answered_s[0] < WINDOW_S:
+        if len(self._refuted_s) == MAX_REFUTATIONS and now_s - self._refuted_s[0] < WINDOW_S:
             return False
-        self._answered_s.append(now_s)
-        if len(self._answered_s) == ANSWERS and now_s - self._answered_s[0] < WINDOW_S:
+        self._refuted_s.append(now_s)
+        if len(self._refuted_s) == MAX_REFUTATIONS and now_s - self._refuted_s[0] < WINDOW_S:
             self.alarms += 1
         return True
--- a/egretstack/membership/_listing.py
+++ b/egretstack/membership/_listing.py
@@ -18,7 +18,7 @@
 
     def __init__(self, table: Table) -> None:
         self._table = table
-        self._read_once = False
+        self._has_read = False
 
     def steps(self, epoch_ms: int, members: list[Member]) -> Iterator[bool]:
         """Take a reading; give after each step whether it changed anything."""
@@ -32,13 +32,13 @@
                 # Between two steps a neighbour may tell what was read after this reading. That
                 # row is newer; overruled, a runner that leaves would get work until the next one.
                 if self._table.get(key) is held.get(key):
-                    changed |= self._note(key, member, epoch_ms)
+                    changed |= self._update(key, member, epoch_ms)
             yield changed
         for batch in _batches(list(held.items())):
-            yield self._end(epoch_ms, [row for key, row in batch if key not in listed])
-        self._read_once = True
+            yield self._unlist(epoch_ms, [row for key, row in batch if key not in listed])
+        self._has_read = True
 
-    def _end(self, epoch_ms: int, rows: list[Row]) -> bool:
+    def _unlist(self, epoch_ms: int, rows: list[Row]) -> bool:
         changed = False
         for row in rows:
             if not isinstance(row, ListedRow) or row.state is None:
@@ -48,12 +48,12 @@
                 changed |= self._table.put(ListedRow(row.member, None, stamp))
         return changed
 
-    def _note(self, key: Key, member: Member, epoch_ms: int) -> bool:
+    def _update(self, key: Key, member: Member, epoch_ms: int) -> bool:
         old = self._table.get(key)
-        stamp = epoch_ms if self._read_once else FIRST_STAMP
-        row = ListedRow(_plain(member), member.state, stamp)
+        stamp = epoch_ms if self._has_read else FIRST_STAMP
+        row = ListedRow(_without_state(member), member.state, stamp)
         if old is None:
-            return self._table.put(row, is_news=self._read_once)
+            return self._table.put(row, is_shared=self._has_read)
         if old.state is member.state and old.member == row.member:
             return False
         # Above the stamp it replaces, so that a reader whose clock is behind prevails as well.
@@ -65,7 +65,7 @@
         yield items[start : start + STEP_ROWS]
 
 
-def _plain(member: Member) -> Member:
+def _without_state(member: Member) -> Member:
     """Give the member as rows hold it: the state stands beside it."""
     return Member(
         member.id, member.service, member.zone, member.host, member.ports, type(member.state).LIVE
--- a/egretstack/membership/_reading.py
+++ b/egretstack/membership/_reading.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 ROW_BYTES = 200
-READ_BYTES_PER_S = 1000
+MAX_READ_BYTES_PER_S = 1000
 """What a process may spend on reading the list, on average."""
 
 
@@ -21,7 +21,7 @@
     @classmethod
     def make(cls, min_period_s: float, members: int, rank: int, readers: int) -> "ReadingPlan":
         """Plan for a list of `members` rows that `readers` processes read, this one `rank`th."""
-        period_s = max(min_period_s, members * ROW_BYTES / READ_BYTES_PER_S)
+        period_s = max(min_period_s, members * ROW_BYTES / MAX_READ_BYTES_PER_S)
         return cls(period_s, period_s * rank / max(1, readers))
 
     def wait_s(self, epoch_s: float) -> float:
--- a/egretstack/membership/_report_turns.py
+++ b/egretstack/membership/_report_schedule.py
@@ -10,9 +10,9 @@
 MAX_AHEAD = 7
 """Turns that urgent readings may take ahead; the ones after them wait that much longer. Enough
 for one runner to be read every `RETRY_S` until it counts as silent, with the jitter of turns."""
-RETRY_S = 0.5
+RETRY_INTERVAL_S = 0.5
 """Least time between two readings of one runner out of turn."""
-RETRIED_S = 10.0
+RETRY_PERIOD_S = 10.0
 """How long after its first failure a runner is read out of turn; later it is read in its turn."""
 
 
@@ -23,11 +23,11 @@
     rate: an urgent one at once puts off the turns that follow.
     """
 
-    def __init__(self, rate_per_s: float, least_s: float, rng: random.Random) -> None:
+    def __init__(self, rate_per_s: float, min_interval_s: float, rng: random.Random) -> None:
         self._gap_s = 1 / rate_per_s
-        self._least_s = least_s
+        self._min_interval_s = min_interval_s
         self._rng = rng
-        self._turn_s = float("-inf")
+        self._next_turn_s = float("-inf")
         self._read_s: dict[RunnerId, float] = {}
         self._urgent: dict[RunnerId, None] = {}
         self._failed_s: dict[RunnerId, float] = {}
@@ -51,7 +51,7 @@
         """Take note that a reading failed; the runner is read again soon, for some time."""
         if runner not in self._read_s:
             return
-        if now_s - self._failed_s.setdefault(runner, now_s) < RETRIED_S:
+        if now_s - self._failed_s.setdefault(runner, now_s) < RETRY_PERIOD_S:
             self._urgent[runner] = None
 
     def record_success(self, runner: RunnerId) -> None:
@@ -64,7 +64,7 @@
         if runner is None or self._due_s(now_s, runner) > now_s:
             return None
         gap_s = self._gap_s * self._rng.uniform(1 - JITTER, 1 + JITTER)
-        self._turn_s = max(self._turn_s, now_s - self._gap_s) + gap_s
+        self._next_turn_s = max(self._next_turn_s, now_s - self._gap_s) + gap_s
         self._read_s[runner] = now_s
         self._urgent.pop(runner, None)
         return runner
@@ -80,6 +80,6 @@
 
     def _due_s(self, now_s: float, runner: RunnerId) -> float:
         if runner in self._urgent:
-            ahead_s = self._turn_s - MAX_AHEAD * self._gap_s
-            return max(self._read_s[runner] + RETRY_S, ahead_s)
-        return max(self._read_s[runner] + self._least_s, self._turn_s, now_s)
+            ahead_s = self._next_turn_s - MAX_AHEAD * self._gap_s
+            return max(self._read_s[runner] + RETRY_INTERVAL_S, ahead_s)
+        return max(self._read_s[runner] + self._min_interval_s, self._next_turn_s, now_s)
--- a/egretstack/membership/_rings.py
+++ b/egretstack/membership/_rings.py
@@ -30,10 +30,10 @@
             return
         for gone in self._known - wanted:
             for number, ring in enumerate(self._rings):
-                ring.remove((_place(number, gone), gone))
+                ring.remove((_position(number, gone), gone))
         for new in wanted - self._known:
             for number, ring in enumerate(self._rings):
-                item = (_place(number, new), new)
+                item = (_position(number, new), new)
                 ring.insert(bisect(ring, item), item)
         self._known = wanted
         self._watched = self._neighbours(1)
@@ -50,16 +50,16 @@
     def _neighbours(self, step: int) -> list[InstanceId]:
         found: dict[InstanceId, None] = {}
         for number, ring in enumerate(self._rings):
-            place = bisect(ring, (_place(number, self._own), self._own)) - 1
+            own_position = bisect(ring, (_position(number, self._own), self._own)) - 1
             # Two rings may give the same neighbour; the next one in the ring is taken instead,
             # or an instance would be watched by one other alone.
             for distance in range(1, len(ring)):
-                name = ring[(place + step * distance) % len(ring)][1]
+                name = ring[(own_position + step * distance) % len(ring)][1]
                 if name not in found:
                     found[name] = None
                     break
         return list(found)
 
 
-def _place(ring: int, instance: InstanceId) -> bytes:
+def _position(ring: int, instance: InstanceId) -> bytes:
     return hashlib.blake2b(f"{ring}/{instance}".encode(), digest_size=8).digest()
--- a/egretstack/membership/_rows.py
+++ b/egretstack/membership/_rows.py
@@ -12,7 +12,7 @@
 """Largest incarnation or stamp taken from a peer: with larger ones a faulty peer would win every
 comparison for ever."""
 
-FOR_GOOD = 0
+NO_EXPIRY = 0
 INSTANCE_KIND = "instance"
 LISTED_KIND = "listed"
 NOTICE_KIND = "notice"
@@ -60,7 +60,7 @@
         """Give what decides which of two rows is newer."""
         return (self.incarnation, _RANK_BY_STATE[self.state])
 
-    def turned(self, state: InstanceState) -> "InstanceRow":
+    def with_state(self, state: InstanceState) -> "InstanceRow":
         """Give the row with another state."""
         return replace(self, state=state)
 
@@ -153,7 +153,7 @@
             return ListedRow(_unpack_member(*rest), listed, stamp)
         if kind == _NOTICE:
             runner, until = rest
-            return RunnerNotice(RunnerId(_name(runner)), bool(state), stamp, int(until))
+            return RunnerNotice(RunnerId(_checked_name(runner)), bool(state), stamp, int(until))
     except (TypeError, ValueError) as error:
         raise RowError(repr(error)) from error
     raise RowError("a row of an unknown kind")
@@ -170,13 +170,18 @@
         raise RowError("ports that are none")
     if not all(is_name(port) and isinstance(number, int) for port, number in ports.items()):
         raise RowError("a port that is none")
-    zone_name = ZoneName(_name(zone) if zone else "")
+    zone_name = ZoneName(_checked_name(zone) if zone else "")
     return Member(
-        _name(name), ServiceName(_name(service)), zone_name, host, ports, MemberState.LIVE
+        _checked_name(name),
+        ServiceName(_checked_name(service)),
+        zone_name,
+        host,
+        ports,
+        MemberState.LIVE,
     )
 
 
-def _name(text: object) -> str:
+def _checked_name(text: object) -> str:
     if not is_name(text):
         raise RowError("a name that is none")
     return text
--- a/egretstack/membership/_runner_watch.py
+++ b/egretstack/membership/_runner_watch.py
@@ -5,7 +5,7 @@
 from egretstack.ids import RunnerId
 from egretstack.policy import RunnerInfo, RunnerLeft, RunnerSeen
 
-SILENCE_S = 2.0
+UNRESPONSIVE_AFTER_S = 2.0
 """Time without a readable load report after which a runner gets no new work from here."""
 
 
@@ -14,12 +14,12 @@
     info: RunnerInfo
     listed_live: bool
     failed_since_s: float | None = None
-    silent: bool = False
+    unresponsive: bool = False
     says_leaving: bool = False
 
     @property
     def usable(self) -> bool:
-        return self.listed_live and not self.silent and not self.says_leaving
+        return self.listed_live and not self.unresponsive and not self.says_leaving
 
 
 WatchEvent = RunnerSeen | RunnerLeft
@@ -45,7 +45,7 @@
     def is_unresponsive(self, runner_id: RunnerId) -> bool:
         """Tell whether the runner's reports cannot be read."""
         runner = self._runner_by_id.get(runner_id)
-        return runner is not None and runner.silent
+        return runner is not None and runner.unresponsive
 
     def on_list(self, live_by_info: dict[RunnerInfo, bool]) -> list[WatchEvent]:
         """Take the list with notices applied: runners, and whether each is live there."""
@@ -55,7 +55,7 @@
             if self._runner_by_id.pop(runner_id).usable:
                 events.append(RunnerLeft(runner_id))
         for info, live in live_by_info.items():
-            events.extend(self._listed_one(info, live))
+            events.extend(self._update_listed(info, live))
         return events
 
     def on_report(self, runner_id: RunnerId, leaving: bool) -> list[WatchEvent]:
@@ -65,9 +65,9 @@
             return []
         before = runner.usable
         runner.failed_since_s = None
-        runner.silent = False
+        runner.unresponsive = False
         runner.says_leaving = leaving
-        return _turned(runner, before)
+        return _transition(runner, before)
 
     def on_report_failed(self, now_s: float, runner_id: RunnerId) -> list[WatchEvent]:
         """Take note that a load report could not be read."""
@@ -77,24 +77,24 @@
         before = runner.usable
         if runner.failed_since_s is None:
             runner.failed_since_s = now_s
-        runner.silent = now_s - runner.failed_since_s >= SILENCE_S
-        return _turned(runner, before)
+        runner.unresponsive = now_s - runner.failed_since_s >= UNRESPONSIVE_AFTER_S
+        return _transition(runner, before)
 
-    def _listed_one(self, info: RunnerInfo, live: bool) -> list[WatchEvent]:
+    def _update_listed(self, info: RunnerInfo, live: bool) -> list[WatchEvent]:
         runner = self._runner_by_id.get(info.id)
         if runner is None:
             runner = self._runner_by_id[info.id] = _Runner(info, live)
-            return _turned(runner, False)
+            return _transition(runner, False)
         before = runner.usable
         changed = runner.info != info
         runner.info = info
         runner.listed_live = live
         if changed and before and runner.usable:
             return [RunnerSeen(info)]
-        return _turned(runner, before)
+        return _transition(runner, before)
 
 
-def _turned(runner: _Runner, before: bool) -> list[WatchEvent]:
+def _transition(runner: _Runner, before: bool) -> list[WatchEvent]:
     if runner.usable == before:
         return []
     return [RunnerSeen(runner.info)] if runner.usable else [RunnerLeft(runner.info.id)]
--- a/egretstack/membership/_state.py
+++ b/egretstack/membership/_state.py
@@ -5,35 +5,35 @@
 from dataclasses import dataclass
 
 from egretstack.ids import InstanceId, Revision, RunnerId
-from egretstack.membership._agreement import Agreement
-from egretstack.membership._detector import Detector
+from egretstack.membership._divergence import DivergenceDetector
+from egretstack.membership._duplicates import DuplicateDetector
 from egretstack.membership._exchange import AnyHeartbeat, Exchange
-from egretstack.membership._forgetting import Forgetting
+from egretstack.membership._failure_detector import FailureDetector
+from egretstack.membership._flap_damping import FlapDamping
 from egretstack.membership._listing import Listing
 from egretstack.membership._messages import Heartbeat, HeartbeatAnswer
 from egretstack.membership._rings import Rings
+from egretstack.membership._row_expiry import RowExpiry
 from egretstack.membership._rows import (
-    FOR_GOOD,
+    NO_EXPIRY,
     InstanceRow,
     InstanceState,
     RunnerNotice,
 )
-from egretstack.membership._steadiness import Steadiness
 from egretstack.membership._table import Table
-from egretstack.membership._twin import TwinWatch
 from egretstack.membership._views import InstanceView, Views
 from egretstack.objectapi import Member
 
 TICK_S = 0.2
 """Time between calls of `tick`, and between two messages to one neighbour that carry news."""
-HEARTBEAT_S = 1.0
+HEARTBEAT_INTERVAL_S = 1.0
 ANSWER_TIMEOUT_S = 1.0
-SUSPECT_S = 4.0
+SUSPICION_TIMEOUT_S = 4.0
 """Time in which a suspect can answer the suspicion before it counts as gone."""
-FREEZE_S = 2.0
-PROBE_S = 5.0
-DEFEND_S = 1.0
-NOTICE_S = 180.0
+PAUSE_THRESHOLD_S = 2.0
+PROBE_INTERVAL_S = 5.0
+REFUTE_INTERVAL_S = 1.0
+NOTICE_TTL_S = 180.0
 _MS = 1000
 
 
@@ -62,21 +62,21 @@
         self._table.put(self._row)
         self._exchange = Exchange(self._row.incarnation, self._table)
         self._listing = Listing(self._table)
-        self._detector = Detector()
-        self._agreement = Agreement()
-        self._steadiness = Steadiness()
+        self._detector = FailureDetector()
+        self._divergence = DivergenceDetector()
+        self._flap_damping = FlapDamping()
         self._rings = Rings(self.own)
-        self._shown = Views(self._table)
-        self._views = self._shown.by_id
-        self._asked_s: dict[InstanceId, float] = {}
+        self._view_index = Views(self._table)
+        self._views = self._view_index.by_id
+        self._sent_s: dict[InstanceId, float] = {}
         self._in_flight: set[InstanceId] = set()
-        self._accused: set[InstanceId] = set()
+        self._suspected_here: set[InstanceId] = set()
         self._suspect_until_s: dict[InstanceId, float] = {}
-        self._forgetting = Forgetting(now_s)
+        self._row_expiry = RowExpiry(now_s)
         self._ticked_s = now_s
         self._probed_s = now_s
-        self._defended_s = float("-inf")
-        self._twin = TwinWatch()
+        self._refuted_s = float("-inf")
+        self._duplicates = DuplicateDetector()
         self._refresh()
 
     @property
@@ -87,7 +87,7 @@
     @property
     def duplicate_alarms(self) -> int:
         """Give how often it was found that another process goes by this instance's id."""
-        return self._twin.alarms
+        return self._duplicates.alarms
 
     @property
     def own_member(self) -> Member:
@@ -103,12 +103,12 @@
         return [
             view.member
             for name, view in self._views.items()
-            if view.takes_work and self._steadiness.is_steady(now_s, name)
+            if view.accepts_requests and self._flap_damping.is_stable(now_s, name)
         ]
 
     def members(self) -> list[Member]:
         """Give the platform's list as it was last read by anyone."""
-        return self._shown.members()
+        return self._view_index.members()
 
     def neighbours(self) -> set[InstanceId]:
         """Give the instances that this one exchanges heartbeats with."""
@@ -117,7 +117,7 @@
     def set_revision(self, revision: Revision) -> None:
         """Carry another applied configuration revision, from the next tick on."""
         self._exchange.revision = revision
-        self._asked_s.clear()
+        self._sent_s.clear()
 
     def apply_list(self, now_s: float, members: list[Member]) -> None:
         """Take a reading of the platform's list at once."""
@@ -126,8 +126,8 @@
 
     def apply_list_steps(self, now_s: float, members: list[Member]) -> Iterator[None]:
         """Take a reading step by step; other calls may come between, another reading may not."""
-        self._detector.listed(now_s)
-        self._agreement.listed(now_s)
+        self._detector.record_list_read(now_s)
+        self._divergence.record_list_read(now_s)
         for changed in self._listing.steps(self._epoch_ms(now_s), members):
             if changed:
                 self._refresh()
@@ -135,15 +135,15 @@
 
     def wants_list(self, now_s: float) -> bool:
         """Tell whether the list is to be read ahead of the plan."""
-        return self._agreement.wants_list(now_s)
+        return self._divergence.needs_list(now_s)
 
     def leave(self) -> None:
         """Let everyone know that this instance leaves, from the next tick on."""
-        self._declare(InstanceState.LEAVING)
+        self._set_own_state(InstanceState.LEAVING)
 
     def stop(self) -> None:
         """Let everyone know that this instance is gone, from the next tick on."""
-        self._declare(InstanceState.GONE)
+        self._set_own_state(InstanceState.GONE)
 
     def announce_runner(
         self, now_s: float, runner: RunnerId, leaving: bool, for_good: bool
@@ -155,71 +155,75 @@
         old = self._table.get(RunnerNotice.key_of(runner))
         if old is None and not leaving:
             return
-        if old is not None and old.leaving == leaving and old.until == FOR_GOOD:
+        if old is not None and old.leaving == leaving and old.until == NO_EXPIRY:
             return
         epoch_ms = self._epoch_ms(now_s)
         stamp = epoch_ms if old is None else max(epoch_ms, old.stamp + 1)
-        until = FOR_GOOD if for_good else stamp + int(NOTICE_S * _MS)
+        until = NO_EXPIRY if for_good else stamp + int(NOTICE_TTL_S * _MS)
         self._table.put(RunnerNotice(runner, leaving, stamp, until))
         self._refresh()
 
     def tick(self, now_s: float) -> list[HeartbeatRequest]:
         """Give the heartbeats that are due; call it every `TICK_S`."""
-        if now_s - self._ticked_s > FREEZE_S:
-            self._thaw(now_s)
+        if now_s - self._ticked_s > PAUSE_THRESHOLD_S:
+            self._on_resume(now_s)
         self._ticked_s = now_s
-        self._defend(now_s)
+        self._refute(now_s)
         self._expire(now_s)
-        if self._forgetting.sweep(
-            now_s, self._epoch_ms(now_s), self._table, self._shown.listed_ids
+        if self._row_expiry.sweep(
+            now_s, self._epoch_ms(now_s), self._table, self._view_index.listed_ids
         ):
             self._refresh()
-        due = [peer for peer in self._rings.watched() if self._is_due(now_s, peer, HEARTBEAT_S)]
-        due += [peer for peer in sorted(self.neighbours()) if self._is_told(now_s, peer)]
+        due = [
+            peer
+            for peer in self._rings.watched()
+            if self._is_due(now_s, peer, HEARTBEAT_INTERVAL_S)
+        ]
+        due += [peer for peer in sorted(self.neighbours()) if self._is_update_due(now_s, peer)]
         due += self._probe(now_s)
-        return [self._ask(now_s, peer) for peer in dict.fromkeys(due) if peer in self._views]
+        return [self._request(now_s, peer) for peer in dict.fromkeys(due) if peer in self._views]
 
     def on_heartbeat(self, now_s: float, peer: InstanceId, message: Heartbeat) -> HeartbeatAnswer:
         """Take a peer's heartbeat and give the answer. Raises RowError."""
-        self._detector.heard(now_s, peer)
-        self._take(now_s, peer, message)
+        self._detector.record_message(now_s, peer)
+        self._apply(now_s, peer, message)
         return self._exchange.message(peer, HeartbeatAnswer)
 
     def on_answer(self, now_s: float, peer: InstanceId, message: HeartbeatAnswer) -> None:
         """Take a peer's answer. Raises RowError."""
         self._in_flight.discard(peer)
-        self._detector.answered(now_s, peer)
-        self._take(now_s, peer, message)
+        self._detector.record_answer(now_s, peer)
+        self._apply(now_s, peer, message)
 
     def on_timeout(self, now_s: float, peer: InstanceId) -> None:
         """Take note that a heartbeat got no answer in time."""
         self._in_flight.discard(peer)
         view = self._views.get(peer)
-        if view is None or not self._detector.missed(now_s, peer):
+        if view is None or not self._detector.record_miss(now_s, peer):
             return
         if view.state in (InstanceState.LIVE, InstanceState.LEAVING):
-            self._accused.add(peer)
+            self._suspected_here.add(peer)
             self._set_state(now_s, peer, InstanceState.SUSPECT)
 
     def _is_due(self, now_s: float, peer: InstanceId, period_s: float) -> bool:
-        waited_s = now_s - self._asked_s.get(peer, float("-inf"))
+        waited_s = now_s - self._sent_s.get(peer, float("-inf"))
         return peer not in self._in_flight and waited_s >= period_s - TICK_S / 2
 
-    def _is_told(self, now_s: float, peer: InstanceId) -> bool:
+    def _is_update_due(self, now_s: float, peer: InstanceId) -> bool:
         """Tell whether to send news ahead of the next heartbeat."""
         # One that does not answer gets heartbeats alone: refused connections fail at once, and
         # the misses of a second would be counted in a fraction of it.
-        well = self._detector.is_well(peer)
-        return well and self._is_due(now_s, peer, TICK_S) and self._exchange.has_news(peer)
+        well = self._detector.is_responsive(peer)
+        return well and self._is_due(now_s, peer, TICK_S) and self._exchange.has_updates(peer)
 
-    def _ask(self, now_s: float, peer: InstanceId) -> HeartbeatRequest:
+    def _request(self, now_s: float, peer: InstanceId) -> HeartbeatRequest:
         self._in_flight.add(peer)
-        self._asked_s[peer] = now_s
+        self._sent_s[peer] = now_s
         return HeartbeatRequest(self._views[peer].member, self._exchange.message(peer))
 
     def _probe(self, now_s: float) -> list[InstanceId]:
         """Ask after one instance that is gone: two halves of a fleet find each other so."""
-        if now_s - self._probed_s < PROBE_S:
+        if now_s - self._probed_s < PROBE_INTERVAL_S:
             return []
         self._probed_s = now_s
         gone = [
@@ -230,41 +234,43 @@
         free = [name for name in gone if name not in self._in_flight]
         return [self._rng.choice(free)] if free else []
 
-    def _take(self, now_s: float, peer: InstanceId, message: AnyHeartbeat) -> None:
+    def _apply(self, now_s: float, peer: InstanceId, message: AnyHeartbeat) -> None:
         before = self._views
-        news = self._exchange.take(peer, message)
-        self._agreement.compared(now_s, peer, message.digest == self._table.digest)
-        if not news:
+        updates = self._exchange.apply(peer, message)
+        self._divergence.record_comparison(now_s, peer, message.digest == self._table.digest)
+        if not updates:
             return
-        for row in news:
+        for row in updates:
             if isinstance(row, InstanceRow):
-                self._note(now_s, row, before)
+                self._on_instance_row(now_s, row, before)
         self._refresh()
 
-    def _note(self, now_s: float, row: InstanceRow, before: dict[InstanceId, InstanceView]) -> None:
+    def _on_instance_row(
+        self, now_s: float, row: InstanceRow, before: dict[InstanceId, InstanceView]
+    ) -> None:
         name = InstanceId(row.member.id)
         if name == self.own:
             return
         if row.state is InstanceState.SUSPECT:
-            self._suspect_until_s[name] = now_s + SUSPECT_S
+            self._suspect_until_s[name] = now_s + SUSPICION_TIMEOUT_S
             return
         self._suspect_until_s.pop(name, None)
         if row.state is InstanceState.GONE:
             return
         was_gone = name in before and before[name].state is InstanceState.GONE
         if was_gone:
-            self._steadiness.returned(now_s, name)
-        elif name in self._accused:
-            self._detector.wronged(now_s, name)
-        self._accused.discard(name)
+            self._flap_damping.record_return(now_s, name)
+        elif name in self._suspected_here:
+            self._detector.record_false_suspicion(now_s, name)
+        self._suspected_here.discard(name)
 
-    def _defend(self, now_s: float) -> None:
+    def _refute(self, now_s: float) -> None:
         """Answer what others say of this instance, by a higher incarnation."""
         held = self._table.get(self._row.key)
-        if held == self._row or now_s - self._defended_s < DEFEND_S:
+        if held == self._row or now_s - self._refuted_s < REFUTE_INTERVAL_S:
             return
-        self._defended_s = now_s
-        if not self._twin.may_answer(now_s, held):
+        self._refuted_s = now_s
+        if not self._duplicates.may_refute(now_s, held):
             return
         # A frozen process that thaws, or one that restarted on a machine whose clock is behind,
         # finds its own row overruled; nobody would believe it until it is above that row.
@@ -272,8 +278,8 @@
         self._table.put(self._row)
         self._refresh()
 
-    def _declare(self, state: InstanceState) -> None:
-        self._row = self._row.turned(state)
+    def _set_own_state(self, state: InstanceState) -> None:
+        self._row = self._row.with_state(state)
         self._table.put(self._row)
         self._refresh()
 
@@ -281,10 +287,10 @@
         row = self._table.get(InstanceRow.key_of(peer))
         if row is None:
             row = InstanceRow(self._views[peer].member, 0, InstanceState.LIVE)
-        row = row.turned(state)
+        row = row.with_state(state)
         if self._table.put(row):
             if state is InstanceState.SUSPECT:
-                self._suspect_until_s[peer] = now_s + SUSPECT_S
+                self._suspect_until_s[peer] = now_s + SUSPICION_TIMEOUT_S
             self._refresh()
 
     def _expire(self, now_s: float) -> None:
@@ -296,22 +302,22 @@
     def _epoch_ms(self, now_s: float) -> int:
         return int((now_s + self._epoch_offset_s) * _MS)
 
-    def _thaw(self, now_s: float) -> None:
-        self._detector.thawed()
+    def _on_resume(self, now_s: float) -> None:
+        self._detector.reset_misses()
         for name in self._suspect_until_s:
-            self._suspect_until_s[name] = now_s + SUSPECT_S
+            self._suspect_until_s[name] = now_s + SUSPICION_TIMEOUT_S
 
     def _refresh(self) -> None:
-        self._shown.follow()
+        self._view_index.follow()
         present = {
             name for name, view in self._views.items() if view.state is not InstanceState.GONE
         }
         self._rings.update(present)
         near = self.neighbours() | self._in_flight
-        self._exchange.forget(near)
-        self._detector.forget(near)
-        self._agreement.forget(near)
-        self._steadiness.forget(set(self._views))
-        for name in self._asked_s.keys() - near:
-            del self._asked_s[name]
+        self._exchange.retain(near)
+        self._detector.retain(near)
+        self._divergence.retain(near)
+        self._flap_damping.retain(set(self._views))
+        for name in self._sent_s.keys() - near:
+            del self._sent_s[name]
         self.changes += 1
--- a/egretstack/membership/_table.py
+++ b/egretstack/membership/_table.py
@@ -39,7 +39,7 @@
         """Give a copy of the rows by subject."""
         return dict(self._row_by_key)
 
-    def put(self, row: Row, source: str = "", *, is_news: bool = True) -> bool:
+    def put(self, row: Row, source: str = "", *, is_shared: bool = True) -> bool:
         """Take a row if it is newer than the one known; True if it was taken.
 
         One that is no news is kept, and sent to nobody.
@@ -53,7 +53,7 @@
             self.remove(row.key)
         self._row_by_key[row.key] = row
         self._changed.add(row.key)
-        if is_news:
+        if is_shared:
             # The order of the dictionary is that of the versions: a changed row goes to the end.
             self.version += 1
             self._version_by_key[row.key] = self.version
@@ -69,12 +69,12 @@
         self._changed.add(key)
         self.digest ^= _digest(row)
 
-    def take_changed(self) -> set[Key]:
+    def pop_changed(self) -> set[Key]:
         """Give the subjects whose rows changed since the last call."""
         changed, self._changed = self._changed, set()
         return changed
 
-    def news(self, after: int, reader: str, most: int) -> tuple[list[Row], int]:
+    def changes_after(self, after: int, reader: str, limit: int) -> tuple[list[Row], int]:
         """Give rows above a version, at most `most`, and the version they reach.
 
         What came from the reader itself is left out.
@@ -86,9 +86,9 @@
             if self._source_by_key[key] != reader:
                 rows.append(self._row_by_key[key])
         rows.reverse()
-        if len(rows) <= most:
+        if len(rows) <= limit:
             return rows, self.version
-        rows = rows[:most]
+        rows = rows[:limit]
         return rows, self._version_by_key[rows[-1].key]
 
 
--- a/egretstack/membership/_views.py
+++ b/egretstack/membership/_views.py
@@ -28,7 +28,7 @@
     state: InstanceState
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Tell whether callers may be sent there; a suspect may live, so it counts."""
         return self.state in (InstanceState.LIVE, InstanceState.SUSPECT)
 
@@ -61,40 +61,40 @@
 
     def follow(self) -> None:
         """Take in the rows that changed in the table since the last call."""
-        for kind, name in self._table.take_changed():
+        for kind, name in self._table.pop_changed():
             if kind == INSTANCE_KIND:
-                self._view(InstanceId(name))
+                self._update_instance(InstanceId(name))
             elif kind == LISTED_KIND:
                 service, _, member_id = name.partition("/")
-                self._list((service, member_id))
+                self._update_listed((service, member_id))
             else:
                 for place in list(self._places_by_id.get(name, ())):
-                    self._list(place)
+                    self._update_listed(place)
 
-    def _view(self, name: InstanceId) -> None:
+    def _update_instance(self, name: InstanceId) -> None:
         listed = self._table.get(ListedRow.key_at(ENTRY_SERVICE, name))
         row = self._table.get(InstanceRow.key_of(name))
         if row is not None:
-            self.by_id[name] = _merged(row, listed)
+            self.by_id[name] = _merge_view(row, listed)
         elif listed is not None and listed.state is not None:
             self.by_id[name] = InstanceView(listed.member, _STATE_BY_LISTED[listed.state])
         else:
             self.by_id.pop(name, None)
 
-    def _list(self, place: _Place) -> None:
+    def _update_listed(self, place: _Place) -> None:
         row = self._table.get(ListedRow.key_at(*place))
         if row is None or row.state is None:
-            self._unlist(place)
+            self._remove_listed(place)
         else:
-            state = MemberState.LEAVING if _told_to_leave(self._table, row) else row.state
+            state = MemberState.LEAVING if _has_leaving_notice(self._table, row) else row.state
             if place not in self._member_by_place:
                 insort(self._places, place)
                 self._places_by_id.setdefault(place[1], set()).add(place)
             self._member_by_place[place] = replace(row.member, state=state)
         if place[0] == ENTRY_SERVICE:
-            self._view(InstanceId(place[1]))
+            self._update_instance(InstanceId(place[1]))
 
-    def _unlist(self, place: _Place) -> None:
+    def _remove_listed(self, place: _Place) -> None:
         if self._member_by_place.pop(place, None) is None:
             return
         del self._places[bisect_left(self._places, place)]
@@ -110,7 +110,7 @@
 }
 
 
-def _merged(row: InstanceRow, listed: ListedRow | None) -> InstanceView:
+def _merge_view(row: InstanceRow, listed: ListedRow | None) -> InstanceView:
     if listed is None or listed.state is None:
         return InstanceView(row.member, row.state)
     ports = listed.member.ports | row.member.ports
@@ -122,7 +122,7 @@
     return InstanceView(member, row.state)
 
 
-def _told_to_leave(table: Table, row: ListedRow) -> bool:
+def _has_leaving_notice(table: Table, row: ListedRow) -> bool:
     notice = table.get(RunnerNotice.key_of(row.member.id))
     if not isinstance(notice, RunnerNotice) or not notice.leaving:
         return False
--- a/scripts/slopes_membership.py
+++ b/scripts/slopes_membership.py
@@ -20,7 +20,7 @@
 from egretstack.ids import InstanceId, RunnerId
 from egretstack.membership import Heartbeat, InstanceState, MembershipState, ReadingPlan
 from egretstack.membership._reading import ROW_BYTES
-from egretstack.membership._rows import FOR_GOOD, RunnerNotice, pack_row
+from egretstack.membership._rows import NO_EXPIRY, RunnerNotice, pack_row
 from egretstack.objectapi import Member, MemberState
 from tests.membership_fleet import EPOCH_S, Fleet, fleet_of, instance, runner
 
@@ -125,7 +125,7 @@
 
 def _changed_us(state: MembershipState, number: int) -> float:
     """Let a neighbour tell of a runner that leaves; time it until the members are at hand."""
-    notice = RunnerNotice(RunnerId(f"runner-{number}"), True, number, FOR_GOOD)
+    notice = RunnerNotice(RunnerId(f"runner-{number}"), True, number, NO_EXPIRY)
     message = Heartbeat(1, 0, 0, 0, number, 0, 0, [pack_row(notice)])
     began = time.perf_counter()
     state.on_heartbeat(1.0, InstanceId("entry-1"), message)
--- a/tests/test_membership_choice.py
+++ b/tests/test_membership_choice.py
@@ -15,7 +15,7 @@
     ReportSchedule,
     entries_for,
 )
-from egretstack.membership._report_turns import JITTER, MAX_AHEAD
+from egretstack.membership._report_schedule import JITTER, MAX_AHEAD
 from egretstack.policy import RunnerInfo
 from tests.membership_fleet import instance
 from tests.support import check, tests_of
--- a/tests/test_membership_twins.py
+++ b/tests/test_membership_twins.py
@@ -5,8 +5,8 @@
 
 from egretstack.ids import InstanceId
 from egretstack.membership import Heartbeat, InstanceState, MembershipState
+from egretstack.membership._duplicates import MAX_REFUTATIONS
 from egretstack.membership._rows import InstanceRow, pack_row
-from egretstack.membership._twin import ANSWERS
 from tests.membership_fleet import EPOCH_S, instance
 from tests.support import check, tests_of
 
@@ -38,7 +38,7 @@
     # are sent to one or the other in turn. It has to be told, and to come to rest.
     (one, other), told = twins(200)
     check.assertGreaterEqual(max(one.duplicate_alarms, other.duplicate_alarms), 1)
-    check.assertLessEqual(len(told), 2 * ANSWERS + 2)
+    check.assertLessEqual(len(told), 2 * MAX_REFUTATIONS + 2)
     row = one._table.get(InstanceRow.key_of("entry-0"))
     check.assertEqual(row, other._table.get(InstanceRow.key_of("entry-0")))
 
--- a/tests/test_membership_work.py
+++ b/tests/test_membership_work.py
@@ -9,8 +9,8 @@
 
 from egretstack.ids import InstanceId, RunnerId
 from egretstack.membership import Heartbeat, InstanceState, MembershipState, RowError
-from egretstack.membership._detector import MAX_MISSES
 from egretstack.membership._exchange import Exchange
+from egretstack.membership._failure_detector import MAX_SUSPECT_MISSES
 from egretstack.membership._listing import STEP_ROWS
 from egretstack.membership._rings import RINGS, Rings
 from egretstack.membership._rows import InstanceRow, ListedRow, RunnerNotice, pack_row, unpack_row
@@ -66,14 +66,14 @@
         sender.table.put(InstanceRow(instance(number), 1000, InstanceState.GONE))
     peer, own = InstanceId("peer"), InstanceId("own")
     former = Exchange(2000, Table())
-    former.take(own, sender.message(peer))
-    sender.take(peer, former.message(own))
+    former.apply(own, sender.message(peer))
+    sender.apply(peer, former.message(own))
     sender.table.put(InstanceRow(instance(9), 1000, InstanceState.LIVE))
     restarted = Exchange(3000, Table())
-    restarted.take(own, sender.message(peer))
+    restarted.apply(own, sender.message(peer))
     for _ in range(2):
-        sender.take(peer, restarted.message(own))
-        restarted.take(own, sender.message(peer))
+        sender.apply(peer, restarted.message(own))
+        restarted.apply(own, sender.message(peer))
     check.assertEqual(restarted.table.digest, sender.table.digest)
 
 
@@ -82,10 +82,10 @@
     detector = fleet.state_of(0)._detector
     peer = InstanceId("entry-1")
     for _ in range(20):
-        detector.wronged(0.0, peer)
-    detector.heard(0.0, InstanceId("entry-2"))
-    answers = [detector.missed(0.0, peer) for _ in range(MAX_MISSES)]
-    check.assertEqual(answers, [False] * (MAX_MISSES - 1) + [True])
+        detector.record_false_suspicion(0.0, peer)
+    detector.record_message(0.0, InstanceId("entry-2"))
+    answers = [detector.record_miss(0.0, peer) for _ in range(MAX_SUSPECT_MISSES)]
+    check.assertEqual(answers, [False] * (MAX_SUSPECT_MISSES - 1) + [True])
 
 
 def test_a_change_in_a_large_fleet_works_on_its_own_rows():
--- a/tests/test_news_under_loss.py
+++ b/tests/test_news_under_loss.py
@@ -9,7 +9,7 @@
     HeldVersion,
     UpdateFollower,
 )
-from egretstack.fleet._news import ANSWERED_S
+from egretstack.fleet._news import ACK_TIMEOUT_S
 from egretstack.ids import InstanceId
 from egretstack.messages import encode
 from tests.news_fixtures import (
@@ -109,8 +109,8 @@
     home.replace_rows({"ra": ["ready"]})
     home.parts_for(1.0, OTHER)
     home.record_held(OTHER, follower.held)
-    check.assertFalse(home.is_behind(1.0 + 0.9 * ANSWERED_S, OTHER))
-    check.assertTrue(home.is_behind(1.0 + 1.1 * ANSWERED_S, OTHER))
+    check.assertFalse(home.is_behind(1.0 + 0.9 * ACK_TIMEOUT_S, OTHER))
+    check.assertTrue(home.is_behind(1.0 + 1.1 * ACK_TIMEOUT_S, OTHER))
 
 
 def test_a_report_that_crosses_news_is_not_answered():
@@ -121,8 +121,8 @@
         home.replace_rows({"ia": [step]})
         home.parts_for(step / 10, OTHER)
     home.record_held(OTHER, HeldVersion(home.epoch, 2))
-    check.assertFalse(home.is_behind(0.3 + 0.5 * ANSWERED_S, OTHER))
-    check.assertTrue(home.is_behind(0.3 + 1.1 * ANSWERED_S, OTHER))
+    check.assertFalse(home.is_behind(0.3 + 0.5 * ACK_TIMEOUT_S, OTHER))
+    check.assertTrue(home.is_behind(0.3 + 1.1 * ACK_TIMEOUT_S, OTHER))
     check.assertIs(deliver_all(home, follower), ApplyResult.WHOLE)
 
 
