--- a/egretstack/fleet/_versioned_rows.py
+++ b/egretstack/fleet/_versioned_rows.py
@@ -35,7 +35,7 @@
     def __len__(self) -> int:
         return len(self._change_by_key)
 
-    def put_all(self, row_by_key: Mapping[str, Row]) -> bool:
+    def replace_all(self, row_by_key: Mapping[str, Row]) -> bool:
         """Take the rows that there are now; tell whether any changed."""
         before = self.version
         for key, row in row_by_key.items():
@@ -47,18 +47,18 @@
                 self._put(key, None)
         return self.version != before
 
-    def take(self, changes: Iterable[RowChange], version: int) -> list[str]:
+    def apply(self, changes: Iterable[RowChange], version: int) -> list[str]:
         """Take changes told by another holder, up to a version; give the keys that changed."""
         changed = []
         for change in changes:
             if change.version <= self.version:
                 continue
-            self._keep(change)
+            self._store(change)
             changed.append(change.key)
         self.version = max(self.version, version)
         return changed
 
-    def since(self, version: int) -> list[RowChange]:
+    def changes_since(self, version: int) -> list[RowChange]:
         """Give what changed after a version, in the order of the changes."""
         if version == self.version:
             return []
@@ -70,16 +70,16 @@
 
     def _put(self, key: str, row: Row | None) -> None:
         self.version += 1
-        self._keep(RowChange(self.version, key, row))
+        self._store(RowChange(self.version, key, row))
 
-    def _keep(self, change: RowChange) -> None:
+    def _store(self, change: RowChange) -> None:
         before = self._change_by_key.get(change.key)
         was_removed = before is not None and before.row is None
         self.removed += (change.row is None) - was_removed
         self._change_by_key[change.key] = change
 
 
-def change_of(row: object) -> RowChange:
+def change_from_row(row: object) -> RowChange:
     """Read the change of a row. Raises MessageError."""
     try:
         version, key, content = row
