--- a/egretstack/http1/__init__.py
+++ b/egretstack/http1/__init__.py
@@ -1,42 +1,42 @@
 """HTTP/1.1 on trio streams with h11: the bytes, each close and each reuse are ours to decide."""
 
-from egretstack.http1._body_room import BodyRoom, NoRoomForBody
+from egretstack.http1._body_memory import BodyMemory, BodyMemoryFull
 from egretstack.http1._client import (
     ConnectFailed,
     UpstreamBroken,
     UpstreamConnection,
     connect_upstream,
 )
-from egretstack.http1._exchange import AnswerTooLarge, exchange
+from egretstack.http1._exchange import ResponseTooLarge, exchange
 from egretstack.http1._messages import (
     Header,
     Headers,
     RequestHead,
     ResponseHead,
-    connection_headers,
     first_value,
+    hop_by_hop_headers,
 )
 from egretstack.http1._pool import ConnectionPool
 from egretstack.http1._server import (
     BadRequest,
     ClientConnection,
-    ClientGone,
+    ClientDisconnected,
     ServerLimits,
     SlowSender,
 )
 from egretstack.http1._sockets import open_connection, open_listener
 
 __all__ = [
-    "AnswerTooLarge",
+    "ResponseTooLarge",
     "BadRequest",
-    "BodyRoom",
+    "BodyMemory",
     "ClientConnection",
-    "ClientGone",
+    "ClientDisconnected",
     "ConnectFailed",
     "ConnectionPool",
     "Header",
     "Headers",
-    "NoRoomForBody",
+    "BodyMemoryFull",
     "RequestHead",
     "ResponseHead",
     "ServerLimits",
@@ -44,7 +44,7 @@
     "UpstreamBroken",
     "UpstreamConnection",
     "connect_upstream",
-    "connection_headers",
+    "hop_by_hop_headers",
     "exchange",
     "first_value",
     "open_connection",
--- a/egretstack/http1/_body_room.py
+++ b/egretstack/http1/_body_memory.py
@@ -1,11 +1,11 @@
 """Memory that the bodies of all requests in progress share."""
 
 
-class NoRoomForBody(Exception):
+class BodyMemoryFull(Exception):
     """Bodies of other requests fill the memory that is meant for them; nothing was passed on."""
 
 
-class BodyRoom:
+class BodyMemory:
     """Counts bytes of bodies, up to a limit.
 
     Each body is bounded, and some dozens of large ones at once would still pass an instance's
@@ -13,8 +13,8 @@
     one that finds no room costs one caller a retry.
     """
 
-    def __init__(self, most_bytes: int) -> None:
-        self._most_bytes = most_bytes
+    def __init__(self, max_bytes: int) -> None:
+        self._most_bytes = max_bytes
         self._held_bytes = 0
 
     @property
@@ -22,12 +22,12 @@
         """Bytes held now."""
         return self._held_bytes
 
-    def take(self, count: int) -> None:
+    def acquire(self, count: int) -> None:
         """Count bytes that have arrived. Raises NoRoomForBody."""
         if self._held_bytes + count > self._most_bytes:
-            raise NoRoomForBody(f"bodies of {self._held_bytes} bytes are in progress")
+            raise BodyMemoryFull(f"bodies of {self._held_bytes} bytes are in progress")
         self._held_bytes += count
 
-    def give_back(self, count: int) -> None:
+    def release(self, count: int) -> None:
         """Count bytes that are no longer held."""
         self._held_bytes -= count
--- a/egretstack/http1/_client.py
+++ b/egretstack/http1/_client.py
@@ -26,7 +26,7 @@
 
     def __init__(self, stream: trio.SocketStream, raw: socket.socket, address: str) -> None:
         self.address = address
-        self.requests = 0
+        self.request_count = 0
         self.idle_since_s = 0.0
         self.idle_limit_s: float | None = None
         """How long the other side keeps it open while idle, as told in `Keep-Alive`."""
@@ -41,7 +41,7 @@
         It may run beside `read_head` and `read_body`: an upstream may answer before it has read a
         long body, and goes on reading the rest of that body.
         """
-        self.requests += 1
+        self.request_count += 1
         self._sending = True
         request = h11.Request(method=head.method, target=head.target, headers=list(head.headers))
         try:
--- a/egretstack/http1/_exchange.py
+++ b/egretstack/http1/_exchange.py
@@ -11,12 +11,12 @@
 """Taken off an upstream's own limit: a request sent just before it closes would be reset."""
 
 
-class AnswerTooLarge(UpstreamBroken):
+class ResponseTooLarge(UpstreamBroken):
     """The answer's body goes beyond what its reader accepts."""
 
 
 async def exchange(
-    connection: UpstreamConnection, head: RequestHead, body: bytes, most_bytes: int
+    connection: UpstreamConnection, head: RequestHead, body: bytes, max_bytes: int
 ) -> tuple[ResponseHead, bytes]:
     """Send a request and read its answer whole. Raises UpstreamBroken.
 
@@ -27,7 +27,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_send, connection, head, body)
         try:
-            answer = await _read(connection, most_bytes)
+            answer = await _read(connection, max_bytes)
         except UpstreamBroken as error:
             broken = error
         nursery.cancel_scope.cancel()
@@ -50,7 +50,7 @@
     while (data := await connection.read_body()) is not None:
         body += data
         if len(body) > most_bytes:
-            raise AnswerTooLarge(f"more than {most_bytes} bytes")
+            raise ResponseTooLarge(f"more than {most_bytes} bytes")
     return head, bytes(body)
 
 
--- a/egretstack/http1/_messages.py
+++ b/egretstack/http1/_messages.py
@@ -35,7 +35,7 @@
     return None
 
 
-def connection_headers(headers: Headers) -> frozenset[bytes]:
+def hop_by_hop_headers(headers: Headers) -> frozenset[bytes]:
     """Give the names of the headers that concern one connection only."""
     told = first_value(headers, b"connection") or b""
     return _HOP_BY_HOP | {one.strip().lower() for one in told.split(b",")}
--- a/egretstack/http1/_pool.py
+++ b/egretstack/http1/_pool.py
@@ -17,7 +17,7 @@
         self._max_idle = max_idle
         self._idle_by_address: dict[str, list[UpstreamConnection]] = {}
 
-    async def take(self, address: str, connect_timeout_s: float) -> UpstreamConnection:
+    async def acquire(self, address: str, connect_timeout_s: float) -> UpstreamConnection:
         """Give a kept connection that looks whole, or a new one. Raises ConnectFailed."""
         idle = self._idle_by_address.get(address, [])
         while idle:
@@ -27,7 +27,7 @@
             kept.close()
         return await connect_upstream(address, connect_timeout_s)
 
-    def give_back(self, connection: UpstreamConnection) -> None:
+    def release(self, connection: UpstreamConnection) -> None:
         """Keep a connection whose answer was read whole, or close it."""
         if not connection.is_reusable():
             connection.close()
@@ -38,7 +38,7 @@
         if len(idle) > self._max_idle:
             idle.pop(0).close()
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close what is kept for an address."""
         for kept in self._idle_by_address.pop(address, ()):
             kept.close()
@@ -46,4 +46,4 @@
     def close(self) -> None:
         """Close everything."""
         for address in list(self._idle_by_address):
-            self.forget(address)
+            self.close_idle(address)
--- a/egretstack/http1/_server.py
+++ b/egretstack/http1/_server.py
@@ -5,7 +5,7 @@
 import h11
 import trio
 
-from egretstack.http1._body_room import BodyRoom
+from egretstack.http1._body_memory import BodyMemory
 from egretstack.http1._messages import Headers, RequestHead, ResponseHead
 from egretstack.http1._sockets import reset_on_close
 
@@ -31,7 +31,7 @@
         self.status = status
 
 
-class ClientGone(Exception):
+class ClientDisconnected(Exception):
     """The client closed its connection, or it broke."""
 
 
@@ -55,10 +55,10 @@
     """Serves one request after another on one stream."""
 
     def __init__(
-        self, stream: trio.SocketStream, limits: ServerLimits, room: BodyRoom | None = None
+        self, stream: trio.SocketStream, limits: ServerLimits, body_memory: BodyMemory | None = None
     ) -> None:
         self.limits = limits
-        self._room = room
+        self._room = body_memory
         """Shared with other connections; without one, the limit of each body is the only bound."""
         self._body_bytes = 0
         self._stream = stream
@@ -75,7 +75,7 @@
         try:
             with trio.fail_after(self.limits.header_timeout_s):
                 event = await self._next_event()
-        except ClientGone:
+        except ClientDisconnected:
             return None
         except trio.TooSlowError as error:
             raise SlowSender("the head did not arrive") from error
@@ -108,7 +108,7 @@
             if isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             if not isinstance(event, h11.Data):
-                raise ClientGone("closed within a request")
+                raise ClientDisconnected("closed within a request")
             if len(body) + len(event.data) > self.limits.body_bytes:
                 raise BadRequest(413, f"a body of more than {self.limits.body_bytes} bytes")
             self._count_body(len(event.data))
@@ -117,15 +117,15 @@
     def release_body(self) -> None:
         """Give back the room of the body; the request is over."""
         if self._room is not None:
-            self._room.give_back(self._body_bytes)
+            self._room.release(self._body_bytes)
             self._body_bytes = 0
 
     def _count_body(self, count: int) -> None:
         if self._room is not None:
-            self._room.take(count)
+            self._room.acquire(count)
             self._body_bytes += count
 
-    async def wait_until_gone(self) -> None:
+    async def wait_until_disconnected(self) -> None:
         """Return once the client has closed; bytes of later requests are kept for their turn."""
         while self._ahead < MAX_AHEAD_BYTES:
             try:
@@ -138,7 +138,7 @@
             self._http.receive_data(data)
         await trio.sleep_forever()
 
-    async def send_answer(self, head: ResponseHead, body: bytes) -> None:
+    async def send_response(self, head: ResponseHead, body: bytes) -> None:
         """Send a whole answer. Raises ClientGone."""
         parts = [self._start(head, len(body))]
         if body:
@@ -153,7 +153,7 @@
             parts.append(self._http.send(h11.Data(data=body)))
         await self._send(b"".join(parts))
 
-    async def send_part(self, body: bytes) -> None:
+    async def send_chunk(self, body: bytes) -> None:
         """Send a piece of an answer's body. Raises ClientGone."""
         await self._send(self._http.send(h11.Data(data=body)))
 
@@ -174,7 +174,7 @@
         """Close the connection."""
         self._stream.socket.close()
 
-    def can_start_answer(self) -> bool:
+    def can_start_response(self) -> bool:
         """Tell whether nothing of an answer to the present request was sent."""
         return self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE)
 
@@ -217,13 +217,13 @@
             try:
                 self._http.receive_data(await self._stream.receive_some(READ_BYTES))
             except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-                raise ClientGone(repr(error)) from error
+                raise ClientDisconnected(repr(error)) from error
 
     async def _send(self, data: bytes | None) -> None:
         try:
             await self._stream.send_all(data or b"")
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise ClientGone(repr(error)) from error
+            raise ClientDisconnected(repr(error)) from error
 
 
 def _refuse_two_framings(headers: Headers) -> None:
--- a/egretstack/platform/_runner_wire.py
+++ b/egretstack/platform/_runner_wire.py
@@ -12,8 +12,8 @@
     Headers,
     RequestHead,
     ResponseHead,
-    connection_headers,
     first_value,
+    hop_by_hop_headers,
 )
 from egretstack.ids import RunnerName
 from egretstack.platform._bodies import Body, number, parse_object, text, whole
@@ -83,7 +83,7 @@
 
 def runner_request(request: ClientRequest, terms: SendTerms) -> RequestHead:
     """Give the head that a runner gets for a client's request."""
-    dropped = connection_headers(request.head.headers) | _SYSTEM_ONLY
+    dropped = hop_by_hop_headers(request.head.headers) | _SYSTEM_ONLY
     headers = [one for one in request.head.headers if one[0] not in dropped]
     headers.append((_DEADLINE_MS, b"%d" % max(1, int(terms.time_left_s * 1000))))
     headers.append((b"expect-runner", terms.runner_name.encode()))
@@ -130,7 +130,7 @@
 
 def client_head(answer: RunnerAnswer) -> ResponseHead:
     """Give the head that a client gets for a runner's answer."""
-    dropped = connection_headers(answer.head.headers) | _FROM_RUNNER_ONLY
+    dropped = hop_by_hop_headers(answer.head.headers) | _FROM_RUNNER_ONLY
     kept: Headers = tuple(one for one in answer.head.headers if one[0] not in dropped)
     return ResponseHead(answer.head.status, answer.head.reason, kept)
 
--- a/egretstack/platform/_store.py
+++ b/egretstack/platform/_store.py
@@ -183,7 +183,7 @@
         body = b"" if document is None else json.dumps(document).encode()
         head = RequestHead(method, path.encode(), self._headers(body))
         try:
-            connection = await self._pool.take(self._address, CONNECT_TIMEOUT_S)
+            connection = await self._pool.acquire(self._address, CONNECT_TIMEOUT_S)
         except ConnectFailed as error:
             raise StoreAway(str(error)) from error
         try:
@@ -195,7 +195,7 @@
         except BaseException:
             connection.close()
             raise
-        self._pool.give_back(connection)
+        self._pool.release(connection)
         return answer.status, data
 
     def _headers(self, body: bytes) -> tuple[tuple[bytes, bytes], ...]:
--- a/egretstack/relay/__init__.py
+++ b/egretstack/relay/__init__.py
@@ -2,14 +2,14 @@
 
 from egretstack.relay._budget import RetryBudget
 from egretstack.relay._client_stream import ClientStream
+from egretstack.relay._context import EnginePlacing, RelayContext, RelayTask
 from egretstack.relay._crash_guard import CrashGuard
 from egretstack.relay._cursor import EventCursor, EventGap
 from egretstack.relay._events import EventSplitter, EventTooLarge, StreamEvent
-from egretstack.relay._knowledge import RequestFailed, RunKnowledge, barred
-from egretstack.relay._plain import PlainRelay, WholeAnswer
-from egretstack.relay._runner_words import RunnerWords
+from egretstack.relay._execution_status import ExecutionStatus, RequestFailed, no_eligible_runner
+from egretstack.relay._plain import BufferedResponse, PlainRelay
+from egretstack.relay._runner_signals import RunnerSignals
 from egretstack.relay._stream import StreamRelay
-from egretstack.relay._tools import EnginePlacing, RelayTools, Task
 
 __all__ = [
     "ClientStream",
@@ -20,14 +20,14 @@
     "EventSplitter",
     "EventTooLarge",
     "PlainRelay",
-    "RelayTools",
+    "RelayContext",
     "RequestFailed",
     "RetryBudget",
-    "RunKnowledge",
-    "RunnerWords",
+    "ExecutionStatus",
+    "RunnerSignals",
     "StreamEvent",
     "StreamRelay",
-    "Task",
-    "WholeAnswer",
-    "barred",
+    "RelayTask",
+    "BufferedResponse",
+    "no_eligible_runner",
 ]
--- a/egretstack/relay/_budget.py
+++ b/egretstack/relay/_budget.py
@@ -23,11 +23,11 @@
         self._requests_by_service: dict[ServiceName, deque[float]] = {}
         self._repeats_by_service: dict[ServiceName, deque[float]] = {}
 
-    def requested(self, now_s: float, service: ServiceName) -> None:
+    def record_request(self, now_s: float, service: ServiceName) -> None:
         """Note a client's request for a service."""
         self._recent(now_s, self._requests_by_service, service).append(now_s)
 
-    def repeated(self, now_s: float, service: ServiceName) -> None:
+    def record_retry(self, now_s: float, service: ServiceName) -> None:
         """Note a second send."""
         self._recent(now_s, self._repeats_by_service, service).append(now_s)
 
--- a/egretstack/relay/_tools.py
+++ b/egretstack/relay/_context.py
@@ -13,7 +13,7 @@
 from egretstack.placing import Placement, PlainBalancer, Run, RunnerRests, SendBound, Work
 from egretstack.relay._budget import RetryBudget
 from egretstack.relay._crash_guard import CrashGuard
-from egretstack.relay._runner_words import RunnerWords
+from egretstack.relay._runner_signals import RunnerSignals
 from egretstack.routing import ClientAccount, EnginePlan, Route, ServicePlan
 from egretstack.traffic import ClientRequest, RunnerAnswer, SendTerms
 
@@ -34,15 +34,15 @@
         """Give the place of a generation. Raises RequestFailed."""
 
     @abstractmethod
-    def begin(self, run: Run) -> None:
+    def add_run(self, run: Run) -> None:
         """Note a run that goes out, in progress until `end`; its fields change as it does."""
 
     @abstractmethod
-    def end(self, run: Run) -> None:
+    def remove_run(self, run: Run) -> None:
         """Note that a run is over here."""
 
     @abstractmethod
-    def first_token(self, run: Run, read_s: float, waited_s: float) -> None:
+    def record_first_token(self, run: Run, read_s: float, waited_s: float) -> None:
         """Note a first token: `read_s` after the send, and `waited_s` after the request came."""
 
     @abstractmethod
@@ -50,23 +50,25 @@
         """Give the output that a run is still expected to make."""
 
     @abstractmethod
-    async def backup_for(self, run: Run, engine: EnginePlan, source: RunnerId) -> RunnerId | None:
+    async def choose_backup(
+        self, run: Run, engine: EnginePlan, source: RunnerId
+    ) -> RunnerId | None:
         """Choose where the memory of a run that moved off `source` is copied from now on."""
 
     @abstractmethod
-    async def move_turn(self, run: Run, refused: Collection[RunnerId]) -> RunnerId:
+    async def acquire_move_permit(self, run: Run, refused: Collection[RunnerId]) -> RunnerId:
         """Wait until it is a run's turn to be copied off its runner; give the destination.
 
         `refused` names engines that had no room for its copy a moment ago.
         """
 
     @abstractmethod
-    def move_done(self, attempt: str, source: RunnerId) -> None:
+    def release_move_permit(self, attempt: str, source: RunnerId) -> None:
         """Give the turn up."""
 
 
 @dataclass
-class RelayTools:
+class RelayContext:
     """Shared by all requests of a process."""
 
     runners: RunnerTable
@@ -74,44 +76,46 @@
     placing: EnginePlacing
     budget: RetryBudget
     pool: ConnectionPool
-    bounds: SendBound
+    send_bounds: SendBound
     """What runners may get for now."""
-    rests: RunnerRests
-    crashes: CrashGuard
-    words: RunnerWords
-    on_break: Callable[[], None] = lambda: None
+    backoffs: RunnerRests
+    crash_guard: CrashGuard
+    signals: RunnerSignals
+    on_runner_failure: Callable[[], None] = lambda: None
     """Told when a runner broke what it was sent."""
 
-    def heard(self, task: "Task", runner: RunnerId, answer: RunnerAnswer, sent_s: float) -> None:
+    def on_answer(
+        self, task: "RelayTask", runner: RunnerId, answer: RunnerAnswer, sent_s: float
+    ) -> None:
         """Take what a runner says of itself beside its answer to a task sent at `sent_s`."""
         if answer.attempt_id in ("", task.request.attempt_id):
-            self.words.heard(runner, answer, sent_s)
+            self.signals.on_answer(runner, answer, sent_s)
 
-    def note_engine(self, runner: RunnerId, *, broke: bool) -> None:
+    def record_engine_result(self, runner: RunnerId, *, broke: bool) -> None:
         """Count what an engine made of a run; the end of one that leaves tells nothing."""
         if broke and not self.runners.is_ready(runner):
             return
         self.balancer.recent.note(trio.current_time(), runner, broke=broke)
         if broke:
-            self.on_break()
+            self.on_runner_failure()
 
 
 @dataclass(frozen=True)
-class Task:
+class RelayTask:
     """One request with all that was decided about it when its head was read."""
 
     request: ClientRequest
     route: Route
     service: ServicePlan
     account: ClientAccount | None
-    began_s: float
+    received_s: float
     deadline_s: float
     """When its answer has to be final, on the runtime's clock."""
     zones: frozenset[ZoneName] | None = None
     """The availability zones whose runners alone may run it; None if all may."""
 
     @cached_property
-    def content(self) -> ContentId:
+    def content_id(self) -> ContentId:
         """What it has in common with other attempts at the same request."""
         return self.request.content_id("" if self.account is None else self.account.name)
 
@@ -132,7 +136,7 @@
     def _account_rank(self) -> int:
         return self.account.rank or 0 if self.account is not None else 0
 
-    def terms(self, runner: Runner, **more: object) -> SendTerms:
+    def send_terms(self, runner: Runner, **more: object) -> SendTerms:
         """Give the terms of a send to a runner."""
         account = None if self.account is None else self.account.name
         return SendTerms(runner.incarnation.name, self.time_left_s(), account, **more)
--- a/egretstack/relay/_crash_guard.py
+++ b/egretstack/relay/_crash_guard.py
@@ -13,17 +13,17 @@
     """Knows which requests no runner may get, and learns how runs end."""
 
     @abstractmethod
-    def refuses(self, content: ContentId) -> bool:
+    def is_refused(self, content: ContentId) -> bool:
         """Tell whether no runner may get a request now."""
 
     @abstractmethod
-    def told_when_refused(
+    def notify_when_refused(
         self, content: ContentId, wake: Callable[[], None]
     ) -> AbstractContextManager[None]:
         """Call `wake` if a request is refused while the context lasts."""
 
     @abstractmethod
-    def broke(
+    def record_broken_run(
         self,
         attempt: str,
         content: ContentId,
@@ -38,5 +38,5 @@
         """
 
     @abstractmethod
-    def answered(self, content: ContentId) -> None:
+    def record_answered(self, content: ContentId) -> None:
         """Take note that a runner ran a request to an end and lives."""
--- a/egretstack/relay/_engine_calls.py
+++ b/egretstack/relay/_engine_calls.py
@@ -13,7 +13,7 @@
 )
 from egretstack.placing import Run, SendPart
 from egretstack.platform import runner_answer, runner_request
-from egretstack.relay._tools import CONNECT_TIMEOUT_S, RelayTools, Task
+from egretstack.relay._context import CONNECT_TIMEOUT_S, RelayContext, RelayTask
 from egretstack.traffic import ContinueFrom, RunnerAnswer
 
 RESUME_TIMEOUT_S = 1.0
@@ -21,8 +21,8 @@
 
 
 async def ask_engine(
-    tools: RelayTools,
-    task: Task,
+    context: RelayContext,
+    task: RelayTask,
     run: Run,
     connection: UpstreamConnection,
     origin: ContinueFrom | None = None,
@@ -31,9 +31,9 @@
 
     Raises UpstreamBroken.
     """
-    backup = tools.runners.by_id.get(run.backup) if run.backup else None
-    terms = task.terms(
-        tools.runners.by_id[run.runner],
+    backup = context.runners.by_id.get(run.backup) if run.backup else None
+    terms = task.send_terms(
+        context.runners.by_id[run.runner],
         priority=task.priority,
         backup_address=None if backup is None else backup.address,
         continue_from=origin,
@@ -43,8 +43,8 @@
 
 
 async def continue_at(
-    tools: RelayTools,
-    task: Task,
+    context: RelayContext,
+    task: RelayTask,
     run: Run,
     runner: Runner,
     origin: ContinueFrom,
@@ -61,30 +61,32 @@
         log(Event.CONNECT_FAILED, request=task.request.attempt_id, error=str(error))
         return None
     if not is_reserved:
-        if not tools.bounds.allows(trio.current_time(), runner, SendPart.CONTINUED):
+        if not context.send_bounds.allows(trio.current_time(), runner, SendPart.CONTINUED):
             connection.close()
             return None
-        tools.bounds.sent(trio.current_time(), runner.id, SendPart.CONTINUED)
+        context.send_bounds.sent(trio.current_time(), runner.id, SendPart.CONTINUED)
     answer = None
     sent_s = trio.current_time()
     try:
         with trio.move_on_after(RESUME_TIMEOUT_S):
-            answer = runner_answer(await ask_engine(tools, task, run, connection, origin))
+            answer = runner_answer(await ask_engine(context, task, run, connection, origin))
     except UpstreamBroken as error:
         log(Event.UPSTREAM_BROKEN, request=task.request.attempt_id, error=str(error))
     except BaseException:
         connection.close()
         raise
     if answer is not None:
-        tools.heard(task, runner.id, answer, sent_s)
+        context.on_answer(task, runner.id, answer, sent_s)
     else:
-        tools.crashes.broke(task.request.attempt_id, task.content, runner.id, sent_s)
+        context.crash_guard.record_broken_run(
+            task.request.attempt_id, task.content_id, runner.id, sent_s
+        )
     if answer is None or not _goes_on(task, answer):
         connection.close()
         return None
     return connection
 
 
-def _goes_on(task: Task, answer: RunnerAnswer) -> bool:
+def _goes_on(task: RelayTask, answer: RunnerAnswer) -> bool:
     own = answer.attempt_id == task.request.attempt_id
     return own and answer.head.status == 200 and not answer.rejected
--- a/egretstack/relay/_events.py
+++ b/egretstack/relay/_events.py
@@ -46,6 +46,6 @@
         return events
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes after the last whole event."""
         return self._rest
--- a/egretstack/relay/_knowledge.py
+++ b/egretstack/relay/_execution_status.py
@@ -6,7 +6,7 @@
 
 from egretstack.errors import ANSWERS, ErrorKind, RunState
 
-BARRED_RETRY_S = 2.0
+NO_ELIGIBLE_RUNNER_RETRY_S = 2.0
 """An operator takes an evacuation back after many seconds; a caller waits for no more than a third
 of the time it has."""
 
@@ -28,14 +28,16 @@
         return ANSWERS[self.kind].status
 
 
-def barred() -> RequestFailed:
+def no_eligible_runner() -> RequestFailed:
     """Give the answer to a request that no runner may run now, where there are some.
 
     An operator evacuated every zone that it may run in, or none of its regions has a runner.
     Waiting until its deadline would tell its caller nothing more.
     """
     return RequestFailed(
-        ErrorKind.NO_RUNNER, "no zone that it may run in is left", retry_after_s=BARRED_RETRY_S
+        ErrorKind.NO_RUNNER,
+        "no zone that it may run in is left",
+        retry_after_s=NO_ELIGIBLE_RUNNER_RETRY_S,
     )
 
 
@@ -47,7 +49,7 @@
     return RequestFailed(ErrorKind.CRASHES_RUNNERS, CRASHES_DETAIL)
 
 
-class RunKnowledge:
+class ExecutionStatus:
     """Whether a request may have run. Once it may have, no later send takes that back."""
 
     def __init__(self) -> None:
@@ -58,7 +60,7 @@
         """Whether some send left no proof that it did not run."""
         return self._may_have_run
 
-    def unknown(self) -> None:
+    def mark_unknown(self) -> None:
         """Note a send whose end tells nothing."""
         self._may_have_run = True
 
--- a/egretstack/relay/_mover.py
+++ b/egretstack/relay/_mover.py
@@ -17,7 +17,7 @@
 from egretstack.ids import RunnerId
 from egretstack.placing import Run, SendPart, copy_time_s
 from egretstack.platform import BadBody, free_copy_request, move_answer, move_request
-from egretstack.relay._tools import CONNECT_TIMEOUT_S, RelayTools, Task
+from egretstack.relay._context import CONNECT_TIMEOUT_S, RelayContext, RelayTask
 from egretstack.traffic import MoveAnswer, MoveOutcome
 
 COPY_TIMEOUT_S = 4.0
@@ -62,9 +62,9 @@
     """Copies one run off one runner; works beside the run's stream until cancelled."""
 
     def __init__(
-        self, tools: RelayTools, task: Task, run: Run, saved: Callable[[SavedCopy], None]
+        self, context: RelayContext, task: RelayTask, run: Run, saved: Callable[[SavedCopy], None]
     ) -> None:
-        self._tools = tools
+        self._context = context
         self._task = task
         self._run = run
         self._saved = saved
@@ -93,7 +93,7 @@
 
     async def run(self) -> None:
         """Copy, renew the copy, and stop the run once its runner leaves."""
-        source = self._tools.runners.by_id.get(self._run.runner)
+        source = self._context.runners.by_id.get(self._run.runner)
         if source is None:
             return
         with self.scope:
@@ -106,7 +106,7 @@
 
     async def free(self) -> None:
         """Free the copy, which nobody will continue."""
-        source = self._tools.runners.by_id.get(self._run.runner)
+        source = self._context.runners.by_id.get(self._run.runner)
         if source is None or not self._handle:
             return
         head = free_copy_request(source.address, self._handle)
@@ -163,44 +163,44 @@
 
     def _may_go_on_at(self, destination: Runner) -> bool:
         now_s = trio.current_time()
-        return self._tools.bounds.allows(now_s, destination, SendPart.CONTINUED)
+        return self._context.send_bounds.allows(now_s, destination, SendPart.CONTINUED)
 
     def _has_to_hurry(self, source: Runner) -> bool:
-        if self._tools.runners.is_evacuated(source.id):
+        if self._context.runners.is_evacuated(source.id):
             return False  # It works on for as long as the run needs to get off it.
         since_s = self._leaving_since_s
         return since_s is not None and trio.current_time() - since_s > HURRY_AFTER_S
 
     async def _turn(self) -> Runner:
         while True:
-            refused = {*self._refused, *self._tools.rests.resting(trio.current_time())}
-            destination_id = await self._tools.placing.move_turn(self._run, refused)
-            destination = self._tools.runners.by_id.get(destination_id)
-            if destination is not None and not self._tools.runners.is_leaving(destination_id):
+            refused = {*self._refused, *self._context.backoffs.resting(trio.current_time())}
+            destination_id = await self._context.placing.acquire_move_permit(self._run, refused)
+            destination = self._context.runners.by_id.get(destination_id)
+            if destination is not None and not self._context.runners.is_leaving(destination_id):
                 return destination
             self._refused.append(destination_id)
-            self._tools.placing.move_done(self._attempt, self._run.runner)
+            self._context.placing.release_move_permit(self._attempt, self._run.runner)
             await trio.sleep(RETRY_S)
 
     async def _wait(self, source: Runner, destination: Runner, longest_s: float) -> bool:
         """Wait until the copy has to be renewed or stopped; False if its engine is gone."""
         until_s = trio.current_time() + longest_s
         while trio.current_time() < until_s and not self._is_leaving(source):
-            if not self._tools.runners.is_ready(destination.id):
+            if not self._context.runners.is_ready(destination.id):
                 self._handle = ""
                 return False
             await trio.sleep(LOOK_S)
         return True
 
     def _is_leaving(self, source: Runner) -> bool:
-        leaving = not self._tools.runners.is_ready(source.id)
+        leaving = not self._context.runners.is_ready(source.id)
         if leaving and self._leaving_since_s is None:
-            stopped_s = self._tools.runners.stopped_s(source.id)
+            stopped_s = self._context.runners.stopped_s(source.id)
             self._leaving_since_s = trio.current_time() if stopped_s is None else stopped_s
         return leaving
 
     def _done(self, source: Runner) -> None:
-        self._tools.placing.move_done(self._attempt, source.id)
+        self._context.placing.release_move_permit(self._attempt, source.id)
 
     async def _copied(self, source: Runner, destination: Runner) -> bool:
         began_s = trio.current_time()
@@ -227,7 +227,7 @@
     async def _stop(self, source: Runner, destination: Runner) -> bool:
         self._stopping = True
         # Runs that stop side by side would all count on the same part of what the engine takes.
-        self._tools.bounds.sent(trio.current_time(), destination.id, SendPart.CONTINUED)
+        self._context.send_bounds.sent(trio.current_time(), destination.id, SendPart.CONTINUED)
         began_s = trio.current_time()
         answer = await self._order(source, destination, stop=True)
         self._told(source, destination, answer, began_s, stop=True)
--- a/egretstack/relay/_opening.py
+++ b/egretstack/relay/_opening.py
@@ -15,10 +15,10 @@
 from egretstack.ids import RunnerId
 from egretstack.placing import Placement, Run, Work, longest_wait_s
 from egretstack.platform import runner_answer
+from egretstack.relay._context import CONNECT_TIMEOUT_S, RelayContext, RelayTask
 from egretstack.relay._engine_calls import ask_engine
-from egretstack.relay._knowledge import RequestFailed, crashes_runners
+from egretstack.relay._execution_status import RequestFailed, crashes_runners
 from egretstack.relay._pace import StreamPace
-from egretstack.relay._tools import CONNECT_TIMEOUT_S, RelayTools, Task
 
 REFUSED_RETRY_S = 0.4
 MAX_PLACES = 3
@@ -29,8 +29,8 @@
 class EngineOpening:
     """One request's way to an engine; `run` and `source` are set once it has one."""
 
-    def __init__(self, tools: RelayTools, task: Task, pace: StreamPace) -> None:
-        self._tools = tools
+    def __init__(self, context: RelayContext, task: RelayTask, pace: StreamPace) -> None:
+        self._context = context
         self._task = task
         self._pace = pace
         self.run: Run | None = None
@@ -50,7 +50,7 @@
             await self._connect(excluded)
             self._check_refused()
             head = await self._ask()
-            self._tools.heard(self._task, self.run.runner, runner_answer(head), self.sent_s)
+            self._context.on_answer(self._task, self.run.runner, runner_answer(head), self.sent_s)
             if not self._is_rejected(head):
                 return head
             excluded = (*excluded, self.run.runner)
@@ -60,12 +60,12 @@
                 raise RequestFailed(
                     ErrorKind.ENGINES_FULL, "rejected by the engine", retry_after_s=REFUSED_RETRY_S
                 )
-            self._tools.budget.repeated(trio.current_time(), self._task.service.name)
+            self._context.budget.record_retry(trio.current_time(), self._task.service.name)
 
     def close(self) -> None:
         """Leave the engine, if there is one."""
         if self.run is not None:
-            self._tools.placing.end(self.run)
+            self._context.placing.remove_run(self.run)
         if self.source is not None:
             self.source.close()
         self.run = self.source = None
@@ -76,7 +76,7 @@
 
     def _work(self, excluded: tuple[RunnerId, ...]) -> Work:
         wants, account = self._task.request.generation, self._task.account
-        waited_s = trio.current_time() - self._task.began_s
+        waited_s = trio.current_time() - self._task.received_s
         target_s = self._task.route.target_latency_s
         return Work(
             attempt=self._attempt,
@@ -98,16 +98,16 @@
         for _ in range(MAX_PLACES):
             work = self._work(excluded)
             placement = await self._place(work)
-            runner = self._tools.runners.by_id.get(placement.runner)
+            runner = self._context.runners.by_id.get(placement.runner)
             try:
                 if runner is not None and self._may_run_at(runner):
                     self.source = await connect_upstream(runner.address, CONNECT_TIMEOUT_S)
                     self.run = Run(work, placement.runner, placement.backup)
-                    self._tools.placing.begin(self.run)
+                    self._context.placing.add_run(self.run)
                     return
             except ConnectFailed as error:
                 log(Event.CONNECT_FAILED, request=work.attempt, error=str(error))
-                self._tools.note_engine(placement.runner, broke=True)
+                self._context.record_engine_result(placement.runner, broke=True)
             excluded = (*excluded, placement.runner)
         raise RequestFailed(
             ErrorKind.NO_RUNNER, "engines do not answer", retry_after_s=REFUSED_RETRY_S
@@ -115,24 +115,24 @@
 
     def _may_run_at(self, runner: Runner) -> bool:
         """Tell whether a runner that the home chose may be used, as far as is known here."""
-        runners = self._tools.runners
+        runners = self._context.runners
         if runners.is_evacuated(runner.id) or runners.is_leaving(runner.id):
             return False
-        return runner.id not in self._tools.rests.resting(trio.current_time())
+        return runner.id not in self._context.backoffs.resting(trio.current_time())
 
     async def _place(self, work: Work) -> Placement:
         """Wait for a place, or for the request to be refused. Raises RequestFailed."""
         self._check_refused()
         with (
             trio.CancelScope() as scope,
-            self._tools.crashes.told_when_refused(self._task.content, scope.cancel),
+            self._context.crash_guard.notify_when_refused(self._task.content_id, scope.cancel),
         ):
-            return await self._tools.placing.place(work, self._task.service.engine)
+            return await self._context.placing.place(work, self._task.service.engine)
         raise crashes_runners()
 
     def _check_refused(self) -> None:
         """Raise RequestFailed if no runner may get the request, which has not run."""
-        if self._tools.crashes.refuses(self._task.content):
+        if self._context.crash_guard.is_refused(self._task.content_id):
             raise crashes_runners()
 
     async def _ask(self) -> ResponseHead:
@@ -140,11 +140,11 @@
         self.sent_s = trio.current_time()
         try:
             with trio.fail_after(max(0.0, self._task.time_left_s())):
-                return await ask_engine(self._tools, self._task, self.run, self.source)
+                return await ask_engine(self._context, self._task, self.run, self.source)
         except UpstreamBroken as error:
-            self._tools.note_engine(self.run.runner, broke=True)
-            self._tools.crashes.broke(
-                self._attempt, self._task.content, self.run.runner, self.sent_s
+            self._context.record_engine_result(self.run.runner, broke=True)
+            self._context.crash_guard.record_broken_run(
+                self._attempt, self._task.content_id, self.run.runner, self.sent_s
             )
             raise answer_spoilt(self._task, self.run, str(error)) from error
         except trio.TooSlowError as error:
@@ -157,10 +157,10 @@
     def _may_place_again(self, rejections: int) -> bool:
         if rejections >= MAX_PLACES or self._task.time_left_s() <= 0:
             return False
-        return self._tools.budget.allows(trio.current_time(), self._task.service.name)
+        return self._context.budget.allows(trio.current_time(), self._task.service.name)
 
 
-def answer_spoilt(task: Task, run: Run, detail: str) -> RequestFailed:
+def answer_spoilt(task: RelayTask, run: Run, detail: str) -> RequestFailed:
     """Log what is wrong with an engine's answer, and give the failure; the request may have run."""
     log(Event.ANSWER_SPOILT, request=task.request.attempt_id, runner=run.runner, detail=detail)
     return RequestFailed(ErrorKind.OUTCOME_UNKNOWN, detail)
--- a/egretstack/relay/_plain.py
+++ b/egretstack/relay/_plain.py
@@ -23,8 +23,8 @@
 from egretstack.ids import RunnerId
 from egretstack.placing import SendPart
 from egretstack.platform import client_head, runner_answer, runner_request
-from egretstack.relay._knowledge import CRASHES_DETAIL, RequestFailed, RunKnowledge
-from egretstack.relay._tools import CONNECT_TIMEOUT_S, RelayTools, Task
+from egretstack.relay._context import CONNECT_TIMEOUT_S, RelayContext, RelayTask
+from egretstack.relay._execution_status import CRASHES_DETAIL, ExecutionStatus, RequestFailed
 from egretstack.routing import RouteKind
 from egretstack.traffic import RunnerAnswer
 
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class WholeAnswer:
+class BufferedResponse:
     """A runner's answer, read whole and found sound."""
 
     head: ResponseHead
@@ -62,25 +62,25 @@
 
 @dataclass
 class _Progress:
-    knowledge: RunKnowledge = field(default_factory=RunKnowledge)
+    knowledge: ExecutionStatus = field(default_factory=ExecutionStatus)
     sends: int = 0
     connect_tries: int = 0
     excluded: set[RunnerId] = field(default_factory=set)
-    failure: WholeAnswer | None = None
+    failure: BufferedResponse | None = None
     """A runner's own failure, passed on if nothing better comes."""
 
 
 class PlainRelay:
     """Sends one request, more than once only where that is allowed."""
 
-    def __init__(self, tools: RelayTools) -> None:
-        self._tools = tools
+    def __init__(self, context: RelayContext) -> None:
+        self._context = context
 
-    async def serve(self, task: Task) -> WholeAnswer:
+    async def serve(self, task: RelayTask) -> BufferedResponse:
         """Give a runner's answer. Raises RequestFailed."""
         progress = _Progress()
         while True:
-            if self._tools.crashes.refuses(task.content):
+            if self._context.crash_guard.is_refused(task.content_id):
                 return self._refuse(progress)
             runner = self._choose(task, progress)
             if runner is None or task.time_left_s() < LEAST_SEND_S:
@@ -101,48 +101,48 @@
             if not self._may_send_again(task, progress, result):
                 return self._give_up(task, progress, result.value)
 
-    def _choose(self, task: Task, progress: _Progress) -> Runner | None:
+    def _choose(self, task: RelayTask, progress: _Progress) -> Runner | None:
         now_s = trio.current_time()
         fresh = [
             runner
             for runner in self._usable(task)
             if runner.id not in progress.excluded
-            and self._tools.bounds.allows(now_s, runner, SendPart.PLAIN)
+            and self._context.send_bounds.allows(now_s, runner, SendPart.PLAIN)
         ]
-        return self._tools.balancer.choose(
+        return self._context.balancer.choose(
             now_s,
             fresh,
-            self._tools.runners.suspects,
+            self._context.runners.suspects,
             repeatable=task.route.kind is RouteKind.IDEMPOTENT,
         )
 
-    def _usable(self, task: Task) -> list[Runner]:
+    def _usable(self, task: RelayTask) -> list[Runner]:
         """Give the runners that may run a task, whatever else they have to do."""
-        ready = self._tools.runners.ready(task.service.name)
+        ready = self._context.runners.ready(task.service.name)
         return [one for one in ready if task.zones is None or one.zone in task.zones]
 
-    def _free_after_s(self, task: Task) -> float:
+    def _free_after_s(self, task: RelayTask) -> float:
         """Give when some runner may get one more request; 0 if now, or if there is none."""
-        now_s, bounds = trio.current_time(), self._tools.bounds
+        now_s, bounds = trio.current_time(), self._context.send_bounds
         times = (bounds.free_after_s(now_s, one, SendPart.PLAIN) for one in self._usable(task))
         return min(MOST_RETRY_S, min(times, default=0.0))
 
-    def _may_send_again(self, task: Task, progress: _Progress, result: _Result) -> bool:
+    def _may_send_again(self, task: RelayTask, progress: _Progress, result: _Result) -> bool:
         if result is _Result.NOT_SENT:
             return progress.connect_tries < MAX_CONNECT_TRIES
         if progress.sends >= task.route.max_sends:
             return False
         if result is not _Result.REJECTED and task.route.kind is not RouteKind.IDEMPOTENT:
             return False
-        return self._tools.budget.allows(trio.current_time(), task.service.name)
+        return self._context.budget.allows(trio.current_time(), task.service.name)
 
     @staticmethod
-    def _refuse(progress: _Progress) -> WholeAnswer:
+    def _refuse(progress: _Progress) -> BufferedResponse:
         if progress.failure is not None:
             return progress.failure
         raise progress.knowledge.failure(ErrorKind.CRASHES_RUNNERS, CRASHES_DETAIL)
 
-    def _give_up(self, task: Task, progress: _Progress, detail: str) -> WholeAnswer:
+    def _give_up(self, task: RelayTask, progress: _Progress, detail: str) -> BufferedResponse:
         if progress.failure is not None:
             return progress.failure
         if task.time_left_s() < LEAST_SEND_S and progress.knowledge.may_have_run:
@@ -157,27 +157,27 @@
         raise RequestFailed(ErrorKind.NO_RUNNER, detail, retry_after_s=NO_RUNNER_RETRY_S)
 
     async def _send(
-        self, task: Task, runner: Runner, progress: _Progress
-    ) -> tuple[_Result, WholeAnswer | None]:
+        self, task: RelayTask, runner: Runner, progress: _Progress
+    ) -> tuple[_Result, BufferedResponse | None]:
         try:
             connection = await self._connect(task, runner)
         except ConnectFailed as error:
             log(Event.CONNECT_FAILED, request=task.request.attempt_id, error=str(error))
             progress.connect_tries += 1
-            self._tools.balancer.unreachable(trio.current_time(), runner.id)
-            self._tools.on_break()
+            self._context.balancer.unreachable(trio.current_time(), runner.id)
+            self._context.on_runner_failure()
             return _Result.NOT_SENT, None
-        if self._tools.crashes.refuses(task.content):
+        if self._context.crash_guard.is_refused(task.content_id):
             connection.close()
             return _Result.NOT_SENT, None
-        if not self._tools.bounds.allows(trio.current_time(), runner, SendPart.PLAIN):
-            self._tools.pool.give_back(connection)
+        if not self._context.send_bounds.allows(trio.current_time(), runner, SendPart.PLAIN):
+            self._context.pool.release(connection)
             return _Result.NOT_SENT, None
         progress.sends += 1
         if progress.sends > 1:
-            self._tools.budget.repeated(trio.current_time(), task.service.name)
-        self._tools.balancer.sent(runner.id)
-        self._tools.bounds.sent(trio.current_time(), runner.id, SendPart.PLAIN)
+            self._context.budget.record_retry(trio.current_time(), task.service.name)
+        self._context.balancer.sent(runner.id)
+        self._context.send_bounds.sent(trio.current_time(), runner.id, SendPart.PLAIN)
         began_s = trio.current_time()
         try:
             return await self._exchange(task, runner, connection, progress)
@@ -185,41 +185,41 @@
             # The client left or the process ends; closing tells the runner to stop.
             connection.close()
             self._ended(runner, failed=False)
-            if not self._tools.runners.is_ready(runner.id):
+            if not self._context.runners.is_ready(runner.id):
                 self._note_broken(task, runner, began_s)
             raise
 
-    async def _connect(self, task: Task, runner: Runner) -> UpstreamConnection:
+    async def _connect(self, task: RelayTask, runner: Runner) -> UpstreamConnection:
         timeout_s = min(CONNECT_TIMEOUT_S, max(LEAST_SEND_S, task.time_left_s()))
         if task.route.kind is RouteKind.IDEMPOTENT:
-            return await self._tools.pool.take(runner.address, timeout_s)
+            return await self._context.pool.acquire(runner.address, timeout_s)
         # A kept connection may be dead without a sign. What was sent on it may have run, and such
         # a request could then neither be sent again nor be called not run.
         return await connect_upstream(runner.address, timeout_s)
 
     async def _exchange(
-        self, task: Task, runner: Runner, connection: UpstreamConnection, progress: _Progress
-    ) -> tuple[_Result, WholeAnswer | None]:
+        self, task: RelayTask, runner: Runner, connection: UpstreamConnection, progress: _Progress
+    ) -> tuple[_Result, BufferedResponse | None]:
         began_s = trio.current_time()
-        head = runner_request(task.request, task.terms(runner))
+        head = runner_request(task.request, task.send_terms(runner))
         try:
             with trio.fail_after(self._send_time_s(task, progress)):
                 answer, body = await exchange(connection, head, task.request.body, MAX_ANSWER_BYTES)
         except (UpstreamBroken, trio.TooSlowError) as error:
             connection.close()
-            progress.knowledge.unknown()
+            progress.knowledge.mark_unknown()
             self._broke(runner)
             self._ended(runner, failed=True)
             await self._note_broken(task, runner, began_s).wait()
             log(Event.UPSTREAM_BROKEN, request=task.request.attempt_id, error=repr(error))
             return _Result.UNKNOWN, None
-        self._tools.balancer.recent.note(trio.current_time(), runner.id, broke=False)
+        self._context.balancer.recent.note(trio.current_time(), runner.id, broke=False)
         judged = runner_answer(answer)
-        self._tools.heard(task, runner.id, judged, began_s)
+        self._context.on_answer(task, runner.id, judged, began_s)
         result = _judge(task, judged)
         if result is _Result.UNKNOWN:
             connection.close()
-            progress.knowledge.unknown()
+            progress.knowledge.mark_unknown()
             log(
                 Event.ANSWER_SPOILT,
                 request=task.request.attempt_id,
@@ -229,41 +229,43 @@
                 sealed=judged.sealed,
             )
         else:
-            self._tools.pool.give_back(connection)
+            self._context.pool.release(connection)
         if result is _Result.FAILED:
-            progress.knowledge.unknown()
+            progress.knowledge.mark_unknown()
         if result in (_Result.ANSWERED, _Result.FAILED):
-            self._tools.crashes.answered(task.content)
+            self._context.crash_guard.record_answered(task.content_id)
         if judged.rest_s is not None:
-            self._tools.balancer.turned_away(runner.id)
-            return result, WholeAnswer(client_head(judged), body)
-        self._tools.balancer.ended(
+            self._context.balancer.turned_away(runner.id)
+            return result, BufferedResponse(client_head(judged), body)
+        self._context.balancer.ended(
             trio.current_time(),
             runner.id,
             failed=result is not _Result.ANSWERED,
             latency_s=trio.current_time() - began_s if result is _Result.ANSWERED else None,
             load=judged.load,
         )
-        return result, WholeAnswer(client_head(judged), body)
+        return result, BufferedResponse(client_head(judged), body)
 
-    def _send_time_s(self, task: Task, progress: _Progress) -> float:
+    def _send_time_s(self, task: RelayTask, progress: _Progress) -> float:
         left_s = max(LEAST_SEND_S, task.time_left_s())
         again = task.route.kind is RouteKind.IDEMPOTENT and progress.sends < task.route.max_sends
         return left_s * FIRST_TRY_SHARE if again else left_s
 
-    def _note_broken(self, task: Task, runner: Runner, sent_s: float) -> trio.Event:
+    def _note_broken(self, task: RelayTask, runner: Runner, sent_s: float) -> trio.Event:
         attempt = task.request.attempt_id
-        return self._tools.crashes.broke(attempt, task.content, runner.id, sent_s)
+        return self._context.crash_guard.record_broken_run(
+            attempt, task.content_id, runner.id, sent_s
+        )
 
     def _broke(self, runner: Runner) -> None:
-        self._tools.balancer.recent.note(trio.current_time(), runner.id, broke=True)
-        self._tools.on_break()
+        self._context.balancer.recent.note(trio.current_time(), runner.id, broke=True)
+        self._context.on_runner_failure()
 
     def _ended(self, runner: Runner, *, failed: bool) -> None:
-        self._tools.balancer.ended(trio.current_time(), runner.id, failed=failed)
+        self._context.balancer.ended(trio.current_time(), runner.id, failed=failed)
 
 
-def _judge(task: Task, answer: RunnerAnswer) -> _Result:
+def _judge(task: RelayTask, answer: RunnerAnswer) -> _Result:
     """Tell what an answer is worth; what is not surely this request's own answer is nothing."""
     if answer.attempt_id != task.request.attempt_id and not answer.rejected:
         return _Result.UNKNOWN
--- a/egretstack/relay/_runner_words.py
+++ b/egretstack/relay/_runner_signals.py
@@ -6,9 +6,9 @@
 from egretstack.traffic import RunnerAnswer
 
 
-class RunnerWords(ABC):
+class RunnerSignals(ABC):
     """Learns from answers what runners take."""
 
     @abstractmethod
-    def heard(self, runner: RunnerId, answer: RunnerAnswer, sent_s: float) -> None:
+    def on_answer(self, runner: RunnerId, answer: RunnerAnswer, sent_s: float) -> None:
         """Take what a runner says beside its answer to a request that was sent at `sent_s`."""
--- a/egretstack/relay/_stream.py
+++ b/egretstack/relay/_stream.py
@@ -19,14 +19,14 @@
 from egretstack.placing import Run, SendPart
 from egretstack.platform import client_head, runner_answer
 from egretstack.relay._client_stream import ClientStream
+from egretstack.relay._context import RelayContext, RelayTask
 from egretstack.relay._cursor import EventCursor, EventGap
 from egretstack.relay._engine_calls import continue_at
 from egretstack.relay._events import EventSplitter, EventTooLarge, StreamEvent
 from egretstack.relay._mover import Mover, SavedCopy
 from egretstack.relay._opening import EngineOpening, answer_spoilt
 from egretstack.relay._pace import StreamPace
-from egretstack.relay._plain import MAX_ANSWER_BYTES, WholeAnswer, promises_not_run
-from egretstack.relay._tools import RelayTools, Task
+from egretstack.relay._plain import MAX_ANSWER_BYTES, BufferedResponse, promises_not_run
 from egretstack.traffic import ContinueFrom
 
 LOOK_S = 0.1
@@ -66,18 +66,18 @@
 class StreamRelay:
     """Relays one request for a stream."""
 
-    def __init__(self, tools: RelayTools, task: Task, client: ClientStream) -> None:
-        self._tools = tools
+    def __init__(self, context: RelayContext, task: RelayTask, client: ClientStream) -> None:
+        self._context = context
         self._task = task
         self._client = client
         self._run: Run | None = None
         self._source: UpstreamConnection | None = None
         self._splitter = EventSplitter()
         self._cursor = EventCursor()
-        self._pace = StreamPace(task.began_s)
+        self._pace = StreamPace(task.received_s)
         self._saved: SavedCopy | None = None
         """Where the run can go on if its runner leaves or dies."""
-        self._opening = EngineOpening(tools, task, self._pace)
+        self._opening = EngineOpening(context, task, self._pace)
         self._sent_s = 0.0
         """When the run was sent to the runner where it is."""
         self._first_event_s: float | None = None
@@ -88,7 +88,7 @@
         self._mover: Mover | None = None
         self._nursery: trio.Nursery | None = None
 
-    async def serve(self) -> WholeAnswer | None:
+    async def serve(self) -> BufferedResponse | None:
         """Relay; give a runner's whole answer if it was no stream, else None once it is over.
 
         Raises RequestFailed while the client has seen nothing.
@@ -105,7 +105,7 @@
             if self._source is not None:
                 self._source.close()
 
-    async def _relay(self, head: ResponseHead) -> WholeAnswer | None:
+    async def _relay(self, head: ResponseHead) -> BufferedResponse | None:
         answer = runner_answer(head)
         if answer.attempt_id != self._task.request.attempt_id:
             raise answer_spoilt(self._task, self._run, "another request's answer")
@@ -114,7 +114,7 @@
         if head.status != 200:
             body = await self._whole_body()
             self._end()
-            return WholeAnswer(client_head(answer), body)
+            return BufferedResponse(client_head(answer), body)
         await self._client.start(client_head(answer))
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
@@ -125,18 +125,18 @@
     def _note_cancelled(self) -> None:
         """Take note of a run whose client left before the end of its runner showed."""
         run = self._run or self._opening.run
-        if self._over or run is None or self._tools.runners.is_ready(run.runner):
+        if self._over or run is None or self._context.runners.is_ready(run.runner):
             return
         self._note_broken(run.runner)
 
     def _note_broken(self, runner: RunnerId) -> trio.Event:
         sent_s = self._sent_s or self._opening.sent_s
-        return self._tools.crashes.broke(
-            self._attempt, self._task.content, runner, sent_s, self._first_event_s
+        return self._context.crash_guard.record_broken_run(
+            self._attempt, self._task.content_id, runner, sent_s, self._first_event_s
         )
 
     def _note_backup(self) -> None:
-        backup = self._tools.runners.by_id.get(self._run.backup) if self._run.backup else None
+        backup = self._context.runners.by_id.get(self._run.backup) if self._run.backup else None
         self._saved = None
         if backup is not None:
             attempt = self._task.request.attempt_id
@@ -145,7 +145,7 @@
     def _end(self) -> None:
         """Take note that the runner ran the request to its end."""
         self._over = True
-        self._tools.crashes.answered(self._task.content)
+        self._context.crash_guard.record_answered(self._task.content_id)
 
     async def _whole_body(self) -> bytes:
         body = bytearray()
@@ -164,7 +164,7 @@
         while True:
             end = await self._read_events()
             if end in (_End.WHOLE, _End.BROKEN):
-                self._tools.note_engine(self._run.runner, broke=end is _End.BROKEN)
+                self._context.record_engine_result(self._run.runner, broke=end is _End.BROKEN)
             if end is _End.WHOLE:
                 self._end()
                 await self._client.finish()
@@ -223,12 +223,12 @@
                 if self._may_switch(silent_since_s):
                     return _End.SILENT
             elif data is None:
-                return _End.WHOLE if not self._splitter.rest else _End.BROKEN
+                return _End.WHOLE if not self._splitter.remainder else _End.BROKEN
             else:
                 silent_since_s = trio.current_time()
                 if not await self._take(data):
                     return _End.BROKEN
-            if self._tools.runners.is_gone(self._run.runner):
+            if self._context.runners.is_gone(self._run.runner):
                 # The connection may stay open behind a cut, and say nothing more.
                 return _End.BROKEN
             if self._pace.events and self._has_to_leave():
@@ -253,25 +253,25 @@
         return silent_s > SILENT_S and self._pace.events > 0 and self._can_go_on()
 
     def _has_copy(self) -> bool:
-        return self._saved is not None and self._tools.runners.is_ready(self._saved.runner)
+        return self._saved is not None and self._context.runners.is_ready(self._saved.runner)
 
     def _can_go_on(self) -> bool:
         """Tell whether the run can go on at its copy now: the engine there may take no more."""
         if not self._has_copy():
             return False
-        return self._may_go_on_at(self._tools.runners.by_id[self._saved.runner])
+        return self._may_go_on_at(self._context.runners.by_id[self._saved.runner])
 
     def _left_before(self, runner: Runner) -> bool:
         """Tell whether a runner was known to leave when the request came."""
-        stopped_s = self._tools.runners.stopped_s(runner.id)
-        is_leaving = self._tools.runners.is_leaving(runner.id)
-        return is_leaving and stopped_s is not None and stopped_s < self._task.began_s
+        stopped_s = self._context.runners.stopped_s(runner.id)
+        is_leaving = self._context.runners.is_leaving(runner.id)
+        return is_leaving and stopped_s is not None and stopped_s < self._task.received_s
 
     def _may_go_on_at(self, runner: Runner) -> bool:
         now_s = trio.current_time()
         if self._saved is not None and self._saved.is_reserved:
-            return runner.id not in self._tools.rests.resting(now_s)
-        return self._tools.bounds.allows(now_s, runner, SendPart.CONTINUED)
+            return runner.id not in self._context.backoffs.resting(now_s)
+        return self._context.send_bounds.allows(now_s, runner, SendPart.CONTINUED)
 
     def _go_on_wait_s(self) -> float:
         """Give how long the reader and the copy surely wait."""
@@ -294,13 +294,13 @@
             self._drop_mover()
             return False
         now_s = trio.current_time()
-        leaving = not self._tools.runners.is_ready(self._run.runner)
+        leaving = not self._context.runners.is_ready(self._run.runner)
         if not leaving:
             self._leaving_since_s = None
         elif self._leaving_since_s is None:
             # A first token may come late in the notice. Counted from there the copy was tried when
             # 0.3 s were left, it was not whole yet, and there was no time for another.
-            stopped_s = self._tools.runners.stopped_s(self._run.runner)
+            stopped_s = self._context.runners.stopped_s(self._run.runner)
             self._leaving_since_s = now_s if stopped_s is None else stopped_s
         if self._mover is not None:
             return False
@@ -312,10 +312,10 @@
         return leaving and now_s - self._leaving_since_s >= SWITCH_DELAY_S
 
     def _is_refused(self) -> bool:
-        return self._tools.crashes.refuses(self._task.content)
+        return self._context.crash_guard.is_refused(self._task.content_id)
 
     def _is_long(self) -> bool:
-        return self._tools.placing.tokens_left(self._run) >= COPY_LEAST_TOKENS
+        return self._context.placing.tokens_left(self._run) >= COPY_LEAST_TOKENS
 
     async def _pass_on(self, events: list[StreamEvent]) -> None:
         if not events:
@@ -323,7 +323,9 @@
         if self._first_event_s is None:
             self._first_event_s = trio.current_time()
         if self._pace.passed(len(events)):
-            self._tools.placing.first_token(self._run, self._pace.read_s, self._pace.first_s)
+            self._context.placing.record_first_token(
+                self._run, self._pace.read_s, self._pace.first_s
+            )
         self._run.started = True
         self._run.made_tokens = self._pace.events * self._task.service.engine.tokens_per_event
         await self._client.send(b"".join(event.data for event in events))
@@ -331,7 +333,7 @@
     def _start_mover(self) -> None:
         if not self._task.service.engine.moves:
             return
-        self._mover = Mover(self._tools, self._task, self._run, self._take_copy)
+        self._mover = Mover(self._context, self._task, self._run, self._take_copy)
         self._nursery.start_soon(self._mover.run)
 
     def _drop_mover(self) -> None:
@@ -348,10 +350,10 @@
     async def _go_on_at_copy(self) -> bool:
         """Continue the run where its copy is; on failure the present source is left as it is."""
         saved = self._saved
-        runner = self._tools.runners.by_id.get(saved.runner) if saved else None
+        runner = self._context.runners.by_id.get(saved.runner) if saved else None
         if runner is None or not self._pace.events or self._is_refused():
             return False
-        if self._tools.runners.is_evacuated(runner.id) or self._left_before(runner):
+        if self._context.runners.is_evacuated(runner.id) or self._left_before(runner):
             # Nothing more may be sent there; where the run is, it may go on.
             return False
         if not await self._wait_to_go_on_at(runner):
@@ -359,12 +361,12 @@
         origin = ContinueFrom(saved.origin_address, saved.copy_id, self._cursor.last_id)
         before = self._run.runner
         self._run.runner = runner.id
-        self._run.backup = await self._tools.placing.backup_for(
+        self._run.backup = await self._context.placing.choose_backup(
             self._run, self._task.service.engine, before
         )
         began_s = trio.current_time()
         connection = await continue_at(
-            self._tools, self._task, self._run, runner, origin, is_reserved=saved.is_reserved
+            self._context, self._task, self._run, runner, origin, is_reserved=saved.is_reserved
         )
         log(
             Event.STREAM_CONTINUED if connection else Event.STREAM_NOT_CONTINUED,
--- a/egretstack/services/crash_guard.py
+++ b/egretstack/services/crash_guard.py
@@ -85,17 +85,17 @@
                 await trio.sleep(FORGET_PERIOD_S)
                 self._port.crashes.forget_old(trio.current_time())
 
-    def refuses(self, content: ContentId) -> bool:
+    def is_refused(self, content: ContentId) -> bool:
         """Tell whether no runner may get a request now."""
         return self._port.crashes.refuses(content)
 
-    def told_when_refused(
+    def notify_when_refused(
         self, content: ContentId, wake: Callable[[], None]
     ) -> AbstractContextManager[None]:
         """Call `wake` if a request is refused while the context lasts."""
         return self._port.crashes.told_when_refused(content, wake)
 
-    def answered(self, content: ContentId) -> None:
+    def record_answered(self, content: ContentId) -> None:
         """Take note that a runner ran a request to an end and lives."""
         now_s = trio.current_time()
         cleared_round = self._port.clear(now_s, content)
@@ -103,7 +103,7 @@
             self._reports.cleared(now_s, content, cleared_round)
             self._port.tell_soon()
 
-    def broke(
+    def record_broken_run(
         self,
         attempt: str,
         content: ContentId,
--- a/egretstack/services/directory_port.py
+++ b/egretstack/services/directory_port.py
@@ -8,7 +8,7 @@
 from egretstack.http1 import (
     BadRequest,
     ClientConnection,
-    ClientGone,
+    ClientDisconnected,
     RequestHead,
     ServerLimits,
     SlowSender,
@@ -96,10 +96,10 @@
                 if head is None:
                     return
                 await connection.read_body()
-                await connection.send_answer(*self._answer(head))
+                await connection.send_response(*self._answer(head))
                 if not connection.start_next():
                     return
-        except (BadRequest, SlowSender, ClientGone):
+        except (BadRequest, SlowSender, ClientDisconnected):
             return  # Nothing was promised to whoever asked; it asks elsewhere.
         finally:
             connection.close()
--- a/egretstack/services/dispatching.py
+++ b/egretstack/services/dispatching.py
@@ -88,15 +88,15 @@
         """Give the client of a runner, also of a leaving one."""
         return self.kernel.get(Runners).engine(runner_id)
 
-    def started(self, work: Work) -> None:
+    def report_started(self, work: Work) -> None:
         """Tell the policy that the engine accepted the work."""
         self._tell(Started(work.id))
 
-    def progressed(self, work: Work, tokens: int, delivered: int) -> None:
+    def report_progress(self, work: Work, tokens: int, delivered: int) -> None:
         """Tell the policy how far the work has come."""
         self._tell(Progressed(work.id, tokens, delivered))
 
-    def ended(self, work: Work, tokens: int, reason: EndReason) -> None:
+    def report_ended(self, work: Work, tokens: int, reason: EndReason) -> None:
         """Tell the policy that the work left its engine, or the queue."""
         waiting = self._waiting_by_id.pop(work.id, None)
         if reason is EndReason.FAILED and waiting is not None and waiting.placement is not None:
--- a/egretstack/services/engine_placing.py
+++ b/egretstack/services/engine_placing.py
@@ -23,7 +23,7 @@
 from egretstack.kernel import Kernel, Service
 from egretstack.messages import Message
 from egretstack.placing import Placement, Run, SendPart, Work, work_row
-from egretstack.relay import EnginePlacing, RequestFailed, barred
+from egretstack.relay import EnginePlacing, RequestFailed, no_eligible_runner
 from egretstack.routing import EnginePlan, RouteKind
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.placing_home import MOST_RETRY_S, PlacingHome
@@ -111,7 +111,7 @@
     ) -> Placement | _NoPlace:
         """Ask for a place once, with `left_s` left to wait. Raises RequestFailed."""
         if self._port.runners.is_barred(work.service, work.zones):
-            raise barred()
+            raise no_eligible_runner()
         rested_s = self._rested_after_s(work)
         if rested_s > 0.0:
             await trio.sleep(min(rested_s, ASK_AGAIN_S) if rested_s <= left_s else 0.0)
@@ -136,16 +136,16 @@
             await trio.sleep(ASK_AGAIN_S)
         return _NoPlace(min(MOST_RETRY_S, free_s) or REFUSED_RETRY_S, free_s > left_s)
 
-    def begin(self, run: Run) -> None:
+    def add_run(self, run: Run) -> None:
         """Note a run that goes out."""
         self._run_by_attempt[run.work.attempt] = run
 
-    def end(self, run: Run) -> None:
+    def remove_run(self, run: Run) -> None:
         """Note that a run is over here."""
         self._run_by_attempt.pop(run.work.attempt, None)
         self._home.placer.ended(run.work.attempt)
 
-    def first_token(self, run: Run, read_s: float, waited_s: float) -> None:
+    def record_first_token(self, run: Run, read_s: float, waited_s: float) -> None:
         """Note a first token: `read_s` after the send, and `waited_s` after the request came."""
         self._metrics.answered(RouteKind.STREAM, waited_s)
         self._home.placer.book.first_token(run.work.prompt_tokens, read_s)
@@ -154,7 +154,9 @@
         """Give the output that a run is still expected to make."""
         return self._home.placer.book.tokens_left(run)
 
-    async def backup_for(self, run: Run, engine: EnginePlan, source: RunnerId) -> RunnerId | None:
+    async def choose_backup(
+        self, run: Run, engine: EnginePlan, source: RunnerId
+    ) -> RunnerId | None:
         """Choose where the memory of a run that moved is copied from now on.
 
         While the home is silent there is none: each instance by its own view would choose the
@@ -167,7 +169,7 @@
             return None
         return RunnerId(answer.backup)
 
-    async def move_turn(self, run: Run, refused: Collection[RunnerId]) -> RunnerId:
+    async def acquire_move_permit(self, run: Run, refused: Collection[RunnerId]) -> RunnerId:
         """Wait until it is a run's turn to be copied off its runner; give the destination.
 
         `refused` names engines that had no room for its copy a moment ago.
@@ -185,7 +187,7 @@
         finally:
             self._turn_by_attempt.pop(attempt, None)
 
-    def move_done(self, attempt: str, source: RunnerId) -> None:
+    def release_move_permit(self, attempt: str, source: RunnerId) -> None:
         """Give the turn up."""
         self._destination_by_attempt.pop(attempt, None)
         self._copying.discard(attempt)
--- a/egretstack/services/engine_reports.py
+++ b/egretstack/services/engine_reports.py
@@ -115,7 +115,7 @@
     async def _report(self, runner: Runner) -> RunnerReport | None:
         """Ask one engine; None if it gives no report that can be read."""
         try:
-            connection = await self._pool.take(runner.address, TIMEOUT_S)
+            connection = await self._pool.acquire(runner.address, TIMEOUT_S)
         except ConnectFailed:
             return None
         try:
@@ -131,5 +131,5 @@
         except BaseException:
             connection.close()
             raise
-        self._pool.give_back(connection)
+        self._pool.release(connection)
         return report
--- a/egretstack/services/front_port.py
+++ b/egretstack/services/front_port.py
@@ -9,10 +9,10 @@
 from egretstack.events import Event, log
 from egretstack.http1 import (
     BadRequest,
-    BodyRoom,
+    BodyMemory,
+    BodyMemoryFull,
     ClientConnection,
-    ClientGone,
-    NoRoomForBody,
+    ClientDisconnected,
     RequestHead,
     ResponseHead,
     ServerLimits,
@@ -21,8 +21,14 @@
 )
 from egretstack.kernel import Kernel, Service
 from egretstack.platform import NodeSettings, decode_request, json_answer
-from egretstack.relay import ClientStream, PlainRelay, RequestFailed, StreamRelay, WholeAnswer
-from egretstack.relay import Task as RelayTask
+from egretstack.relay import (
+    BufferedResponse,
+    ClientStream,
+    PlainRelay,
+    RelayTask,
+    RequestFailed,
+    StreamRelay,
+)
 from egretstack.routing import RouteKind
 from egretstack.services.relay_metrics import RelayMetrics
 from egretstack.services.relaying import Relaying
@@ -59,7 +65,7 @@
         self._store = kernel.get(StoreReading)
         self._metrics = kernel.get(RelayMetrics)
         self._in_progress = 0
-        self.body_room = BodyRoom(MOST_BODY_BYTES)
+        self.body_room = BodyMemory(MOST_BODY_BYTES)
         gauge = self._metrics.gauge("egret_relay_in_progress", "Requests in progress.")
         gauge.set_function(lambda: self._in_progress)
         self._leaving = False
@@ -90,7 +96,7 @@
         try:
             while await self._serve_one(connection):
                 connection.limits = self._limits()
-        except ClientGone:
+        except ClientDisconnected:
             connection.abort()
         finally:
             connection.close()
@@ -116,7 +122,7 @@
         except SlowSender as error:
             await self._refuse(connection, "", RequestFailed(ErrorKind.SLOW_SENDER, str(error)))
             return False
-        except NoRoomForBody as error:
+        except BodyMemoryFull as error:
             failed = RequestFailed(ErrorKind.INSTANCE_FULL, str(error), retry_after_s=FULL_RETRY_S)
             await self._refuse(connection, "", failed)
             return False
@@ -135,7 +141,7 @@
     async def _watch(
         connection: ClientConnection, request: ClientRequest, scope: trio.CancelScope
     ) -> None:
-        await connection.wait_until_gone()
+        await connection.wait_until_disconnected()
         log(Event.CLIENT_LEFT, request=request.attempt_id)
         scope.cancel()
 
@@ -166,18 +172,18 @@
                 took_ms=round((trio.current_time() - began_s) * 1000),
             )
 
-    async def _relay_whole(self, task: RelayTask) -> WholeAnswer:
+    async def _relay_whole(self, task: RelayTask) -> BufferedResponse:
         with trio.move_on_at(task.deadline_s):
-            return await PlainRelay(self._relaying.tools).serve(task)
+            return await PlainRelay(self._relaying.context).serve(task)
         raise RequestFailed(ErrorKind.OUT_OF_TIME, "no answer in time")
 
     async def _relay_stream(
         self, connection: ClientConnection, task: RelayTask
-    ) -> WholeAnswer | None:
+    ) -> BufferedResponse | None:
         client = _FrontStream(connection, self._closing())
         with trio.move_on_at(task.deadline_s):
-            return await StreamRelay(self._relaying.tools, task, client).serve()
-        if connection.can_start_answer():
+            return await StreamRelay(self._relaying.context, task, client).serve()
+        if connection.can_start_response():
             raise RequestFailed(ErrorKind.OUT_OF_TIME, "no answer in time")
         log(Event.STREAM_OUT_OF_TIME, request=task.request.attempt_id)
         connection.abort()
@@ -193,21 +199,21 @@
             detail=error.detail,
             retry_s=error.retry_after_s,
         )
-        if not connection.can_start_answer():
+        if not connection.can_start_response():
             connection.abort()
             return
         document = problem_document(error.kind, error.detail, None)
         head, body = json_answer(error.status, document, error.retry_after_s)
-        await self._send(connection, WholeAnswer(head, body))
+        await self._send(connection, BufferedResponse(head, body))
 
-    async def _send(self, connection: ClientConnection, answer: WholeAnswer) -> None:
+    async def _send(self, connection: ClientConnection, answer: BufferedResponse) -> None:
         head = answer.head
         headers = (*head.headers, *self._closing())
         try:
-            await connection.send_answer(
+            await connection.send_response(
                 ResponseHead(head.status, head.reason, headers), answer.body
             )
-        except ClientGone:
+        except ClientDisconnected:
             connection.abort()
 
     def _closing(self) -> tuple[tuple[bytes, bytes], ...]:
@@ -235,7 +241,7 @@
 
     async def send(self, data: bytes) -> None:
         """Send whole events."""
-        await self._unless_gone(self._connection.send_part(data))
+        await self._unless_gone(self._connection.send_chunk(data))
 
     async def finish(self) -> None:
         """Send the proper end."""
@@ -249,7 +255,7 @@
     async def _unless_gone(sending: Awaitable[None]) -> None:
         try:
             await sending
-        except ClientGone:
+        except ClientDisconnected:
             # The watch on the connection sees the same and cancels the relay, which closes the
             # runner's connection in turn.
             await trio.sleep_forever()
--- a/egretstack/services/relay_metrics.py
+++ b/egretstack/services/relay_metrics.py
@@ -9,7 +9,7 @@
 from egretstack.http1 import (
     BadRequest,
     ClientConnection,
-    ClientGone,
+    ClientDisconnected,
     ResponseHead,
     ServerLimits,
     SlowSender,
@@ -77,10 +77,10 @@
         try:
             while await connection.read_head() is not None:
                 await connection.read_body()
-                await connection.send_answer(head, generate_latest(self.registry))
+                await connection.send_response(head, generate_latest(self.registry))
                 if not connection.start_next():
                     return
-        except (BadRequest, SlowSender, ClientGone):
+        except (BadRequest, SlowSender, ClientDisconnected):
             return  # Whoever reads metrics asks again.
         finally:
             connection.close()
--- a/egretstack/services/relaying.py
+++ b/egretstack/services/relaying.py
@@ -10,7 +10,7 @@
 from egretstack.kernel import Kernel, Service
 from egretstack.placing import PlainBalancer
 from egretstack.platform import NodeSettings
-from egretstack.relay import RelayTools, RequestFailed, RetryBudget, Task, barred
+from egretstack.relay import RelayContext, RelayTask, RequestFailed, RetryBudget, no_eligible_runner
 from egretstack.routing import (
     ClientAccount,
     Route,
@@ -63,23 +63,23 @@
         self._store = kernel.get(StoreReading)
         self._split = kernel.get(PlacingHome).split
         self._leaving_since_s: float | None = None
-        self.tools = RelayTools(
+        self.context = RelayContext(
             runners=self._port.runners,
             balancer=PlainBalancer(node.zone, kernel.rng),
             placing=kernel.get(EnginePlacingService),
             budget=RetryBudget(node.bounds),
             pool=ConnectionPool(),
-            bounds=kernel.get(PlacingHome).bounds,
-            rests=kernel.get(PlacingHome).rests,
-            crashes=kernel.get(CrashGuardService),
-            words=kernel.get(RunnerWordsService),
+            send_bounds=kernel.get(PlacingHome).bounds,
+            backoffs=kernel.get(PlacingHome).rests,
+            crash_guard=kernel.get(CrashGuardService),
+            signals=kernel.get(RunnerWordsService),
         )
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Keep the shared tools up to date."""
         # A connection to a process that ended behind a cut looks whole: a request sent on it would
         # wait for nothing.
-        self._port.on_gone(lambda runner: self.tools.pool.forget(runner.address))
+        self._port.on_gone(lambda runner: self.context.pool.close_idle(runner.address))
         task_status.started()
         try:
             while True:
@@ -87,12 +87,12 @@
                 self._count_instances(now_s)
                 await trio.sleep_until(now_s + INSTANCES_LOOK_S)
         finally:
-            self.tools.pool.close()
+            self.context.pool.close()
 
     def _count_instances(self, now_s: float) -> None:
         """Bring up to date among how many instances what the fleet may do is split."""
         others = self._port.fleet.known()
-        self.tools.budget.instances = len(others) + 1
+        self.context.budget.instances = len(others) + 1
         self._split.others = tuple(one.id for one in others)
         self._split.heard = len(self._port.fleet.live(now_s)) - 1
 
@@ -100,7 +100,7 @@
         """Take no new work that could not end before the process has to."""
         self._leaving_since_s = trio.current_time()
 
-    def task(self, request: ClientRequest, began_s: float) -> Task:
+    def task(self, request: ClientRequest, began_s: float) -> RelayTask:
         """Give what is decided about a request by its head. Raises RequestFailed."""
         table = self._table()
         route = table.route(request.host, request.path)
@@ -113,10 +113,10 @@
             limit_s = min(limit_s, request.time_left_s)
         zones = self._zones(route, account)
         if self._port.runners.is_barred(service.name, zones):
-            raise barred()
-        task = Task(request, route, service, account, began_s, began_s + limit_s, zones)
+            raise no_eligible_runner()
+        task = RelayTask(request, route, service, account, began_s, began_s + limit_s, zones)
         self._refuse_while_leaving(task)
-        self.tools.budget.requested(trio.current_time(), service.name)
+        self.context.budget.record_request(trio.current_time(), service.name)
         return task
 
     def _table(self) -> RoutingTable:
@@ -153,7 +153,7 @@
         regions = self._node.region_by_zone.items()
         return frozenset(zone for zone, region in regions if region in homes)
 
-    def _refuse_while_leaving(self, task: Task) -> None:
+    def _refuse_while_leaving(self, task: RelayTask) -> None:
         if self._leaving_since_s is None:
             return
         passed_s = trio.current_time() - self._leaving_since_s
@@ -164,7 +164,7 @@
             )
 
     @staticmethod
-    def _needs_s(task: Task, left_s: float) -> float:
+    def _needs_s(task: RelayTask, left_s: float) -> float:
         if task.route.kind is not RouteKind.STREAM:
             return LAST_CALL_S
         wants = task.request.generation
--- a/egretstack/services/runner_strikes.py
+++ b/egretstack/services/runner_strikes.py
@@ -25,14 +25,14 @@
         super().__init__(kernel)
         self._port = kernel.get(FleetPort)
         self._store = kernel.get(StoreReading)
-        self._balancer = kernel.get(Relaying).tools.balancer
+        self._balancer = kernel.get(Relaying).context.balancer
         self._strikes = FleetStrikes()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Report and judge until cancelled."""
         self._port.answers = self._rows
         self._port.on_report(self._take_report)
-        self.kernel.get(Relaying).tools.on_break = self._port.tell_soon
+        self.kernel.get(Relaying).context.on_runner_failure = self._port.tell_soon
         task_status.started()
         while True:
             await trio.sleep(LOOK_S if self._port.is_home() else IDLE_LOOK_S)
--- a/egretstack/services/runner_words.py
+++ b/egretstack/services/runner_words.py
@@ -7,7 +7,7 @@
 from egretstack.ids import InstanceId, RunnerId
 from egretstack.kernel import Kernel, Service
 from egretstack.messages import MessageError
-from egretstack.relay import RunnerWords
+from egretstack.relay import RunnerSignals
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.placing_home import PlacingHome
 from egretstack.services.relay_metrics import RelayMetrics
@@ -16,7 +16,7 @@
 FORGET_PERIOD_S = 30.0
 
 
-class RunnerWordsService(Service, RunnerWords):
+class RunnerWordsService(Service, RunnerSignals):
     """Learns what runners take: so many requests a second, none for a while, or no more."""
 
     name = "runner_words"
@@ -41,7 +41,7 @@
             self._port.limits.forget(self._port.runners.by_id)
             self._bounds.forget_gone()
 
-    def heard(self, runner: RunnerId, answer: RunnerAnswer, sent_s: float) -> None:
+    def on_answer(self, runner: RunnerId, answer: RunnerAnswer, sent_s: float) -> None:
         """Take what a runner says beside its answer to a request that was sent at `sent_s`."""
         if answer.misdirected:
             return  # Another runner's word.
--- a/egretstack/services/session_host.py
+++ b/egretstack/services/session_host.py
@@ -31,7 +31,7 @@
     FinishedAnswer,
     Placement,
     Pump,
-    PumpLinks,
+    PumpDependencies,
     Session,
     SessionLevels,
     SessionRequest,
@@ -162,7 +162,7 @@
 
     async def _wait_for_return(self, session: Session, reader: int) -> None:
         # A caller that was given no id cannot come back.
-        if session.request.streamed and session.taken >= 0:
+        if session.request.streamed and session.last_read >= 0:
             await trio.sleep(self._resume_window_s)
         pump = self._pump_by_work.get(session.work_id)
         if pump is not None and session.is_reader(reader):
@@ -178,7 +178,7 @@
         with trio.move_on_after(self._resume_window_s):
             ask = self.kernel.get(PeerPort).ask
             await takeover.run(ask, {ref.owner, told_before}, lambda: session.outcome is None)
-        for peer in sorted(takeover.untold):
+        for peer in sorted(takeover.unnotified):
             log(Event.SESSION_HOLDER_UNTOLD, work=session.work_id, peer=peer)
 
     async def _taken_elsewhere(self, message: SessionTaken) -> SessionReleased:
@@ -217,7 +217,7 @@
 
     def _start(self, session: Session, work: Work, placement: Placement | None) -> None:
         access = self.kernel.get(PlatformAccess)
-        links = PumpLinks(
+        links = PumpDependencies(
             self.kernel.get(Dispatching), access.tokens.seal, self._own, self._nursery.start_soon
         )
         pump = Pump(session, work, links, self._budget, placement)
--- a/egretstack/services/settings_file.py
+++ b/egretstack/services/settings_file.py
@@ -60,5 +60,5 @@
         changed = settings != self.kernel.settings
         log(Event.SETTINGS_READ_AGAIN, changed=changed)
         self.kernel.settings = settings
-        self.kernel.get(Relaying).tools.budget.bounds = settings.bounds
+        self.kernel.get(Relaying).context.budget.bounds = settings.bounds
         self.kernel.get(PlacingHome).cold.bounds = settings.bounds
--- a/egretstack/sessions/__init__.py
+++ b/egretstack/sessions/__init__.py
@@ -1,9 +1,9 @@
 """Sessions: one generation each, from an engine to a caller."""
 
-from egretstack.sessions._levels import SessionLevels, is_kept
+from egretstack.sessions._levels import SessionLevels, is_success
 from egretstack.sessions._outcome import FinishedAnswer
-from egretstack.sessions._placing import Placement, Placer
-from egretstack.sessions._pump import Pump, PumpLinks
+from egretstack.sessions._placer import Placement, Placer
+from egretstack.sessions._pump import Pump, PumpDependencies
 from egretstack.sessions._session import ReaderStalled, Session, SessionRequest
 from egretstack.sessions._takeover import Takeover
 
@@ -12,11 +12,11 @@
     "Placement",
     "Placer",
     "Pump",
-    "PumpLinks",
+    "PumpDependencies",
     "ReaderStalled",
     "Session",
     "SessionLevels",
     "SessionRequest",
     "Takeover",
-    "is_kept",
+    "is_success",
 ]
--- a/egretstack/sessions/_levels.py
+++ b/egretstack/sessions/_levels.py
@@ -21,19 +21,19 @@
         )
         self._account = levels.of(contract.account, targets)
         self._pace = Pace(self._account, opened_s, resumed=session.delivered > 0)
-        session.on_taken = self._taken
+        session.on_read = self._taken
         session.on_outcome = self._ended
 
     def _taken(self, tokens: int) -> None:
         self._pace.delivered(clock.now(), tokens)
 
     def _ended(self, outcome: FinishedAnswer | EgretError) -> None:
-        kept = is_kept(outcome)
+        kept = is_success(outcome)
         if kept is not None:
             self._account.ended(kept=kept)
 
 
-def is_kept(outcome: FinishedAnswer | EgretError) -> bool | None:
+def is_success(outcome: FinishedAnswer | EgretError) -> bool | None:
     """Tell whether an accepted session finished or was refused truthfully with nothing run.
 
     None for a session that its caller ended.
--- a/egretstack/sessions/_placing.py
+++ b/egretstack/sessions/_placer.py
@@ -51,13 +51,13 @@
         """Give the client of a runner, also of a leaving one; None if it is not known."""
 
     @abstractmethod
-    def started(self, work: Work) -> None:
+    def report_started(self, work: Work) -> None:
         """Tell the policy that the engine accepted the work."""
 
     @abstractmethod
-    def progressed(self, work: Work, tokens: int, delivered: int) -> None:
+    def report_progress(self, work: Work, tokens: int, delivered: int) -> None:
         """Tell the policy how far the work has come."""
 
     @abstractmethod
-    def ended(self, work: Work, tokens: int, reason: EndReason) -> None:
+    def report_ended(self, work: Work, tokens: int, reason: EndReason) -> None:
         """Tell the policy that the work left its engine, or the queue."""
--- a/egretstack/sessions/_pump.py
+++ b/egretstack/sessions/_pump.py
@@ -22,10 +22,10 @@
 from egretstack.events import Event, log
 from egretstack.ids import GenerationId, InstanceId, SessionId
 from egretstack.policy import EndReason, Work
-from egretstack.sessions._asking import StreamFailed, ask_engine
+from egretstack.sessions._engine_query import StreamFailed, ask_engine
+from egretstack.sessions._errors import cancelled, generation_lost, given_up, placement_refused
 from egretstack.sessions._outcome import FinishedAnswer
-from egretstack.sessions._placing import Placement, Placer
-from egretstack.sessions._refusing import cancelled, generation_lost, given_up, placement_refused
+from egretstack.sessions._placer import Placement, Placer
 from egretstack.sessions._session import ReaderStalled, Session
 from egretstack.upstreams import EngineClient, EngineError, EngineEvent, EngineEventKind
 
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True)
-class PumpLinks:
+class PumpDependencies:
     """What a pump uses: the placer, how to make session ids, this instance's name, and tasks."""
 
     placer: Placer
@@ -60,7 +60,7 @@
         self,
         session: Session,
         work: Work,
-        links: PumpLinks,
+        links: PumpDependencies,
         budget: RecoveryBudget,
         placement: Placement | None = None,
     ) -> None:
@@ -96,12 +96,12 @@
             # Readers end without an end event, and the engine is not told to stop: both would
             # cut the caller's newer connection off from a generation that goes on.
             self._session.supersede()
-            self._links.placer.ended(self._work, self._session.tokens, EndReason.CANCELLED)
+            self._links.placer.report_ended(self._work, self._session.tokens, EndReason.CANCELLED)
             return
         if self._cancelled:
             reason = EndReason.CANCELLED
             self._session.end(cancelled(self._session))
-        self._links.placer.ended(self._work, self._session.tokens, reason)
+        self._links.placer.report_ended(self._work, self._session.tokens, reason)
         # A process that is stopped from outside comes no further than the scope above: its
         # generations go on at their engines, so that another entry can pick them up.
         if reason is not EndReason.FINISHED:
@@ -169,7 +169,7 @@
             raise placement_refused(error, self._recovery) from error
 
     def _may_evict(self) -> bool:
-        return self._session.taken < 0 and self._session.outcome is None
+        return self._session.last_read < 0 and self._session.outcome is None
 
     def _is_withheld(self) -> bool:
         # Between the eviction and the task that acts on it a reader could take an event, and
@@ -226,7 +226,7 @@
             raise StreamFailed(Failure.FAILED, "the engine sent more than was asked for")
         await session.add(event)
         if event.sequence % REPORT_EVERY_TOKENS == 1:
-            self._links.placer.progressed(self._work, session.tokens, session.delivered)
+            self._links.placer.report_progress(self._work, session.tokens, session.delivered)
         return False
 
     def _bind(self, placement: Placement) -> None:
@@ -240,7 +240,7 @@
         )
         session.id = self._links.seal(ref)
         session.runner = placement.runner_id
-        self._links.placer.started(self._work)
+        self._links.placer.report_started(self._work)
 
     async def _recover(self, failed: StreamFailed) -> None:
         step = self._recovery.decide(clock.now(), failed.failure, self._standing())
@@ -260,7 +260,7 @@
 
     def _standing(self) -> Standing:
         bound = self._session.cursor.generation is not None
-        return Standing(bound, self._session.taken + 1, self._can_rerun)
+        return Standing(bound, self._session.last_read + 1, self._can_rerun)
 
     def _check_place(self, word: EngineWord) -> None:
         """Refuse a place in the generation that the engine has not come to."""
@@ -275,7 +275,7 @@
         log(Event.SESSION_RERUN, work=self._work.id, cause=str(failed))
         self._cancel_at_engine()
         placement = self._placement
-        self._links.placer.ended(self._work, self._session.tokens, EndReason.FAILED)
+        self._links.placer.report_ended(self._work, self._session.tokens, EndReason.FAILED)
         self._session.restart()
         self._placement = None
         if placement is not None:
--- a/egretstack/sessions/_session.py
+++ b/egretstack/sessions/_session.py
@@ -31,7 +31,7 @@
     service: ServiceName
     generation: GenerationRequest
     streamed: bool
-    unread_s: float = 60.0
+    unread_timeout_s: float = 60.0
 
 
 class Session:
@@ -47,7 +47,7 @@
         self.id: SessionId | None = None
         self.runner: RunnerId | None = None
         self.outcome: FinishedAnswer | EgretError | None = None
-        self.taken = cursor.last
+        self.last_read = cursor.last
         """Sequence number of the last event that a caller may have seen."""
         self.tokens = max(0, cursor.last)
         """Output tokens received from the engine; event N of a stream is its token N."""
@@ -55,7 +55,7 @@
         """Tokens that the caller had before this entry took the session over."""
         self.is_withheld: Callable[[], bool] = lambda: False
         """Tells that readers may take nothing, since the generation is about to be dropped."""
-        self.on_taken: Callable[[int], None] = lambda tokens: None
+        self.on_read: Callable[[int], None] = lambda tokens: None
         """Told of how many tokens a reader takes that none took before."""
         self.on_outcome: Callable[[FinishedAnswer | EgretError], None] = lambda outcome: None
         self._events: deque[EngineEvent] = deque()
@@ -66,7 +66,7 @@
     @property
     def delivered(self) -> int:
         """Give the number of output tokens that the caller may have seen."""
-        return max(0, self.taken)
+        return max(0, self.last_read)
 
     @property
     def deliverable(self) -> int:
@@ -82,12 +82,12 @@
         self._events.append(event)
         self.tokens = event.sequence
         self._wake()
-        while self.request.streamed and self.cursor.last - self.taken > MAX_UNREAD_EVENTS:
+        while self.request.streamed and self.cursor.last - self.last_read > MAX_UNREAD_EVENTS:
             await self._wait_for_room()
 
     def restart(self) -> None:
         """Forget a generation of which nothing was taken."""
-        if self.taken >= 0:
+        if self.last_read >= 0:
             raise ValueError("events of this generation were taken")
         self.cursor = Cursor()
         self.id = None
@@ -151,7 +151,7 @@
     async def _wait_for_room(self) -> None:
         # A connection that is open and never read would keep the buffer, the engine's memory
         # and the account's place for ever; the bound covers a caller that is away as well.
-        with trio.move_on_after(self.request.unread_s) as wait:
+        with trio.move_on_after(self.request.unread_timeout_s) as wait:
             self._room = trio.Event()
             await self._room.wait()
         if wait.cancelled_caught:
@@ -176,9 +176,9 @@
         return newest_first[::-1]
 
     def _take(self, position: int) -> None:
-        self.on_taken(max(0, position) - self.delivered)
-        self.taken = max(self.taken, position)
-        while self._events and self._events[0].sequence <= self.taken - KEPT_EVENTS:
+        self.on_read(max(0, position) - self.delivered)
+        self.last_read = max(self.last_read, position)
+        while self._events and self._events[0].sequence <= self.last_read - KEPT_EVENTS:
             self._events.popleft()
         self._room.set()
 
--- a/egretstack/sessions/_takeover.py
+++ b/egretstack/sessions/_takeover.py
@@ -38,23 +38,23 @@
         self._own = own
         self._message = message
         self._told: set[InstanceId] = {own}
-        self.untold: set[InstanceId] = set()
+        self.unnotified: set[InstanceId] = set()
 
     async def run(
         self, ask: Ask, first: set[InstanceId | None], goes_on: Callable[[], bool]
     ) -> None:
         """Tell until every one was told or the session has ended here."""
-        self.untold = {one for one in first | {self._meeting_place()} if one} - self._told
+        self.unnotified = {one for one in first | {self._meeting_place()} if one} - self._told
         wait_s = FIRST_RETRY_S
-        while self.untold:
-            for peer in sorted(self.untold):
+        while self.unnotified:
+            for peer in sorted(self.unnotified):
                 await self._tell(ask, peer)
-            if not self.untold:
+            if not self.unnotified:
                 return
             await trio.sleep(wait_s)
             wait_s = min(wait_s * 2, LONGEST_RETRY_S)
             if not goes_on():
-                self.untold.clear()
+                self.unnotified.clear()
 
     async def _tell(self, ask: Ask, peer: InstanceId) -> None:
         member = self._member(peer)
@@ -64,14 +64,14 @@
             answer = await ask(peer, member.host, member.ports[PEER_PORT], self._message)
         except (PeerGone, PeerRefused):
             return
-        self.untold.discard(peer)
+        self.unnotified.discard(peer)
         self._told.add(peer)
         if isinstance(answer, SessionReleased) and answer.previous:
             self._follow(InstanceId(answer.previous))
 
     def _follow(self, peer: InstanceId) -> None:
         if peer not in self._told and len(self._told) < MAX_TOLD:
-            self.untold.add(peer)
+            self.unnotified.add(peer)
 
     def _member(self, peer: InstanceId) -> Member | None:
         for member in self._entries.members(ENTRY_SERVICE):
--- a/standins/platform/_engine.py
+++ b/standins/platform/_engine.py
@@ -184,7 +184,7 @@
                     await trio.sleep_forever()
                 if not run.stop.is_set():
                     run.made += 1
-                    await connection.send_part(f"id: {run.made}\ndata: x\n\n".encode())
+                    await connection.send_chunk(f"id: {run.made}\ndata: x\n\n".encode())
                 if is_ending and run.made - made >= self.ends_after:
                     self.stop()
                     await trio.sleep_forever()
--- a/standins/platform/_http.py
+++ b/standins/platform/_http.py
@@ -9,7 +9,7 @@
 from egretstack.http1 import (
     BadRequest,
     ClientConnection,
-    ClientGone,
+    ClientDisconnected,
     Header,
     RequestHead,
     ResponseHead,
@@ -75,7 +75,7 @@
                 await self._answer_while_there(connection, head, body)
                 if not connection.start_next():
                     return
-        except (BadRequest, ClientGone, SlowSender):
+        except (BadRequest, ClientDisconnected, SlowSender):
             return
         finally:
             connection.close()
@@ -86,13 +86,13 @@
         async with trio.open_nursery() as nursery:
 
             async def watch() -> None:
-                await connection.wait_until_gone()
+                await connection.wait_until_disconnected()
                 nursery.cancel_scope.cancel()
 
             nursery.start_soon(watch)
             try:
                 await self.answer(connection, head, body)
-            except ClientGone:
+            except ClientDisconnected:
                 connection.close()
             nursery.cancel_scope.cancel()
 
@@ -131,4 +131,4 @@
     headers: tuple[Header, ...] = (),
 ) -> None:
     """Send a whole answer."""
-    await connection.send_answer(ResponseHead(status, b"", headers), body)
+    await connection.send_response(ResponseHead(status, b"", headers), body)
--- a/tests/scripted_engine.py
+++ b/tests/scripted_engine.py
@@ -19,7 +19,7 @@
     WorkId,
 )
 from egretstack.policy import Work
-from egretstack.sessions import Placement, Placer, Pump, PumpLinks, Session, SessionRequest
+from egretstack.sessions import Placement, Placer, Pump, PumpDependencies, Session, SessionRequest
 from egretstack.upstreams import (
     EngineBroken,
     EngineClient,
@@ -143,13 +143,13 @@
     def engine(self, runner_id):
         return None
 
-    def started(self, work):
+    def report_started(self, work):
         """Take no note."""
 
-    def progressed(self, work, tokens, delivered):
+    def report_progress(self, work, tokens, delivered):
         """Take no note."""
 
-    def ended(self, work, tokens, reason):
+    def report_ended(self, work, tokens, reason):
         """Take no note."""
 
 
@@ -188,7 +188,7 @@
     async def read(self) -> None:
         """Read all there is, as the caller's connection does."""
         reader = self.session.supersede()
-        async for batch in self.session.batches(reader, self.session.taken, 1000):
+        async for batch in self.session.batches(reader, self.session.last_read, 1000):
             self.seen.extend(batch)
 
 
@@ -208,7 +208,7 @@
         session.id = SessionId("resp_x")
     with trio.fail_after(LIMIT_S):
         async with trio.open_nursery() as nursery:
-            links = PumpLinks(
+            links = PumpDependencies(
                 placer, lambda ref: SessionId("resp_x"), InstanceId("i"), nursery.start_soon
             )
             pump = Pump(session, work, links, RecoveryBudget(), placement)
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -74,7 +74,7 @@
         if kept is None:
             connection = await connect_upstream(front, 1.0)
         else:
-            connection = await kept.take(front, 1.0)
+            connection = await kept.acquire(front, 1.0)
     except ConnectFailed:
         return
     try:
@@ -84,7 +84,7 @@
         return
     finally:
         if kept is not None and record.whole:
-            kept.give_back(connection)
+            kept.release(connection)
         else:
             connection.close()
 
--- a/tests/stream_reader.py
+++ b/tests/stream_reader.py
@@ -8,7 +8,7 @@
 from tests.platform_site import WAIT_S
 
 
-class Reader:
+class StreamReader:
     """A client that reads one stream."""
 
     def __init__(self, site, attempt, entry=0, deadline_ms=10_000, headers=GENERATION):
@@ -19,7 +19,7 @@
         self.status = None
         self.broken = False
         self.ended = trio.Event()
-        self.begun = trio.Event()
+        self.started = trio.Event()
         self._address = site.settings(entry).front_address
         self.scope = trio.CancelScope()
 
@@ -44,7 +44,7 @@
         connection.close()
         self.ended.set()
 
-    def content(self):
+    def content_id(self):
         """Give what its request has in common with other attempts at the same."""
         head, body = client_request("/plans/1", "", method=b"POST")
         return decode_request(head, body).content_id(ACCOUNT)
@@ -53,12 +53,12 @@
         for line in data.decode().splitlines():
             if line.startswith("id:"):
                 self.ids.append(int(line.removeprefix("id:")))
-                self.begun.set()
+                self.started.set()
 
 
-async def read(site, attempt, until_id=0, **more):
+async def start_reader(site, attempt, until_id=0, **more):
     """Start a reader, and give it once it has seen an event of that id."""
-    reader = Reader(site, attempt, **more)
+    reader = StreamReader(site, attempt, **more)
     site.nursery.start_soon(reader.run)
     await site.until(lambda: len(reader.ids) >= until_id or reader.ended.is_set())
     return reader
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -9,13 +9,13 @@
 from egretstack.ids import ZoneName
 from egretstack.platform import Change, EvacuationEntries, StoredObject
 from egretstack.platform._evacuations import MAX_ZONES
-from egretstack.relay._knowledge import BARRED_RETRY_S
+from egretstack.relay._execution_status import NO_ELIGIBLE_RUNNER_RETRY_S
 from egretstack.services.directory_port import DirectoryPort
 from egretstack.services.fleet_port import FleetPort
 from standins.platform import StoreFault, runner_spec
 from tests.fleet_fixtures import ENGINES, runner
 from tests.platform_site import platform_site
-from tests.stream_reader import read
+from tests.stream_reader import start_reader
 from tests.support import check, on_real_clock, tests_of
 from tests.test_platform_streams import check_whole, engine_of
 
@@ -128,7 +128,7 @@
         site.spread("leon-a", "leon-b")
         table = site.kernels[0].get(FleetPort).runners
         await site.until(lambda: len({one.zone for one in table.by_id.values()}) > 1)
-        reader = await read(site, "s-1", 5)
+        reader = await start_reader(site, "s-1", 5)
         source = engine_of(site, "s-1")
         site.evacuate(table.by_id[source.runner_id].zone)
         await site.until(lambda: reader.ended.is_set())
@@ -141,7 +141,7 @@
 async def test_a_stream_that_has_nowhere_to_go_ends_where_it_is():
     async with platform_site(engines=2) as site:
         site.spread("leon-a", "leon-b")
-        reader = await read(site, "s-1", 5)
+        reader = await start_reader(site, "s-1", 5)
         site.evacuate("leon-a", "leon-b")
         await site.until(lambda: knows(site, "leon-a", "leon-b"))
         await site.until(lambda: reader.ended.is_set())
@@ -162,7 +162,7 @@
             check.assertLess(trio.current_time() - began_s, 2.0)
             check.assertEqual(head.status, 503)
             told_s = float(first_value(head.headers, b"retry-after"))
-            check.assertEqual(told_s, BARRED_RETRY_S)
+            check.assertEqual(told_s, NO_ELIGIBLE_RUNNER_RETRY_S)
             check.assertIn("no zone", json.loads(body)["detail"])
         check.assertEqual(sum(site.plain[0].runs_by_attempt.values()), 0)
         check.assertEqual(sum(site.engines[0].runs_by_attempt.values()), 0)
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -14,7 +14,7 @@
 from standins.platform import GENERATION, HOST, configuration, route
 from tests.fleet_fixtures import work
 from tests.platform_site import REGION_BY_ZONE, platform_site
-from tests.stream_reader import read
+from tests.stream_reader import start_reader
 from tests.support import check, on_real_clock, tests_of
 
 load_tests = tests_of(globals())
@@ -87,7 +87,7 @@
     async with platform_site(plain=1, engines=4) as site:
         await bind(site, plans=["bajio"])
         for number in range(4):
-            reader = await read(site, f"s-{number}")
+            reader = await start_reader(site, f"s-{number}")
             await reader.ended.wait()
             check.assertEqual(reader.status, 200)
         for engine in site.engines[1::2]:
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -10,7 +10,7 @@
 from egretstack.services.configuration import Configuration
 from egretstack.services.platform_access import PlatformAccess
 from egretstack.services.session_host import SessionHost
-from egretstack.sessions import FinishedAnswer, is_kept
+from egretstack.sessions import FinishedAnswer, is_success
 from egretstack.settings import Program
 from standins.world import open_world
 from tests.support import check, tests_of
@@ -67,11 +67,11 @@
 
 def test_what_counts_as_kept():
     proof = NotRunProof("a test")
-    check.assertTrue(is_kept(FinishedAnswer("", 3)))
-    check.assertTrue(is_kept(EgretError(ErrorKind.ENGINES_FULL, "", proof=proof)))
-    check.assertFalse(is_kept(EgretError(ErrorKind.GENERATION_LOST, "")))
-    check.assertFalse(is_kept(EgretError(ErrorKind.INTERNAL, "")))
-    check.assertIsNone(is_kept(EgretError(ErrorKind.GENERATION_CANCELLED, "")))
+    check.assertTrue(is_success(FinishedAnswer("", 3)))
+    check.assertTrue(is_success(EgretError(ErrorKind.ENGINES_FULL, "", proof=proof)))
+    check.assertFalse(is_success(EgretError(ErrorKind.GENERATION_LOST, "")))
+    check.assertFalse(is_success(EgretError(ErrorKind.INTERNAL, "")))
+    check.assertIsNone(is_success(EgretError(ErrorKind.GENERATION_CANCELLED, "")))
 
 
 async def test_an_entry_counts_what_its_callers_were_given():
--- a/tests/test_move_turns.py
+++ b/tests/test_move_turns.py
@@ -11,7 +11,7 @@
 from egretstack.services.placing_home import PlacingHome
 from standins.platform import EngineFault, runner_spec
 from tests.platform_site import platform_site
-from tests.stream_reader import read
+from tests.stream_reader import start_reader
 from tests.support import check, on_real_clock, tests_of
 from tests.test_platform_streams import check_whole, engine_of
 
@@ -59,7 +59,7 @@
         for engine in site.engines:
             engine.events = 150
             engine.fault = EngineFault.NO_ROOM
-        reader = await read(site, "s-1", 3)
+        reader = await start_reader(site, "s-1", 3)
         source = engine_of(site, "s-1")
         full, free = (one for one in site.engines if one is not source)
         free.fault = source.fault = EngineFault.NONE
@@ -89,7 +89,7 @@
         table = site.kernels[0].get(FleetPort).runners
         site.register(target.runner_id, "llm", target.address, DRAINING)
         await site.until(lambda: not table.is_ready(RunnerId(target.runner_id)))
-        readers = [await read(site, name, 3) for name in ("s-1", "s-2")]
+        readers = [await start_reader(site, name, 3) for name in ("s-1", "s-2")]
         run = home.placer.book.run("s-1")
         run.work = _huge(run.work)
         source, target = site.engines[0], site.engines[1]
--- a/tests/test_platform_bad_input.py
+++ b/tests/test_platform_bad_input.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from egretstack.http1 import BodyRoom, ClientConnection, RequestHead, ResponseHead
+from egretstack.http1 import BodyMemory, ClientConnection, RequestHead, ResponseHead
 from egretstack.platform import ObjectKind, Store, StoreAway
 from egretstack.services.front_port import FrontPort
 from standins.platform import HOST, KEY, StandInServer
@@ -86,7 +86,7 @@
             await connection.start_stream(ResponseHead(200, b"", ()), b'{"items": [')
             connection.abort()
             return
-        await connection.send_answer(ResponseHead(self.status, b"", ()), self.body)
+        await connection.send_response(ResponseHead(self.status, b"", ()), self.body)
 
 
 @on_real_clock
@@ -125,7 +125,7 @@
     # and some dozens of them in progress at once were not. The one too many is told to come back.
     async with platform_site() as site:
         front = site.kernels[0].get(FrontPort)
-        front.body_room = BodyRoom(50_000)
+        front.body_room = BodyMemory(50_000)
         post = b"POST /holds/1 HTTP/1.1\r\n" + HEAD + b"content-length: 40000\r\n\r\n"
         host, _, port = site.settings(0).front_address.rpartition(":")
         async with await trio.open_tcp_stream(host, int(port)) as first:
--- a/tests/test_platform_restarts.py
+++ b/tests/test_platform_restarts.py
@@ -6,7 +6,7 @@
 from egretstack.services.fleet_port import FleetPort
 from standins.platform import GENERATION, EngineFault, runner_spec
 from tests.platform_site import platform_site
-from tests.stream_reader import read
+from tests.stream_reader import start_reader
 from tests.support import check, on_real_clock, tests_of
 from tests.test_platform_streams import check_whole, engine_of
 
@@ -51,7 +51,7 @@
 async def started_again_in_midst(site, when, *, cut=False):
     """Read a stream whose engine starts again once `when` holds; give reader and source."""
     await born(site)
-    reader = await read(site, "s-1", 5)
+    reader = await start_reader(site, "s-1", 5)
     source = engine_of(site, "s-1")
     await site.until(lambda: when(source))
     if cut:
@@ -97,7 +97,7 @@
         engine.start_again(SECOND_MS)
         write(site, engine, SECOND_MS)
         await site.until(lambda: table.is_ready(key(engine, SECOND_MS)))
-        reader = await read(site, "s-1", 1)
+        reader = await start_reader(site, "s-1", 1)
         await reader.ended.wait()
         check_whole(reader, 5)
 
@@ -110,7 +110,7 @@
         await born(site)
         for engine in site.engines:
             engine.events = 150
-        reader = await read(site, "s-1", 5, headers=LONG)
+        reader = await start_reader(site, "s-1", 5, headers=LONG)
         source = engine_of(site, "s-1")
         holder = next(one for one in others(site, source) if one.copies)
         holder.start_again(SECOND_MS)
@@ -136,7 +136,7 @@
             await born(site)
             for engine in site.engines:
                 engine.fault = EngineFault.NO_ROOM
-            reader = await read(site, "s-1", 5)
+            reader = await start_reader(site, "s-1", 5)
             source = engine_of(site, "s-1")
             for engine in site.engines:
                 engine.fault = EngineFault.NONE
@@ -186,7 +186,7 @@
         named = site.engines[0].runner_id
         site.engines[0].runner_id = "i-another"
         for number in range(4):
-            reader = await read(site, f"s-{number}", 1)
+            reader = await start_reader(site, f"s-{number}", 1)
             await reader.ended.wait()
             check_whole(reader)
         check.assertEqual(sum(site.engines[0].runs_by_attempt.values()), 0)
--- a/tests/test_platform_streams.py
+++ b/tests/test_platform_streams.py
@@ -8,7 +8,7 @@
 from egretstack.services.store_reading import StoreReading
 from standins.platform import GENERATION, HOST, EngineFault, route, runner_spec
 from tests.platform_site import platform_site
-from tests.stream_reader import Reader, read
+from tests.stream_reader import StreamReader, start_reader
 from tests.support import check, on_real_clock, tests_of
 
 load_tests = tests_of(globals())
@@ -30,7 +30,7 @@
 @on_real_clock
 async def test_a_stream_goes_through_whole():
     async with platform_site(plain=0, engines=2) as site:
-        reader = await read(site, "s-1", 1)
+        reader = await start_reader(site, "s-1", 1)
         await reader.ended.wait()
         check_whole(reader)
 
@@ -42,7 +42,7 @@
     async with platform_site(plain=0, engines=2) as site:
         for one in site.engines:
             one.events = 80
-        reader = await read(site, "s-1", 5)
+        reader = await start_reader(site, "s-1", 5)
         source = engine_of(site, "s-1")
         site.register(source.runner_id, "llm", source.address, DRAINING)
         await reader.ended.wait()
@@ -59,7 +59,7 @@
     async with platform_site(plain=0, engines=3) as site:
         for one in site.engines:
             one.events = 200
-        reader = await read(site, "s-1", 5)
+        reader = await start_reader(site, "s-1", 5)
         for one in site.engines:
             one.copies.clear()
         source = engine_of(site, "s-1")
@@ -72,7 +72,7 @@
 @on_real_clock
 async def test_a_runner_that_dies_loses_nothing_that_has_a_copy():
     async with platform_site(plain=0, engines=2) as site:
-        reader = await read(site, "s-1", 5)
+        reader = await start_reader(site, "s-1", 5)
         engine_of(site, "s-1").stop()
         await reader.ended.wait()
         check_whole(reader)
@@ -82,7 +82,7 @@
 async def test_a_runner_that_falls_silent_is_left():
     # The reader would wait for ever: the runner's connection stays open and says nothing more.
     async with platform_site(plain=0, engines=2) as site:
-        reader = await read(site, "s-1", 5)
+        reader = await start_reader(site, "s-1", 5)
         engine_of(site, "s-1").fault = EngineFault.SILENT
         await reader.ended.wait()
         check_whole(reader)
@@ -91,7 +91,7 @@
 @on_real_clock
 async def test_a_continued_run_that_repeats_its_last_event():
     async with platform_site(plain=0, engines=2) as site:
-        reader = await read(site, "s-1", 5)
+        reader = await start_reader(site, "s-1", 5)
         source = engine_of(site, "s-1")
         next(one for one in site.engines if one is not source).fault = EngineFault.REPEATS
         source.stop()
@@ -104,7 +104,7 @@
     # The reader would miss a piece and not know: what goes on leaves an event out. The stream is
     # broken off, which cannot be taken for its end.
     async with platform_site(plain=0, engines=2) as site:
-        reader = await read(site, "s-1", 5)
+        reader = await start_reader(site, "s-1", 5)
         source = engine_of(site, "s-1")
         next(one for one in site.engines if one is not source).fault = EngineFault.SKIPS
         source.stop()
@@ -121,7 +121,7 @@
         for one in site.engines:
             one.fault = EngineFault.NO_ROOM
             one.events = 150
-        reader = await read(site, "s-1", 5)
+        reader = await start_reader(site, "s-1", 5)
         source = engine_of(site, "s-1")
         for one in site.engines:
             one.fault = EngineFault.NONE
@@ -134,7 +134,7 @@
 @on_real_clock
 async def test_a_lost_stream_does_not_look_complete():
     async with platform_site(plain=0, engines=1) as site:
-        reader = await read(site, "s-1", 5)
+        reader = await start_reader(site, "s-1", 5)
         site.engines[0].stop()
         await reader.ended.wait()
         check.assertTrue(reader.broken)
@@ -146,7 +146,7 @@
     async with platform_site(plain=0, engines=2) as site:
         for one in site.engines:
             one.events = 1_000
-        reader = await read(site, "s-1", 5)
+        reader = await start_reader(site, "s-1", 5)
         source = engine_of(site, "s-1")
         reader.scope.cancel()
         await site.until(lambda: source._report()["running"] == 0)
@@ -177,8 +177,8 @@
         await site.until(lambda: reading.gate.version == version)
         table = site.kernels[0].get(FleetPort).runners
         await site.until(lambda: table.by_id[engine.runner_id].slots == 1)
-        first = await read(site, "s-1", 1)
-        second = await read(site, "s-2", 1, deadline_ms=39_000)
+        first = await start_reader(site, "s-1", 1)
+        second = await start_reader(site, "s-2", 1, deadline_ms=39_000)
         check.assertTrue(first.ended.is_set())
         await second.ended.wait()
         check_whole(second)
@@ -189,7 +189,7 @@
     async with platform_site(plain=0, engines=2) as site:
         site.engines[0].stop()
         for number in range(4):
-            reader = await read(site, f"s-{number}", 1)
+            reader = await start_reader(site, f"s-{number}", 1)
             await reader.ended.wait()
             check_whole(reader)
 
@@ -204,7 +204,7 @@
             if kernel.settings.instance == home:
                 await _kill(site, kernel)
         entry = next(n for n, one in enumerate(site.kernels) if one.settings.instance != home)
-        reader = Reader(site, "s-1", entry)
+        reader = StreamReader(site, "s-1", entry)
         site.nursery.start_soon(reader.run)
         await reader.ended.wait()
         check_whole(reader)
--- a/tests/test_promises_properties.py
+++ b/tests/test_promises_properties.py
@@ -15,7 +15,7 @@
 from egretstack.ids import RunnerId, ServiceName
 from egretstack.placing import Placer, Run
 from egretstack.platform import Bounds
-from egretstack.relay import RetryBudget, RunKnowledge
+from egretstack.relay import ExecutionStatus, RetryBudget
 from egretstack.routing import RoutingConfiguration, VersionGate
 from tests.fleet_fixtures import ENGINE, ENGINES, known, runner, work
 from tests.support import check, tests_of
@@ -124,10 +124,10 @@
     st.lists(st.booleans(), max_size=6), st.sampled_from(ErrorKind), st.sampled_from((None, 0.4))
 )
 def test_not_run_is_never_said_once_it_may_have_run(sends, kind, retry_s):
-    knowledge = RunKnowledge()
+    knowledge = ExecutionStatus()
     for unknown in sends:
         if unknown:
-            knowledge.unknown()
+            knowledge.mark_unknown()
         failure = knowledge.failure(kind, "x", retry_after_s=retry_s)
         if knowledge.may_have_run:
             check.assertNotIn(failure.status, PROMISING)
@@ -156,10 +156,10 @@
         now_s += passed_ms / 1000
         budget = budgets[number % count]
         budget.instances = count
-        budget.requested(now_s, SERVICE)
+        budget.record_request(now_s, SERVICE)
         requests.append(now_s)
         while budget.allows(now_s, SERVICE):
-            budget.repeated(now_s, SERVICE)
+            budget.record_retry(now_s, SERVICE)
             repeats.append(now_s)
         recent = [one for one in requests if now_s - one <= bounds.retry_window_s]
         again = [one for one in repeats if now_s - one <= bounds.retry_window_s]
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -19,13 +19,13 @@
             found += splitter.feed(whole[start : start + size])
         check.assertEqual([event.id for event in found], ["1", "2", "3"])
         check.assertEqual(b"".join(event.data for event in found), whole)
-        check.assertEqual(splitter.rest, b"")
+        check.assertEqual(splitter.remainder, b"")
 
 
 def test_half_an_event_is_kept_back():
     splitter = EventSplitter()
     check.assertEqual(splitter.feed(b"id: 1\ndata: a"), [])
-    check.assertEqual(splitter.rest, b"id: 1\ndata: a")
+    check.assertEqual(splitter.remainder, b"id: 1\ndata: a")
 
 
 def test_an_event_that_never_ends_is_refused():
--- a/tests/test_relay_knowledge.py
+++ b/tests/test_relay_knowledge.py
@@ -3,7 +3,7 @@
 from egretstack.errors import ErrorKind
 from egretstack.ids import ServiceName
 from egretstack.platform import Bounds
-from egretstack.relay import RequestFailed, RetryBudget, RunKnowledge
+from egretstack.relay import ExecutionStatus, RequestFailed, RetryBudget
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
@@ -20,22 +20,22 @@
 
 
 def test_not_run_is_said_while_it_is_true():
-    failure = RunKnowledge().failure(ErrorKind.ENGINES_FULL, "full", retry_after_s=0.25)
+    failure = ExecutionStatus().failure(ErrorKind.ENGINES_FULL, "full", retry_after_s=0.25)
     check.assertEqual((failure.status, failure.retry_after_s), (503, 0.25))
 
 
 def test_a_rejection_after_a_send_without_an_answer():
     # A booking would be made twice: the first runner ran it and its answer was lost, the second
     # rejected it, and the client, told "not run", sends it again.
-    knowledge = RunKnowledge()
-    knowledge.unknown()
+    knowledge = ExecutionStatus()
+    knowledge.mark_unknown()
     failure = knowledge.failure(ErrorKind.ENGINES_FULL, "full", retry_after_s=0.25)
     check.assertEqual((failure.status, failure.retry_after_s), (502, None))
 
 
 def test_every_kind_that_promises_nothing_has_no_promising_status():
-    knowledge = RunKnowledge()
-    knowledge.unknown()
+    knowledge = ExecutionStatus()
+    knowledge.mark_unknown()
     for kind in ErrorKind:
         check.assertNotIn(knowledge.failure(kind, "x").status, (408, 421, 429, 503), kind)
 
@@ -49,7 +49,7 @@
     budget.instances = 10
     spent = 0
     while budget.allows(0.0, SERVICE):
-        budget.repeated(0.0, SERVICE)
+        budget.record_retry(0.0, SERVICE)
         spent += 1
     check.assertEqual(spent, 4)
 
@@ -58,14 +58,14 @@
     budget = RetryBudget(BOUNDS)
     budget.instances = 50
     for _ in range(100):
-        budget.requested(0.0, SERVICE)
+        budget.record_request(0.0, SERVICE)
     spent = 0
     while budget.allows(1.0, SERVICE):
-        budget.repeated(1.0, SERVICE)
+        budget.record_retry(1.0, SERVICE)
         spent += 1
     check.assertEqual(spent, 16)
     check.assertFalse(budget.allows(9.9, SERVICE))
-    budget.requested(11.5, SERVICE)
+    budget.record_request(11.5, SERVICE)
     for _ in range(9):
-        budget.requested(11.5, SERVICE)
+        budget.record_request(11.5, SERVICE)
     check.assertTrue(budget.allows(11.5, SERVICE))
--- a/tests/test_runner_crashes.py
+++ b/tests/test_runner_crashes.py
@@ -25,7 +25,7 @@
 )
 from tests.platform_site import platform_site
 from tests.soak.proxy import Proxy
-from tests.stream_reader import read
+from tests.stream_reader import start_reader
 from tests.support import check, on_real_clock, tests_of
 from tests.test_platform_streams import check_whole
 
@@ -101,8 +101,8 @@
         first.events = 60
         site.store.remove("servers", second.runner_id)
         await site.until(lambda: not is_known(site, second.runner_id))
-        reader = await read(site, "s-1", 5)
-        refuse(site, reader.content())
+        reader = await start_reader(site, "s-1", 5)
+        refuse(site, reader.content_id())
         await site.until(lambda: len(reader.ids) > 6)
         second.runner_id += "-again"
         site.register(second.runner_id, "llm", second.address)
@@ -145,7 +145,7 @@
             for path, body in (("/notes/1", b"another"), ("/notes/2", ENDING + b".")):
                 head, _ = await site.call(path, "o", entry=entry, method=b"POST", body=body)
                 check.assertEqual(head.status, 200)
-            reader = await read(site, f"s-{entry}", entry=entry)
+            reader = await start_reader(site, f"s-{entry}", entry=entry)
             await reader.ended.wait()
             check_whole(reader)
 
@@ -156,14 +156,16 @@
     async with platform_site(entries=2, plain=0, engines=4) as site:
         for one in site.engines:
             one.events = 150
-        beside = [await read(site, f"b-{number}", 1, entry=number % 2) for number in range(4)]
+        beside = [
+            await start_reader(site, f"b-{number}", 1, entry=number % 2) for number in range(4)
+        ]
         end_under_it(site)
         for number in range(3):
             await send_ending(site, "/plans/2", f"e-{number}", number % 2, headers=GENERATION)
             await replace_ended(site, f"e{number}")
         for reader in beside:
             await reader.ended.wait()
-            check.assertFalse(crashes(site).refuses(reader.content()))
+            check.assertFalse(crashes(site).refuses(reader.content_id()))
         check.assertTrue(any(not reader.broken for reader in beside))
 
 
@@ -176,13 +178,13 @@
         site.routes[2]["timeout-ms"] = LONG_MS
         version = site.configure()
         await site.until(lambda: site.kernels[0].get(StoreReading).gate.version == version)
-        reader = await read(site, "s-1", 64, deadline_ms=LONG_MS)
+        reader = await start_reader(site, "s-1", 64, deadline_ms=LONG_MS)
         for number in range(3):
             await site.until(lambda n=number: sum(len(e.continued) for e in site.engines) == n)
             await trio.sleep(0.5)
             next(one for one in site.engines if one.is_running("s-1")).stop()
         await site.until(lambda: sum(len(e.continued) for e in site.engines) == 3)
-        check.assertEqual(crashes(site).record(reader.content()).weight, 3 * LATE_WEIGHT)
+        check.assertEqual(crashes(site).record(reader.content_id()).weight, 3 * LATE_WEIGHT)
         check.assertFalse(reader.broken)
         reader.scope.cancel()
 
--- a/tests/test_runner_leaving.py
+++ b/tests/test_runner_leaving.py
@@ -6,7 +6,7 @@
 from standins.platform import StoreFault
 from tests.limited_site import ask_steadily
 from tests.platform_site import platform_site
-from tests.stream_reader import read
+from tests.stream_reader import start_reader
 from tests.support import check, on_real_clock, tests_of
 from tests.test_runner_limits import SMALL_GENERATION
 
@@ -135,13 +135,15 @@
         leaving, other = site.engines
         for one in site.engines:
             one.events = 200
-        readers = [await read(site, f"s-{n}", 1, entry=n % 2, deadline_ms=60_000) for n in range(6)]
+        readers = [
+            await start_reader(site, f"s-{n}", 1, entry=n % 2, deadline_ms=60_000) for n in range(6)
+        ]
         site.store.fault = StoreFault.SILENT
         leaving.says_leaving = True
         number = 0
         while not leaving.said_leaving_s:
             number += 1
-            readers.append(await read(site, f"t-{number}", 1, deadline_ms=60_000))
+            readers.append(await start_reader(site, f"t-{number}", 1, deadline_ms=60_000))
         for reader in readers:
             await reader.ended.wait()
             check.assertEqual(reader.ids, list(range(1, 201)))
--- a/tests/test_runner_limits.py
+++ b/tests/test_runner_limits.py
@@ -14,7 +14,7 @@
     most_in_a_window,
 )
 from tests.platform_site import platform_site
-from tests.stream_reader import read
+from tests.stream_reader import start_reader
 from tests.support import check, on_real_clock, tests_of
 
 load_tests = tests_of(globals())
@@ -99,7 +99,7 @@
     for one in site.engines:
         one.events = 500
     for number in range(30):
-        await read(
+        await start_reader(
             site,
             f"s-{number}",
             1,
@@ -111,7 +111,7 @@
     number = 0
     while not all(is_told(site, limited, entry) for entry in range(2)):
         number += 1
-        one = await read(site, f"h-{number}", 1, entry=number % 2, headers=SMALL_GENERATION)
+        one = await start_reader(site, f"h-{number}", 1, entry=number % 2, headers=SMALL_GENERATION)
         one.scope.cancel()
     return trio.current_time()
 
--- a/tests/test_runner_rests.py
+++ b/tests/test_runner_rests.py
@@ -9,7 +9,7 @@
 from tests.fleet_fixtures import runner
 from tests.limited_site import ask_steadily
 from tests.platform_site import platform_site
-from tests.stream_reader import read
+from tests.stream_reader import start_reader
 from tests.support import check, on_real_clock, tests_of
 from tests.test_runner_limits import SMALL_GENERATION
 
@@ -122,12 +122,12 @@
         for one in site.engines:
             one.events = 500
         for number in range(20):
-            await read(site, f"s-{number}", 1, deadline_ms=60_000, headers=SMALL_GENERATION)
+            await start_reader(site, f"s-{number}", 1, deadline_ms=60_000, headers=SMALL_GENERATION)
         resting.rest_s = REST_S
         number = 0
         while not resting.rests:
             number += 1
-            reader = await read(site, f"t-{number}", 1, headers=SMALL_GENERATION)
+            reader = await start_reader(site, f"t-{number}", 1, headers=SMALL_GENERATION)
             reader.scope.cancel()
         await trio.sleep(GRACE_S)
         other.crash()
@@ -141,13 +141,13 @@
     async with platform_site(entries=1, plain=0, engines=3) as site:
         for one in site.engines:
             one.events = 400
-        reader = await read(site, "s-1", 1, deadline_ms=60_000, headers=LONG_GENERATION)
+        reader = await start_reader(site, "s-1", 1, deadline_ms=60_000, headers=LONG_GENERATION)
         resting = next(one for one in site.engines if "s-1" in one.copies)
         resting.rest_s = REST_S
         number = 0
         while not resting.rests:
             number += 1
-            other = await read(site, f"t-{number}", 1, headers=SMALL_GENERATION)
+            other = await start_reader(site, f"t-{number}", 1, headers=SMALL_GENERATION)
             other.scope.cancel()
         seen = len(reader.ids)
         await site.until(lambda: len(reader.ids) > seen + 40)
--- a/tests/test_runner_strikes.py
+++ b/tests/test_runner_strikes.py
@@ -17,7 +17,7 @@
 from standins.platform import PlainFault
 from tests.fleet_fixtures import ENGINE, PLAIN, runner, work
 from tests.platform_site import platform_site
-from tests.stream_reader import read
+from tests.stream_reader import start_reader
 from tests.support import check, on_real_clock, tests_of
 
 load_tests = tests_of(globals())
@@ -164,12 +164,12 @@
         for one in site.engines:
             one.events = 400
         for number in range(4):
-            await read(site, f"s-{number}", 3)
+            await start_reader(site, f"s-{number}", 3)
         bad = max(site.engines, key=lambda one: one.runs_by_attempt.total())
         bad.crash()
         tables = [one.get(FleetPort).runners for one in site.kernels]
         await site.until(lambda: all(bad.runner_id in table.suspects for table in tables))
         before = bad.runs_by_attempt.total()
         for number in range(6):
-            await read(site, f"t-{number}", 1, entry=1)
+            await start_reader(site, f"t-{number}", 1, entry=1)
         check.assertEqual(bad.runs_by_attempt.total(), before)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -373,4 +373,4 @@
     with trio.fail_after(LIMIT_S):
         await takeover.run(ask, {InstanceId("owner"), None}, lambda: True)
     check.assertEqual(asked, ["owner", "second", "third"])
-    check.assertEqual(takeover.untold, set())
+    check.assertEqual(takeover.unnotified, set())
