--- a/egretstack/relay/__init__.py
+++ b/egretstack/relay/__init__.py
@@ -1,4 +1,4 @@
-"""Relays clients' requests to runners: what may be sent again, and what has to be said else."""
+"""Relays client requests to runners: decides which may be retried and how the others fail."""
 
 from egretstack.relay._budget import RetryBudget
 from egretstack.relay._client_stream import ClientStream
--- a/egretstack/relay/_budget.py
+++ b/egretstack/relay/_budget.py
@@ -1,7 +1,7 @@
-"""This instance's part of the fleet's budget for sending requests a second time.
+"""This instance's share of the fleet's retry budget.
 
-Runners that are in trouble get more work by retries just when they can do less. The budget bounds
-that for each service: a share of the requests, and a fixed number that the fleet splits evenly.
+Retries add load to overloaded runners just when they can handle less. The budget bounds retries
+for each service: a share of the requests, plus a fixed number that is split evenly over the fleet.
 """
 
 from collections import deque
@@ -10,34 +10,34 @@
 from egretstack.platform import Bounds
 
 SAFETY_SHARE = 0.8
-"""Part of the budget that is used: windows slide, and instances see their edges differently."""
+"""Share of the budget that is used: windows slide, and their edges differ between instances."""
 
 
 class RetryBudget:
-    """Requests and second sends of the last window, by service."""
+    """Counts requests and retries by service over a sliding window."""
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
         self.instances = 1
-        """Instances that share the fixed part; at least those that live."""
-        self._requests_by_service: dict[ServiceName, deque[float]] = {}
-        self._repeats_by_service: dict[ServiceName, deque[float]] = {}
+        """Instances that share the fixed part; no fewer than the live ones."""
+        self._request_times_by_service: dict[ServiceName, deque[float]] = {}
+        self._retry_times_by_service: dict[ServiceName, deque[float]] = {}
 
     def record_request(self, now_s: float, service: ServiceName) -> None:
-        """Note a client's request for a service."""
-        self._recent(now_s, self._requests_by_service, service).append(now_s)
+        """Record a client's request for a service."""
+        self._recent(now_s, self._request_times_by_service, service).append(now_s)
 
     def record_retry(self, now_s: float, service: ServiceName) -> None:
-        """Note a second send."""
-        self._recent(now_s, self._repeats_by_service, service).append(now_s)
+        """Record a retry."""
+        self._recent(now_s, self._retry_times_by_service, service).append(now_s)
 
     def allows(self, now_s: float, service: ServiceName) -> bool:
-        """Tell whether one more second send keeps within this instance's part."""
-        requests = len(self._recent(now_s, self._requests_by_service, service))
-        repeats = len(self._recent(now_s, self._repeats_by_service, service))
+        """Return whether one more retry stays within this instance's share of the budget."""
+        requests = len(self._recent(now_s, self._request_times_by_service, service))
+        retries = len(self._recent(now_s, self._retry_times_by_service, service))
         share = self.bounds.retry_slack / max(1, self.instances)
         allowed = self.bounds.retry_ratio * requests + share
-        return repeats + 1 <= SAFETY_SHARE * allowed
+        return retries + 1 <= SAFETY_SHARE * allowed
 
     def _recent(
         self, now_s: float, times_by_service: dict[ServiceName, deque[float]], service: ServiceName
--- a/egretstack/relay/_client_stream.py
+++ b/egretstack/relay/_client_stream.py
@@ -1,4 +1,4 @@
-"""The client's side of a stream, as a relay sees it."""
+"""Interface through which a relay writes a stream to its client."""
 
 from abc import ABC, abstractmethod
 
@@ -6,11 +6,11 @@
 
 
 class ClientStream(ABC):
-    """The client's side of a stream."""
+    """The client's side of a relayed stream."""
 
     @abstractmethod
     async def start(self, head: ResponseHead) -> None:
-        """Send the head."""
+        """Send the response head."""
 
     @abstractmethod
     async def send(self, data: bytes) -> None:
@@ -18,8 +18,8 @@
 
     @abstractmethod
     async def finish(self) -> None:
-        """Send the proper end."""
+        """End the response normally."""
 
     @abstractmethod
     def abort(self) -> None:
-        """Break the answer off so that it cannot look complete."""
+        """Abort the response so that the client cannot take it for complete."""
--- a/egretstack/relay/_context.py
+++ b/egretstack/relay/_context.py
@@ -1,4 +1,4 @@
-"""What relays of all kinds work with, and the task that one request is to them."""
+"""Objects shared by all relays, and the task that describes one request."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Collection
@@ -18,58 +18,58 @@
 from egretstack.traffic import ClientRequest, RunnerAnswer, SendTerms
 
 RANKS = 100
-"""Ranks of routes that are told apart within one rank of client accounts."""
+"""Number of route ranks that are distinguished within one client account rank."""
 ENGINE_RANKS = 3
-"""The same for an engine: it knows ten priorities, and most accounts have one of three ranks."""
+"""The same for engines: an engine has ten priorities, and most accounts have one of three ranks."""
 CONNECT_TIMEOUT_S = 0.15
-"""Time for a connection to a runner: it takes some 3 ms unless the runner is gone. A lost opening
-packet is sent again after a second only; another runner is sooner."""
+"""Connecting takes some 3 ms unless the runner has ended. A lost SYN is retransmitted only after a
+second; trying another runner is faster."""
 
 
 class EnginePlacing(ABC):
-    """Where generations run; asks the home, or decides here while the home is silent."""
+    """Places generations: asks the home, or decides locally while the home does not answer."""
 
     @abstractmethod
-    async def place(self, work: Work, engine: EnginePlan) -> Placement:
-        """Give the place of a generation. Raises RequestFailed."""
+    async def place(self, request: Work, engine: EnginePlan) -> Placement:
+        """Choose the engine of a generation. Raises RequestFailed."""
 
     @abstractmethod
     def add_run(self, run: Run) -> None:
-        """Note a run that goes out, in progress until `end`; its fields change as it does."""
+        """Add a run, in progress until `remove_run`; its fields are updated as it proceeds."""
 
     @abstractmethod
     def remove_run(self, run: Run) -> None:
-        """Note that a run is over here."""
+        """Remove a run that has ended on this instance."""
 
     @abstractmethod
     def record_first_token(self, run: Run, read_s: float, waited_s: float) -> None:
-        """Note a first token: `read_s` after the send, and `waited_s` after the request came."""
+        """Record a first token, `read_s` after the send, `waited_s` after the request arrived."""
 
     @abstractmethod
     def tokens_left(self, run: Run) -> float:
-        """Give the output that a run is still expected to make."""
+        """Return the number of output tokens that a run is still expected to generate."""
 
     @abstractmethod
     async def choose_backup(
         self, run: Run, engine: EnginePlan, source: RunnerId
     ) -> RunnerId | None:
-        """Choose where the memory of a run that moved off `source` is copied from now on."""
+        """Choose the backup engine of a run that moved off `source`; None if there is none."""
 
     @abstractmethod
     async def acquire_move_permit(self, run: Run, refused: Collection[RunnerId]) -> RunnerId:
-        """Wait until it is a run's turn to be copied off its runner; give the destination.
+        """Wait for the permit to copy a run off its runner; return the destination.
 
-        `refused` names engines that had no room for its copy a moment ago.
+        `refused` names engines that recently had no capacity for its copy.
         """
 
     @abstractmethod
     def release_move_permit(self, attempt: str, source: RunnerId) -> None:
-        """Give the turn up."""
+        """Release the permit."""
 
 
 @dataclass
 class RelayContext:
-    """Shared by all requests of a process."""
+    """Objects shared by all requests of a process."""
 
     runners: RunnerTable
     balancer: PlainBalancer
@@ -77,22 +77,22 @@
     budget: RetryBudget
     pool: ConnectionPool
     send_bounds: SendBound
-    """What runners may get for now."""
+    """Limits on what may currently be sent to each runner."""
     backoffs: RunnerRests
     crash_guard: CrashGuard
     signals: RunnerSignals
     on_runner_failure: Callable[[], None] = lambda: None
-    """Told when a runner broke what it was sent."""
+    """Called when a runner failed a request that was sent to it."""
 
     def on_answer(
         self, task: "RelayTask", runner: RunnerId, answer: RunnerAnswer, sent_s: float
     ) -> None:
-        """Take what a runner says of itself beside its answer to a task sent at `sent_s`."""
+        """Record the signals in a runner's response to a task that was sent at `sent_s`."""
         if answer.attempt_id in ("", task.request.attempt_id):
             self.signals.on_answer(runner, answer, sent_s)
 
     def record_engine_result(self, runner: RunnerId, *, broke: bool) -> None:
-        """Count what an engine made of a run; the end of one that leaves tells nothing."""
+        """Count whether an engine broke a run; the end of a leaving engine does not count."""
         if broke and not self.runners.is_ready(runner):
             return
         self.balancer.recent.note(trio.current_time(), runner, broke=broke)
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True)
 class RelayTask:
-    """One request with all that was decided about it when its head was read."""
+    """One request with the routing decisions made when its head was read."""
 
     request: ClientRequest
     route: Route
@@ -110,33 +110,33 @@
     account: ClientAccount | None
     received_s: float
     deadline_s: float
-    """When its answer has to be final, on the runtime's clock."""
+    """Time by which the response has to be final, on trio's clock."""
     zones: frozenset[ZoneName] | None = None
-    """The availability zones whose runners alone may run it; None if all may."""
+    """Availability zones whose runners may run it; None if all may."""
 
     @cached_property
     def content_id(self) -> ContentId:
-        """What it has in common with other attempts at the same request."""
+        """Fingerprint of the request, equal for all attempts at the same request."""
         return self.request.content_id("" if self.account is None else self.account.name)
 
     def time_left_s(self) -> float:
-        """Give the time until the deadline."""
+        """Return the time until the deadline."""
         return self.deadline_s - trio.current_time()
 
     @property
     def rank(self) -> int:
-        """Its place among all that wait: the client account's rank goes before the route's."""
+        """Rank among all waiting requests: the client account's rank first, then the route's."""
         return self._account_rank() * RANKS + min(RANKS - 1, self.route.rank)
 
     @property
     def priority(self) -> int:
-        """The same for an engine, which knows few priorities."""
+        """The rank as an engine priority; engines have only a few."""
         return self._account_rank() * ENGINE_RANKS + min(ENGINE_RANKS - 1, self.route.rank)
 
     def _account_rank(self) -> int:
         return self.account.rank or 0 if self.account is not None else 0
 
     def send_terms(self, runner: Runner, **more: object) -> SendTerms:
-        """Give the terms of a send to a runner."""
+        """Return the terms of a send to a runner."""
         account = None if self.account is None else self.account.name
         return SendTerms(runner.incarnation.name, self.time_left_s(), account, **more)
--- a/egretstack/relay/_crash_guard.py
+++ b/egretstack/relay/_crash_guard.py
@@ -1,4 +1,4 @@
-"""Keeps requests under which runners end from further runners, as relays see it."""
+"""Interface that keeps requests which crash their runners from reaching further runners."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -10,17 +10,17 @@
 
 
 class CrashGuard(ABC):
-    """Knows which requests no runner may get, and learns how runs end."""
+    """Decides which requests are refused, from how their earlier runs ended."""
 
     @abstractmethod
     def is_refused(self, content: ContentId) -> bool:
-        """Tell whether no runner may get a request now."""
+        """Return whether a request may currently be sent to no runner."""
 
     @abstractmethod
     def notify_when_refused(
         self, content: ContentId, wake: Callable[[], None]
     ) -> AbstractContextManager[None]:
-        """Call `wake` if a request is refused while the context lasts."""
+        """Call `wake` if the request becomes refused while the context is active."""
 
     @abstractmethod
     def record_broken_run(
@@ -31,12 +31,13 @@
         sent_s: float,
         first_event_s: float | None = None,
     ) -> trio.Event:
-        """Take note that a run, sent at `sent_s`, broke off at a runner.
+        """Record that a run, sent at `sent_s`, broke off at a runner.
 
-        Whoever wants to send the request again waits for the event first. It is set at once unless
-        an earlier run has ended a runner; then once it is known whether this runner has ended too.
+        A caller that wants to retry the request waits for the returned event first. The event is
+        set immediately unless an earlier run of the request crashed its runner; in that case it is
+        set once it is known whether this runner has crashed too.
         """
 
     @abstractmethod
     def record_answered(self, content: ContentId) -> None:
-        """Take note that a runner ran a request to an end and lives."""
+        """Record that a runner finished a request without crashing."""
--- a/egretstack/relay/_cursor.py
+++ b/egretstack/relay/_cursor.py
@@ -1,27 +1,27 @@
-"""Which event of a stream the client has, and which one may come next."""
+"""Tracks the last event that a stream's client received."""
 
 from egretstack.relay._events import StreamEvent
 
 
 class EventGap(Exception):
-    """An event is missing; nothing after it may be passed on."""
+    """An event is missing, so no later event may be forwarded."""
 
 
 class EventCursor:
-    """Lets each event pass once and in order, over all the runners that a stream comes from.
+    """Accepts each event once and in order, across all the runners that a stream comes from.
 
-    A run that is continued may send its last event again, for one when it had already made all of
-    them; passed on, the client would read a piece twice. And a run that goes on beyond the event
-    that the client has would leave a piece out.
+    A continued run may repeat its last event, for example if it had already produced all of them;
+    forwarded, the client would receive that text twice. A run that continues after a later event
+    than the client's last one would leave text out.
     """
 
     def __init__(self) -> None:
         self.last_id = ""
         self._step: int | None = None
-        """Difference between the ids of two events in a row, once it is known."""
+        """Difference between the ids of consecutive events, once known."""
 
     def accept(self, events: list[StreamEvent]) -> list[StreamEvent]:
-        """Give the events that are new to the client. Raises EventGap."""
+        """Return the events that the client does not have yet. Raises EventGap."""
         return [event for event in events if self._is_next(event)]
 
     def _is_next(self, event: StreamEvent) -> bool:
--- a/egretstack/relay/_engine_calls.py
+++ b/egretstack/relay/_engine_calls.py
@@ -1,4 +1,4 @@
-"""Sends a stream's request to an engine, for the first time or to go on from a copy."""
+"""Sends a streaming request to an engine, to start a run or to continue one from a copy."""
 
 import trio
 
@@ -17,17 +17,18 @@
 from egretstack.traffic import ContinueFrom, RunnerAnswer
 
 RESUME_TIMEOUT_S = 1.0
-"""Time for the first sign of a continued run: what its copy lacks has to be read again."""
+"""Time for the response head of a continued run: the engine first processes the part of the context
+that its copy lacks."""
 
 
-async def ask_engine(
+async def send_to_engine(
     context: RelayContext,
     task: RelayTask,
     run: Run,
     connection: UpstreamConnection,
     origin: ContinueFrom | None = None,
 ) -> ResponseHead:
-    """Send the request to the run's engine and read the head of the answer.
+    """Send the request to the run's engine and read the response head.
 
     Raises UpstreamBroken.
     """
@@ -42,7 +43,7 @@
     return await connection.read_head()
 
 
-async def continue_at(
+async def continue_on(
     context: RelayContext,
     task: RelayTask,
     run: Run,
@@ -51,9 +52,9 @@
     *,
     is_reserved: bool,
 ) -> UpstreamConnection | None:
-    """Let a run go on at an engine that has its copy; None if it does not.
+    """Continue a run on an engine that has its copy; return None if the engine does not accept.
 
-    `is_reserved`: what bounds the engine's requests has counted this one already.
+    `is_reserved`: the engine's send bounds have counted this request already.
     """
     try:
         connection = await connect_upstream(runner.address, CONNECT_TIMEOUT_S)
@@ -69,7 +70,7 @@
     sent_s = trio.current_time()
     try:
         with trio.move_on_after(RESUME_TIMEOUT_S):
-            answer = runner_answer(await ask_engine(context, task, run, connection, origin))
+            answer = runner_answer(await send_to_engine(context, task, run, connection, origin))
     except UpstreamBroken as error:
         log(Event.UPSTREAM_BROKEN, request=task.request.attempt_id, error=str(error))
     except BaseException:
@@ -81,12 +82,12 @@
         context.crash_guard.record_broken_run(
             task.request.attempt_id, task.content_id, runner.id, sent_s
         )
-    if answer is None or not _goes_on(task, answer):
+    if answer is None or not _is_continued(task, answer):
         connection.close()
         return None
     return connection
 
 
-def _goes_on(task: RelayTask, answer: RunnerAnswer) -> bool:
-    own = answer.attempt_id == task.request.attempt_id
-    return own and answer.head.status == 200 and not answer.rejected
+def _is_continued(task: RelayTask, answer: RunnerAnswer) -> bool:
+    is_own = answer.attempt_id == task.request.attempt_id
+    return is_own and answer.head.status == 200 and not answer.rejected
--- a/egretstack/relay/_events.py
+++ b/egretstack/relay/_events.py
@@ -1,51 +1,52 @@
-"""Cuts a stream of server-sent events into whole events.
+"""Splits a stream of server-sent events into complete events.
 
-Only whole events go to the client: a runner that breaks off in the middle of one is followed by
-another that sends it from its start, and half an event before it would spoil it.
+Only complete events are forwarded to the client. If a runner breaks off in the middle of an event,
+the runner that continues the run sends that event from its start; a partial event before it would
+corrupt it.
 """
 
 import re
 from dataclasses import dataclass
 
-_END = re.compile(rb"\r?\n\r?\n|\r\r")
-_ID = re.compile(rb"(?:^|\n|\r)id: ?([^\r\n]*)")
+_EVENT_END = re.compile(rb"\r?\n\r?\n|\r\r")
+_EVENT_ID = re.compile(rb"(?:^|\n|\r)id: ?([^\r\n]*)")
 MAX_EVENT_BYTES = 1_048_576
 
 
 class EventTooLarge(Exception):
-    """An event does not end."""
+    """An event exceeds the size limit without ending."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One event with its blank line; `id` is empty if it has none."""
+    """One event including its terminating blank line; `id` is empty if the event has none."""
 
     data: bytes
     id: str
 
 
 class EventSplitter:
-    """Takes bytes as they arrive and gives whole events."""
+    """Incrementally splits received bytes into complete events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Give the events that are whole now. Raises EventTooLarge."""
+        """Return the events that are complete now. Raises EventTooLarge."""
         events = []
-        rest = self._rest + data
+        buffer = self._remainder + data
         start = 0
-        for end in _END.finditer(rest):
-            event = rest[start : end.end()]
+        for end in _EVENT_END.finditer(buffer):
+            event = buffer[start : end.end()]
             start = end.end()
-            found = _ID.search(event)
-            events.append(StreamEvent(event, found[1].decode("latin-1") if found else ""))
-        self._rest = rest[start:]
-        if len(self._rest) > MAX_EVENT_BYTES:
-            raise EventTooLarge(f"{len(self._rest)} bytes without an end")
+            match = _EVENT_ID.search(event)
+            events.append(StreamEvent(event, match[1].decode("latin-1") if match else ""))
+        self._remainder = buffer[start:]
+        if len(self._remainder) > MAX_EVENT_BYTES:
+            raise EventTooLarge(f"{len(self._remainder)} bytes without the end of an event")
         return events
 
     @property
     def remainder(self) -> bytes:
-        """Bytes after the last whole event."""
-        return self._rest
+        """Bytes after the last complete event."""
+        return self._remainder
--- a/egretstack/relay/_execution_status.py
+++ b/egretstack/relay/_execution_status.py
@@ -1,20 +1,20 @@
-"""What is known of whether a request ran, over all its sends, and the failure that may be told.
+"""Tracks whether a request may have run, over all its sends, and which failure may be reported.
 
-A client that hears "not run" sends the request again. Told so falsely, a booking is made twice; so
-only a request that never left, or that its runner rejected, is ever called not run.
+A client that is told "not run" sends the request again. If that is false, a booking is made twice;
+so a request is reported as not run only if it was never sent or if its runner rejected it.
 """
 
 from egretstack.errors import ANSWERS, ErrorKind, RunState
 
 NO_ELIGIBLE_RUNNER_RETRY_S = 2.0
-"""An operator takes an evacuation back after many seconds; a caller waits for no more than a third
-of the time it has."""
+"""An operator revokes an evacuation after many seconds; a caller waits for at most a third of the
+time it has left."""
 
-CRASHES_DETAIL = "each runner that ran it has ended"
+CRASHES_DETAIL = "every runner that ran the request crashed"
 
 
 class RequestFailed(Exception):
-    """The final answer of a request that got none from a runner."""
+    """The final failure of a request that no runner answered."""
 
     def __init__(self, kind: ErrorKind, detail: str, *, retry_after_s: float | None = None) -> None:
         super().__init__(f"{kind.value}: {detail}")
@@ -24,15 +24,15 @@
 
     @property
     def status(self) -> int:
-        """The HTTP status."""
+        """HTTP status of the response."""
         return ANSWERS[self.kind].status
 
 
 def no_eligible_runner() -> RequestFailed:
-    """Give the answer to a request that no runner may run now, where there are some.
+    """Return the failure of a request that none of the service's runners may run now.
 
-    An operator evacuated every zone that it may run in, or none of its regions has a runner.
-    Waiting until its deadline would tell its caller nothing more.
+    Either an operator evacuated every zone that it may run in, or none of its regions has a runner.
+    Waiting until the deadline would give the caller no more information.
     """
     return RequestFailed(
         ErrorKind.NO_RUNNER,
@@ -42,32 +42,32 @@
 
 
 def crashes_runners() -> RequestFailed:
-    """Give the answer to a request that has not run and that no runner gets.
+    """Return the failure of a request that has not run and is refused because it crashes runners.
 
-    It says no time to come back: the same request would meet the same answer.
+    It has no Retry-After: the same request would be refused again.
     """
     return RequestFailed(ErrorKind.CRASHES_RUNNERS, CRASHES_DETAIL)
 
 
 class ExecutionStatus:
-    """Whether a request may have run. Once it may have, no later send takes that back."""
+    """Whether a request may have run; once it may have, no later send changes that."""
 
     def __init__(self) -> None:
         self._may_have_run = False
 
     @property
     def may_have_run(self) -> bool:
-        """Whether some send left no proof that it did not run."""
+        """Whether some send has no proof that the request did not run."""
         return self._may_have_run
 
     def mark_unknown(self) -> None:
-        """Note a send whose end tells nothing."""
+        """Record a send with an unknown outcome: the request may have run."""
         self._may_have_run = True
 
     def failure(
         self, kind: ErrorKind, detail: str, *, retry_after_s: float | None = None
     ) -> RequestFailed:
-        """Give the failure of a kind, or the one that promises nothing if the kind would lie."""
+        """Return a failure of a kind, or OUTCOME_UNKNOWN if the kind would claim too much."""
         if self._may_have_run and ANSWERS[kind].run is not RunState.MAY_HAVE_RUN:
             return RequestFailed(ErrorKind.OUTCOME_UNKNOWN, detail)
         return RequestFailed(kind, detail, retry_after_s=retry_after_s)
--- a/egretstack/relay/_mover.py
+++ b/egretstack/relay/_mover.py
@@ -1,8 +1,8 @@
-"""Keeps a copy of one run's memory at another engine, and stops the run when its runner leaves.
+"""Keeps a copy of one run's KV cache on another engine, and stops the run when its runner leaves.
 
-A run whose backup copy is gone is copied anew while it goes on, and the copy is renewed, so that
-a runner that dies without notice does not take the run with it. When its runner leaves, what the
-copy lacks is sent after it and the run stops there, to go on at the copy.
+A run that has lost its backup copy is copied again while it continues, and the copy is renewed
+periodically, so that the run survives a runner that dies without notice. When its runner leaves,
+the part that the copy lacks is transferred and the run stops there, to continue from the copy.
 """
 
 from collections import deque
@@ -21,75 +21,80 @@
 from egretstack.traffic import MoveAnswer, MoveOutcome
 
 COPY_TIMEOUT_S = 4.0
-"""Time for one copy: some 0.2 s in a zone and twice that across, for a long prompt, behind others.
+"""Timeout of one copy. For a long prompt queued behind other copies it takes some 0.2 s within a
+zone and twice that across zones.
 
-A copy that is given up goes on all the same, and its memory stays taken for seconds."""
+A copy that times out still continues, and its memory stays in use for seconds."""
 STOP_TIMEOUT_S = 1.5
-"""Time for the last part of a copy, while the stream stands still."""
+"""Timeout of the last part of a copy, while the stream is paused."""
 FREE_TIMEOUT_S = 0.3
-MOST_ANSWER_BYTES = 65_536
+MAX_RESPONSE_BYTES = 65_536
 RENEW_SHARE = 0.6
-"""Part of a copy's life after which it is renewed."""
-LOOK_S = 0.05
-WAITED_TIMES = 1.3
-WAITED_LEAST_S = 0.05
-"""A copy that takes longer than so many times its own time, and so much more, has waited for others
-on the links."""
-MOST_CATCH_UPS = 3
+"""Share of a copy's time to live after which it is renewed."""
+POLL_INTERVAL_S = 0.05
+QUEUED_FACTOR = 1.3
+QUEUED_MARGIN_S = 0.05
+"""A copy that takes longer than its expected time multiplied by the factor, plus the margin, was
+queued behind other copies on the links."""
+MAX_CATCH_UPS = 3
 HURRY_AFTER_S = 1.2
-"""Time after a notice from which the last part is not put off: engines are gone after some 1.5 s,
-and a late stream is better than a lost one."""
-MOST_REFUSED = 3
-"""Engines that are passed over after they had no room; one that has some again is tried anew once
-others have refused."""
+"""Time since the leave notice after which the last part is not delayed any more: engines end after
+some 1.5 s, and a late stream is better than a lost one."""
+MAX_REFUSED = 3
+"""Number of engines that are skipped because they had no capacity. An engine that has capacity
+again is tried once others have refused."""
 RETRY_S = 0.2
-"""Pause after a copy that failed, for the engines' loads to become known."""
+"""Pause after a failed copy, until updated loads of the engines arrive."""
 
 
 @dataclass(frozen=True, slots=True)
 class SavedCopy:
-    """Where a run can go on."""
+    """A copy from which a run can continue."""
 
     runner: RunnerId
     origin_address: str
-    """The engine that the copy is named by."""
+    """Address of the engine in whose name the copy is stored."""
     copy_id: str
     is_reserved: bool = False
-    """Whether the run's part of what its runner takes is set aside already."""
+    """Whether the runner's send bounds have counted the continued run already."""
 
 
 class Mover:
-    """Copies one run off one runner; works beside the run's stream until cancelled."""
+    """Copies one run off one runner; runs concurrently with the run's stream until cancelled."""
 
     def __init__(
-        self, context: RelayContext, task: RelayTask, run: Run, saved: Callable[[SavedCopy], None]
+        self,
+        context: RelayContext,
+        task: RelayTask,
+        run: Run,
+        on_saved: Callable[[SavedCopy], None],
     ) -> None:
         self._context = context
         self._task = task
         self._run = run
-        self._saved = saved
-        self._copy_at: Runner | None = None
+        self._on_saved = on_saved
+        self._copy_holder: Runner | None = None
         self._handle = ""
         self._stopping = False
         self._copied_tokens = 0
-        self._copy_waited = False
-        """Whether the latest copy waited for the links of its engines."""
+        self._copy_was_queued = False
+        """Whether the latest copy was queued behind others on the links of its engines."""
         self._leaving_since_s: float | None = None
-        self._refused: deque[RunnerId] = deque(maxlen=MOST_REFUSED)
-        """Engines that had no room for the copy, the latest ones."""
-        self._over = trio.Event()
+        self._refused: deque[RunnerId] = deque(maxlen=MAX_REFUSED)
+        """The latest engines that had no capacity for the copy."""
+        self._finished = trio.Event()
         self.scope = trio.CancelScope()
 
     @property
     def is_stopping(self) -> bool:
-        """Whether the last part of the copy is under way, for which the run has stopped."""
+        """Whether the last part of the copy is being transferred, for which the run has stopped."""
         return self._stopping
 
     async def wait_if_stopping(self) -> None:
-        """Wait for the last part of the copy, if it is under way."""
+        """Wait for the last part of the copy, if it is being transferred."""
         if self._stopping:
             with trio.move_on_after(STOP_TIMEOUT_S):
-                await self._over.wait()
+                await self._finished.wait()
 
     async def run(self) -> None:
         """Copy, renew the copy, and stop the run once its runner leaves."""
@@ -101,11 +106,11 @@
                 while not await self._keep_copied(source):
                     await trio.sleep(RETRY_S)
             finally:
-                self._over.set()
-                self._done(source)
+                self._finished.set()
+                self._release_permit(source)
 
     async def free(self) -> None:
-        """Free the copy, which nobody will continue."""
+        """Free the copy, from which no run will continue."""
         source = self._context.runners.by_id.get(self._run.runner)
         if source is None or not self._handle:
             return
@@ -113,10 +118,10 @@
         try:
             connection = await connect_upstream(source.address, FREE_TIMEOUT_S)
         except ConnectFailed:
-            return  # Copies that nobody frees end by themselves after a few seconds.
+            return  # Copies that are not freed expire after a few seconds.
         try:
             with trio.move_on_after(FREE_TIMEOUT_S):
-                await exchange(connection, head, b"", MOST_ANSWER_BYTES)
+                await exchange(connection, head, b"", MAX_RESPONSE_BYTES)
         except UpstreamBroken as error:
             log(Event.UPSTREAM_BROKEN, request=self._attempt, error=repr(error))
         finally:
@@ -127,51 +132,52 @@
         return self._task.request.attempt_id
 
     async def _keep_copied(self, source: Runner) -> bool:
-        """Copy and renew until the run has stopped here; False if the copy was lost."""
+        """Copy and renew until the run has stopped here; return False if the copy was lost."""
         engine = self._task.service.engine
-        destination = await self._turn()
-        if not await self._copied(source, destination):
-            self._done(source)
+        destination = await self._acquire_permit()
+        if not await self._copy(source, destination):
+            self._release_permit(source)
             return False
         while not self._is_leaving(source):
-            self._done(source)
+            self._release_permit(source)
             if not await self._wait(source, destination, engine.copy_life_s * RENEW_SHARE):
                 return False
             if self._is_leaving(source):
-                await self._turn()
-            elif not await self._copied(source, destination):
+                await self._acquire_permit()
+            elif not await self._copy(source, destination):
                 return False
-        if not await self._catch_up(source, destination) or not self._may_go_on_at(destination):
-            self._done(source)
+        if not await self._catch_up(source, destination) or not self._may_continue_on(destination):
+            self._release_permit(source)
             return False
         return await self._stop(source, destination)
 
     async def _catch_up(self, source: Runner, destination: Runner) -> bool:
-        """Copy what is new until that does not wait for the links; False if the copy was lost.
+        """Copy new tokens until a copy is not queued on the links; return False if it was lost.
 
-        The stream stands still during the last part alone, which waits like any other for the links
-        of both engines: behind a copy of another run it takes longer than a reader's longest pause.
-        What is copied while the stream goes on waits there in its place. Where the copy before did
-        not wait there is none of it: the runs behind this one need the time.
+        Only the last part of the copy pauses the stream. Like any copy it queues for the links of
+        both engines, and behind a copy of another run it would take longer than the longest gap
+        that a reader accepts. A catch-up copy waits in the queue instead, while the stream goes on.
+        If the previous copy was not queued there is no catch-up: the runs that wait for the permit
+        need the time.
         """
-        for _ in range(MOST_CATCH_UPS):
-            if not self._copy_waited or self._has_to_hurry(source):
+        for _ in range(MAX_CATCH_UPS):
+            if not self._copy_was_queued or self._has_to_hurry(source):
                 return True
-            if not await self._copied(source, destination):
+            if not await self._copy(source, destination):
                 return False
         return True
 
-    def _may_go_on_at(self, destination: Runner) -> bool:
+    def _may_continue_on(self, destination: Runner) -> bool:
         now_s = trio.current_time()
         return self._context.send_bounds.allows(now_s, destination, SendPart.CONTINUED)
 
     def _has_to_hurry(self, source: Runner) -> bool:
         if self._context.runners.is_evacuated(source.id):
-            return False  # It works on for as long as the run needs to get off it.
+            return False  # An evacuated runner keeps running until the run has moved off it.
         since_s = self._leaving_since_s
         return since_s is not None and trio.current_time() - since_s > HURRY_AFTER_S
 
-    async def _turn(self) -> Runner:
+    async def _acquire_permit(self) -> Runner:
         while True:
             refused = {*self._refused, *self._context.backoffs.resting(trio.current_time())}
             destination_id = await self._context.placing.acquire_move_permit(self._run, refused)
@@ -182,14 +188,14 @@
             self._context.placing.release_move_permit(self._attempt, self._run.runner)
             await trio.sleep(RETRY_S)
 
-    async def _wait(self, source: Runner, destination: Runner, longest_s: float) -> bool:
-        """Wait until the copy has to be renewed or stopped; False if its engine is gone."""
-        until_s = trio.current_time() + longest_s
+    async def _wait(self, source: Runner, destination: Runner, max_wait_s: float) -> bool:
+        """Wait until the copy must be renewed or the run stopped; False if its engine has ended."""
+        until_s = trio.current_time() + max_wait_s
         while trio.current_time() < until_s and not self._is_leaving(source):
             if not self._context.runners.is_ready(destination.id):
                 self._handle = ""
                 return False
-            await trio.sleep(LOOK_S)
+            await trio.sleep(POLL_INTERVAL_S)
         return True
 
     def _is_leaving(self, source: Runner) -> bool:
@@ -199,17 +205,17 @@
             self._leaving_since_s = trio.current_time() if stopped_s is None else stopped_s
         return leaving
 
-    def _done(self, source: Runner) -> None:
+    def _release_permit(self, source: Runner) -> None:
         self._context.placing.release_move_permit(self._attempt, source.id)
 
-    async def _copied(self, source: Runner, destination: Runner) -> bool:
-        began_s = trio.current_time()
-        # Told with the next report: the memory is taken from the first call on, and work placed
-        # there meanwhile would be preempted.
+    async def _copy(self, source: Runner, destination: Runner) -> bool:
+        started_s = trio.current_time()
+        # Sent with the next report: the destination's memory is in use from the first call on, and
+        # requests placed there meanwhile would be preempted.
         self._run.backup = destination.id
         tokens = self._run.work.prompt_tokens + self._run.made_tokens - self._copied_tokens
-        answer = await self._order(source, destination, stop=False)
-        self._told(source, destination, answer, began_s, stop=False)
+        answer = await self._order_move(source, destination, stop=False)
+        self._log_move(source, destination, answer, started_s, stop=False)
         if answer.outcome is not MoveOutcome.COPIED or not answer.handle:
             self._handle, self._run.backup = "", None
             self._copied_tokens = 0
@@ -217,34 +223,41 @@
                 self._refused.append(destination.id)
             return False
         near = source.zone == destination.zone
-        own_s = copy_time_s(self._task.service.engine, tokens, near=near)
-        took_s = trio.current_time() - began_s
-        self._copy_waited = took_s > WAITED_TIMES * own_s + WAITED_LEAST_S
+        expected_s = copy_time_s(self._task.service.engine, tokens, near=near)
+        took_s = trio.current_time() - started_s
+        self._copy_was_queued = took_s > QUEUED_FACTOR * expected_s + QUEUED_MARGIN_S
         self._copied_tokens += tokens
         self._keep(source, destination, answer.handle)
         return True
 
     async def _stop(self, source: Runner, destination: Runner) -> bool:
         self._stopping = True
-        # Runs that stop side by side would all count on the same part of what the engine takes.
+        # Reserved now: otherwise runs that stop concurrently would all count on the same capacity.
         self._context.send_bounds.sent(trio.current_time(), destination.id, SendPart.CONTINUED)
-        began_s = trio.current_time()
-        answer = await self._order(source, destination, stop=True)
-        self._told(source, destination, answer, began_s, stop=True)
+        started_s = trio.current_time()
+        answer = await self._order_move(source, destination, stop=True)
+        self._log_move(source, destination, answer, started_s, stop=True)
         if answer.handle:
-            # Without room for the last part the source keeps the memory, and the run goes on there.
-            where = destination if answer.outcome is MoveOutcome.COPIED else source
-            self._keep(source, where, answer.handle, is_reserved=where is destination)
+            # If there was no capacity for the last part, the source keeps the run's memory and the
+            # run continues there.
+            holder = destination if answer.outcome is MoveOutcome.COPIED else source
+            self._keep(source, holder, answer.handle, is_reserved=holder is destination)
         return True
 
     def _keep(
-        self, source: Runner, where: Runner, handle: str, *, is_reserved: bool = False
+        self, source: Runner, holder: Runner, handle: str, *, is_reserved: bool = False
     ) -> None:
         self._handle = handle
-        self._saved(SavedCopy(where.id, source.address, handle, is_reserved))
+        self._on_saved(SavedCopy(holder.id, source.address, handle, is_reserved))
 
-    def _told(
-        self, source: Runner, destination: Runner, answer: MoveAnswer, began_s: float, *, stop: bool
+    def _log_move(
+        self,
+        source: Runner,
+        destination: Runner,
+        answer: MoveAnswer,
+        started_s: float,
+        *,
+        stop: bool,
     ) -> None:
         log(
             Event.MOVE_ENDED,
@@ -253,10 +266,10 @@
             destination=destination.id,
             stop=stop,
             outcome=answer.outcome.value,
-            took_ms=round((trio.current_time() - began_s) * 1000),
+            took_ms=round((trio.current_time() - started_s) * 1000),
         )
 
-    async def _order(self, source: Runner, destination: Runner, *, stop: bool) -> MoveAnswer:
+    async def _order_move(self, source: Runner, destination: Runner, *, stop: bool) -> MoveAnswer:
         head, body = move_request(source.address, self._attempt, destination.address, stop=stop)
         try:
             connection = await connect_upstream(source.address, CONNECT_TIMEOUT_S)
@@ -264,7 +277,7 @@
             return MoveAnswer(MoveOutcome.FAILED, "", 0)
         try:
             with trio.fail_after(STOP_TIMEOUT_S if stop else COPY_TIMEOUT_S):
-                answer, data = await exchange(connection, head, body, MOST_ANSWER_BYTES)
+                answer, data = await exchange(connection, head, body, MAX_RESPONSE_BYTES)
             return move_answer(answer.status, data)
         except (UpstreamBroken, trio.TooSlowError, BadBody) as error:
             log(Event.UPSTREAM_BROKEN, request=self._attempt, error=repr(error))
--- a/egretstack/relay/_plain.py
+++ b/egretstack/relay/_plain.py
@@ -1,7 +1,7 @@
-"""Relays a request whose answer is read whole before the first byte goes to the client.
+"""Relays requests whose response is buffered completely before its first byte goes to the client.
 
-An answer that turns out spoilt has then not been seen by anyone, and can be asked for again or
-truthfully failed.
+A response that turns out to be invalid has not been seen by the client, so the request can be
+retried or reported as failed.
 """
 
 from dataclasses import dataclass, field
@@ -28,24 +28,24 @@
 from egretstack.routing import RouteKind
 from egretstack.traffic import RunnerAnswer
 
-MAX_ANSWER_BYTES = 16_777_216
-FIRST_TRY_SHARE = 0.45
-"""Part of the time left that a send may take when the request can be sent once more.
+MAX_RESPONSE_BYTES = 16_777_216
+RETRYABLE_SEND_SHARE = 0.45
+"""Share of the remaining time that a send may take if the request can be retried.
 
-A runner that hangs would otherwise use up all the time that a second one needs.
+Without it, a runner that hangs would use up the time that a second one needs.
 """
-LEAST_SEND_S = 0.02
-"""Less time than this is not worth a send: no runner answers sooner."""
-MAX_CONNECT_TRIES = 3
+MIN_SEND_S = 0.02
+"""With less time than this a request is not sent: no runner answers faster."""
+MAX_CONNECT_ATTEMPTS = 3
 NO_RUNNER_RETRY_S = 0.5
 REJECTED_RETRY_S = 0.2
-MOST_RETRY_S = 10.0
-"""Longest time that a caller is told to wait for runners which take no more requests now."""
+MAX_RETRY_AFTER_S = 10.0
+"""Longest Retry-After for callers that wait for runners at their request limit."""
 
 
 @dataclass(frozen=True)
 class BufferedResponse:
-    """A runner's answer, read whole and found sound."""
+    """A runner's complete and valid response."""
 
     head: ResponseHead
     body: bytes
@@ -54,7 +54,7 @@
 class _Result(Enum):
     ANSWERED = "answered"
     FAILED = "failed"
-    """The runner ran it and answered with a failure of its own."""
+    """The runner ran the request and responded with an error of its own."""
     NOT_SENT = "not-sent"
     REJECTED = "rejected"
     UNKNOWN = "unknown"
@@ -62,28 +62,28 @@
 
 @dataclass
 class _Progress:
-    knowledge: ExecutionStatus = field(default_factory=ExecutionStatus)
+    execution: ExecutionStatus = field(default_factory=ExecutionStatus)
     sends: int = 0
-    connect_tries: int = 0
+    connect_attempts: int = 0
     excluded: set[RunnerId] = field(default_factory=set)
     failure: BufferedResponse | None = None
-    """A runner's own failure, passed on if nothing better comes."""
+    """A runner's own error response, forwarded if no other send succeeds."""
 
 
 class PlainRelay:
-    """Sends one request, more than once only where that is allowed."""
+    """Sends one request and retries it only where that is allowed."""
 
     def __init__(self, context: RelayContext) -> None:
         self._context = context
 
     async def serve(self, task: RelayTask) -> BufferedResponse:
-        """Give a runner's answer. Raises RequestFailed."""
+        """Return a runner's response. Raises RequestFailed."""
         progress = _Progress()
         while True:
             if self._context.crash_guard.is_refused(task.content_id):
                 return self._refuse(progress)
             runner = self._choose(task, progress)
-            if runner is None or task.time_left_s() < LEAST_SEND_S:
+            if runner is None or task.time_left_s() < MIN_SEND_S:
                 return self._give_up(task, progress, "no runner to send to")
             result, answer = await self._send(task, runner, progress)
             log(
@@ -103,7 +103,7 @@
 
     def _choose(self, task: RelayTask, progress: _Progress) -> Runner | None:
         now_s = trio.current_time()
-        fresh = [
+        candidates = [
             runner
             for runner in self._usable(task)
             if runner.id not in progress.excluded
@@ -111,25 +111,27 @@
         ]
         return self._context.balancer.choose(
             now_s,
-            fresh,
+            candidates,
             self._context.runners.suspects,
             repeatable=task.route.kind is RouteKind.IDEMPOTENT,
         )
 
     def _usable(self, task: RelayTask) -> list[Runner]:
-        """Give the runners that may run a task, whatever else they have to do."""
+        """Return the runners that may run a task, whatever their load."""
         ready = self._context.runners.ready(task.service.name)
-        return [one for one in ready if task.zones is None or one.zone in task.zones]
+        return [runner for runner in ready if task.zones is None or runner.zone in task.zones]
 
-    def _free_after_s(self, task: RelayTask) -> float:
-        """Give when some runner may get one more request; 0 if now, or if there is none."""
+    def _time_until_allowed_s(self, task: RelayTask) -> float:
+        """Return the time until a runner may get one more request; 0 if now or if there is none."""
         now_s, bounds = trio.current_time(), self._context.send_bounds
-        times = (bounds.free_after_s(now_s, one, SendPart.PLAIN) for one in self._usable(task))
-        return min(MOST_RETRY_S, min(times, default=0.0))
+        times = (
+            bounds.free_after_s(now_s, runner, SendPart.PLAIN) for runner in self._usable(task)
+        )
+        return min(MAX_RETRY_AFTER_S, min(times, default=0.0))
 
     def _may_send_again(self, task: RelayTask, progress: _Progress, result: _Result) -> bool:
         if result is _Result.NOT_SENT:
-            return progress.connect_tries < MAX_CONNECT_TRIES
+            return progress.connect_attempts < MAX_CONNECT_ATTEMPTS
         if progress.sends >= task.route.max_sends:
             return False
         if result is not _Result.REJECTED and task.route.kind is not RouteKind.IDEMPOTENT:
@@ -140,20 +142,20 @@
     def _refuse(progress: _Progress) -> BufferedResponse:
         if progress.failure is not None:
             return progress.failure
-        raise progress.knowledge.failure(ErrorKind.CRASHES_RUNNERS, CRASHES_DETAIL)
+        raise progress.execution.failure(ErrorKind.CRASHES_RUNNERS, CRASHES_DETAIL)
 
     def _give_up(self, task: RelayTask, progress: _Progress, detail: str) -> BufferedResponse:
         if progress.failure is not None:
             return progress.failure
-        if task.time_left_s() < LEAST_SEND_S and progress.knowledge.may_have_run:
+        if task.time_left_s() < MIN_SEND_S and progress.execution.may_have_run:
             raise RequestFailed(ErrorKind.OUT_OF_TIME, detail)
-        free_s = self._free_after_s(task)
+        retry_after_s = self._time_until_allowed_s(task)
         if progress.sends:
-            raise progress.knowledge.failure(
-                ErrorKind.ENGINES_FULL, detail, retry_after_s=max(REJECTED_RETRY_S, free_s)
+            raise progress.execution.failure(
+                ErrorKind.ENGINES_FULL, detail, retry_after_s=max(REJECTED_RETRY_S, retry_after_s)
             )
-        if free_s:
-            raise RequestFailed(ErrorKind.RUNNERS_LIMITED, detail, retry_after_s=free_s)
+        if retry_after_s:
+            raise RequestFailed(ErrorKind.RUNNERS_LIMITED, detail, retry_after_s=retry_after_s)
         raise RequestFailed(ErrorKind.NO_RUNNER, detail, retry_after_s=NO_RUNNER_RETRY_S)
 
     async def _send(
@@ -163,7 +165,7 @@
             connection = await self._connect(task, runner)
         except ConnectFailed as error:
             log(Event.CONNECT_FAILED, request=task.request.attempt_id, error=str(error))
-            progress.connect_tries += 1
+            progress.connect_attempts += 1
             self._context.balancer.unreachable(trio.current_time(), runner.id)
             self._context.on_runner_failure()
             return _Result.NOT_SENT, None
@@ -178,86 +180,90 @@
             self._context.budget.record_retry(trio.current_time(), task.service.name)
         self._context.balancer.sent(runner.id)
         self._context.send_bounds.sent(trio.current_time(), runner.id, SendPart.PLAIN)
-        began_s = trio.current_time()
+        sent_s = trio.current_time()
         try:
             return await self._exchange(task, runner, connection, progress)
         except BaseException:
-            # The client left or the process ends; closing tells the runner to stop.
+            # The client disconnected or the process is ending; closing stops the runner's work.
             connection.close()
             self._ended(runner, failed=False)
             if not self._context.runners.is_ready(runner.id):
-                self._note_broken(task, runner, began_s)
+                self._record_broken(task, runner, sent_s)
             raise
 
     async def _connect(self, task: RelayTask, runner: Runner) -> UpstreamConnection:
-        timeout_s = min(CONNECT_TIMEOUT_S, max(LEAST_SEND_S, task.time_left_s()))
+        timeout_s = min(CONNECT_TIMEOUT_S, max(MIN_SEND_S, task.time_left_s()))
         if task.route.kind is RouteKind.IDEMPOTENT:
             return await self._context.pool.acquire(runner.address, timeout_s)
-        # A kept connection may be dead without a sign. What was sent on it may have run, and such
-        # a request could then neither be sent again nor be called not run.
+        # A pooled connection may be dead without any sign. A request sent on it may have run, and
+        # one that is not idempotent could then neither be retried nor be reported as not run.
         return await connect_upstream(runner.address, timeout_s)
 
     async def _exchange(
         self, task: RelayTask, runner: Runner, connection: UpstreamConnection, progress: _Progress
     ) -> tuple[_Result, BufferedResponse | None]:
-        began_s = trio.current_time()
+        sent_s = trio.current_time()
         head = runner_request(task.request, task.send_terms(runner))
         try:
-            with trio.fail_after(self._send_time_s(task, progress)):
-                answer, body = await exchange(connection, head, task.request.body, MAX_ANSWER_BYTES)
+            with trio.fail_after(self._send_timeout_s(task, progress)):
+                answer, body = await exchange(
+                    connection, head, task.request.body, MAX_RESPONSE_BYTES
+                )
         except (UpstreamBroken, trio.TooSlowError) as error:
             connection.close()
-            progress.knowledge.mark_unknown()
-            self._broke(runner)
+            progress.execution.mark_unknown()
+            self._record_failure(runner)
             self._ended(runner, failed=True)
-            await self._note_broken(task, runner, began_s).wait()
+            await self._record_broken(task, runner, sent_s).wait()
             log(Event.UPSTREAM_BROKEN, request=task.request.attempt_id, error=repr(error))
             return _Result.UNKNOWN, None
         self._context.balancer.recent.note(trio.current_time(), runner.id, broke=False)
-        judged = runner_answer(answer)
-        self._context.on_answer(task, runner.id, judged, began_s)
-        result = _judge(task, judged)
+        runner_response = runner_answer(answer)
+        self._context.on_answer(task, runner.id, runner_response, sent_s)
+        result = _classify(task, runner_response)
         if result is _Result.UNKNOWN:
             connection.close()
-            progress.knowledge.mark_unknown()
+            progress.execution.mark_unknown()
             log(
                 Event.ANSWER_SPOILT,
                 request=task.request.attempt_id,
                 runner=runner.id,
                 status=answer.status,
-                answered=judged.attempt_id,
-                sealed=judged.sealed,
+                answered=runner_response.attempt_id,
+                sealed=runner_response.sealed,
             )
         else:
             self._context.pool.release(connection)
         if result is _Result.FAILED:
-            progress.knowledge.mark_unknown()
+            progress.execution.mark_unknown()
         if result in (_Result.ANSWERED, _Result.FAILED):
             self._context.crash_guard.record_answered(task.content_id)
-        if judged.rest_s is not None:
+        if runner_response.rest_s is not None:
             self._context.balancer.turned_away(runner.id)
-            return result, BufferedResponse(client_head(judged), body)
+            return result, BufferedResponse(client_head(runner_response), body)
         self._context.balancer.ended(
             trio.current_time(),
             runner.id,
             failed=result is not _Result.ANSWERED,
-            latency_s=trio.current_time() - began_s if result is _Result.ANSWERED else None,
-            load=judged.load,
+            latency_s=trio.current_time() - sent_s if result is _Result.ANSWERED else None,
+            load=runner_response.load,
         )
-        return result, BufferedResponse(client_head(judged), body)
+        return result, BufferedResponse(client_head(runner_response), body)
 
-    def _send_time_s(self, task: RelayTask, progress: _Progress) -> float:
-        left_s = max(LEAST_SEND_S, task.time_left_s())
-        again = task.route.kind is RouteKind.IDEMPOTENT and progress.sends < task.route.max_sends
-        return left_s * FIRST_TRY_SHARE if again else left_s
+    def _send_timeout_s(self, task: RelayTask, progress: _Progress) -> float:
+        left_s = max(MIN_SEND_S, task.time_left_s())
+        can_retry = (
+            task.route.kind is RouteKind.IDEMPOTENT and progress.sends < task.route.max_sends
+        )
+        return left_s * RETRYABLE_SEND_SHARE if can_retry else left_s
 
-    def _note_broken(self, task: RelayTask, runner: Runner, sent_s: float) -> trio.Event:
+    def _record_broken(self, task: RelayTask, runner: Runner, sent_s: float) -> trio.Event:
         attempt = task.request.attempt_id
         return self._context.crash_guard.record_broken_run(
             attempt, task.content_id, runner.id, sent_s
         )
 
-    def _broke(self, runner: Runner) -> None:
+    def _record_failure(self, runner: Runner) -> None:
         self._context.balancer.recent.note(trio.current_time(), runner.id, broke=True)
         self._context.on_runner_failure()
 
@@ -265,22 +271,23 @@
         self._context.balancer.ended(trio.current_time(), runner.id, failed=failed)
 
 
-def _judge(task: RelayTask, answer: RunnerAnswer) -> _Result:
-    """Tell what an answer is worth; what is not surely this request's own answer is nothing."""
+def _classify(task: RelayTask, answer: RunnerAnswer) -> _Result:
+    """Classify a response; one that is not certainly the response to this request is UNKNOWN."""
     if answer.attempt_id != task.request.attempt_id and not answer.rejected:
         return _Result.UNKNOWN
     if answer.attempt_id and answer.attempt_id != task.request.attempt_id:
         return _Result.UNKNOWN
     if answer.rejected:
         return _Result.REJECTED
-    if not answer.sealed or answer.encoded or promises_not_run(answer.head.status):
+    if not answer.sealed or answer.encoded or implies_not_run(answer.head.status):
         return _Result.UNKNOWN
     return _Result.FAILED if answer.head.status >= 500 else _Result.ANSWERED
 
 
-def promises_not_run(status: int) -> bool:
-    """Tell whether clients take a status for a promise that the request did not run.
+def implies_not_run(status: int) -> bool:
+    """Return whether clients take a status to mean that the request did not run.
 
-    A runner that sends one without saying so has not made that promise; passed on, it would.
+    A runner that sends such a status without marking the request as not executed has not promised
+    that; forwarded to the client, the status would.
     """
     return status in (408, 421, 429, 503)
--- a/egretstack/relay/_runner_signals.py
+++ b/egretstack/relay/_runner_signals.py
@@ -1,4 +1,4 @@
-"""Takes what runners say of themselves beside their answers, as relays hear it."""
+"""Interface for the signals that runners send in response headers: leaving, backoff and limit."""
 
 from abc import ABC, abstractmethod
 
@@ -7,8 +7,8 @@
 
 
 class RunnerSignals(ABC):
-    """Learns from answers what runners take."""
+    """Records the signals of runners."""
 
     @abstractmethod
     def on_answer(self, runner: RunnerId, answer: RunnerAnswer, sent_s: float) -> None:
-        """Take what a runner says beside its answer to a request that was sent at `sent_s`."""
+        """Record the signals in a runner's response to a request that was sent at `sent_s`."""
--- a/egretstack/relay/_pace.py
+++ b/egretstack/relay/_timing.py
@@ -1,25 +1,25 @@
-"""How a stream went by the clock."""
+"""Times of one stream."""
 
 import trio
 
 
-class StreamPace:
-    """Times of one stream, on the runtime's clock."""
+class StreamTiming:
+    """Records when a stream's request was sent and its events were forwarded, on trio's clock."""
 
-    def __init__(self, began_s: float) -> None:
+    def __init__(self, received_s: float) -> None:
         self.events = 0
         self.longest_gap_s = 0.0
-        self._began_s = began_s
-        self._sent_s = began_s
-        self._first_s = began_s
-        self._last_s = began_s
+        self._received_s = received_s
+        self._sent_s = received_s
+        self._first_s = received_s
+        self._last_s = received_s
 
-    def sent(self) -> None:
-        """Note that the request went out."""
+    def record_send(self) -> None:
+        """Record that the request was sent."""
         self._sent_s = trio.current_time()
 
-    def passed(self, events: int) -> bool:
-        """Note events that are passed on; tell whether the first is among them."""
+    def record_events(self, events: int) -> bool:
+        """Record forwarded events; return whether the first one is among them."""
         now_s = trio.current_time()
         first = not self.events
         if first:
@@ -33,7 +33,7 @@
     @property
     def first_s(self) -> float:
         """Time from the request to the first event."""
-        return self._first_s - self._began_s
+        return self._first_s - self._received_s
 
     @property
     def read_s(self) -> float:
