--- a/egretstack/http1/__init__.py
+++ b/egretstack/http1/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on trio streams with h11: the bytes, each close and each reuse are ours to decide."""
+"""HTTP/1.1 on trio streams with h11, with explicit control over bytes, closes and reuse."""
 
 from egretstack.http1._body_memory import BodyMemory, BodyMemoryFull
 from egretstack.http1._client import (
--- a/egretstack/http1/_messages.py
+++ b/egretstack/http1/_messages.py
@@ -1,4 +1,4 @@
-"""Heads of requests and responses, as both sides of a relay see them."""
+"""Heads of requests and responses, shared by the client and the server side."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class RequestHead:
-    """Everything of a request before its body."""
+    """Request line and headers of a request."""
 
     method: bytes
     target: bytes
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class ResponseHead:
-    """Everything of a response before its body."""
+    """Status line and headers of a response."""
 
     status: int
     reason: bytes
@@ -28,17 +28,17 @@
 
 
 def first_value(headers: Iterable[Header], name: bytes) -> bytes | None:
-    """Give the first value of a header; `name` is in lower case."""
-    for one, value in headers:
-        if one == name:
+    """Return the first value of a header; `name` is in lower case."""
+    for header_name, value in headers:
+        if header_name == name:
             return value
     return None
 
 
 def hop_by_hop_headers(headers: Headers) -> frozenset[bytes]:
-    """Give the names of the headers that concern one connection only."""
-    told = first_value(headers, b"connection") or b""
-    return _HOP_BY_HOP | {one.strip().lower() for one in told.split(b",")}
+    """Return the names of the hop-by-hop headers, including those named in `Connection`."""
+    listed = first_value(headers, b"connection") or b""
+    return _HOP_BY_HOP | {name.strip().lower() for name in listed.split(b",")}
 
 
 _HOP_BY_HOP = frozenset(
--- a/egretstack/http1/_pool.py
+++ b/egretstack/http1/_pool.py
@@ -1,34 +1,34 @@
-"""Idle connections to upstreams, kept for requests that may be repeated."""
+"""Pool of idle connections to upstreams, for requests that may be retried."""
 
 import trio
 
 from egretstack.http1._client import UpstreamConnection, connect_upstream
 
-MOST_IDLE_S = 2.0
-"""Longest idle time after which a kept connection is used again, when the upstream names none."""
-MAX_IDLE = 4
+MAX_IDLE_S = 2.0
+"""Longest idle time after which a connection is reused if the upstream sends no `Keep-Alive`."""
+MAX_IDLE_PER_ADDRESS = 4
 """Idle connections kept for one address."""
 
 
 class ConnectionPool:
-    """Hands out kept connections by address, the most recently used first."""
+    """Provides connections by address, the most recently used idle one first."""
 
-    def __init__(self, max_idle: int = MAX_IDLE) -> None:
+    def __init__(self, max_idle: int = MAX_IDLE_PER_ADDRESS) -> None:
         self._max_idle = max_idle
         self._idle_by_address: dict[str, list[UpstreamConnection]] = {}
 
     async def acquire(self, address: str, connect_timeout_s: float) -> UpstreamConnection:
-        """Give a kept connection that looks whole, or a new one. Raises ConnectFailed."""
+        """Return an idle connection that is still open, or a new one. Raises ConnectFailed."""
         idle = self._idle_by_address.get(address, [])
         while idle:
-            kept = idle.pop()
-            if kept.is_fresh(trio.current_time(), MOST_IDLE_S):
-                return kept
-            kept.close()
+            connection = idle.pop()
+            if connection.is_fresh(trio.current_time(), MAX_IDLE_S):
+                return connection
+            connection.close()
         return await connect_upstream(address, connect_timeout_s)
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Keep a connection whose answer was read whole, or close it."""
+        """Keep a connection if its response was read completely, else close it."""
         if not connection.is_reusable():
             connection.close()
             return
@@ -39,11 +39,11 @@
             idle.pop(0).close()
 
     def close_idle(self, address: str) -> None:
-        """Close what is kept for an address."""
-        for kept in self._idle_by_address.pop(address, ()):
-            kept.close()
+        """Close the idle connections to an address."""
+        for connection in self._idle_by_address.pop(address, ()):
+            connection.close()
 
     def close(self) -> None:
-        """Close everything."""
+        """Close all idle connections."""
         for address in list(self._idle_by_address):
             self.close_idle(address)
--- a/egretstack/http1/_server.py
+++ b/egretstack/http1/_server.py
@@ -1,4 +1,4 @@
-"""One connection from a client: reads requests, sends answers, and sees the client leave."""
+"""Server side of one client connection, with detection of a client that disconnects."""
 
 from dataclasses import dataclass
 
@@ -10,21 +10,21 @@
 from egretstack.http1._sockets import reset_on_close
 
 READ_BYTES = 65_536
-MAX_AHEAD_BYTES = 65_536
-"""Bytes of later requests that are taken in while one is answered; then reading stops.
+MAX_PIPELINED_BYTES = 65_536
+"""Maximum bytes of pipelined requests that are read while a request is served; then reading stops.
 
-A client that sends on and on would fill memory otherwise. Its close is then seen only once the
-answer is sent, which bounds nothing but the work of that one client.
+Without the limit a client that keeps sending would fill the memory. A disconnect is then noticed
+only once the response is sent, which delays nothing but this client's own requests.
 """
 _TRANSFER_ENCODING = b"transfer-encoding"
 _CONTENT_LENGTH = b"content-length"
 _TOO_LARGE_HEAD = 431
 _LINE_EXTRA = 4
-"""Colon, space and line end of each header."""
+"""Colon, space and CRLF of each header."""
 
 
 class BadRequest(Exception):
-    """What the client sent is no request that can be served; `status` tells how to answer."""
+    """The client's request cannot be served; `status` is the status of the response."""
 
     def __init__(self, status: int, detail: str) -> None:
         super().__init__(detail)
@@ -32,21 +32,21 @@
 
 
 class ClientDisconnected(Exception):
-    """The client closed its connection, or it broke."""
+    """The client closed its connection, or the connection broke."""
 
 
 class SlowSender(Exception):
-    """The client did not send a whole request in the time allowed."""
+    """The client did not send a complete request within the timeout."""
 
 
 @dataclass(frozen=True)
 class ServerLimits:
-    """What a client may send, and how long it may take."""
+    """Size limits and timeouts for client requests."""
 
     header_bytes: int
     body_bytes: int
     header_timeout_s: float
-    """Time from the first byte of a request to the end of its head, and between parts of a body."""
+    """Time from the first byte of a request to the end of its head, and between reads of a body."""
     idle_timeout_s: float
     """Time without a request after which the connection is closed."""
 
@@ -58,15 +58,15 @@
         self, stream: trio.SocketStream, limits: ServerLimits, body_memory: BodyMemory | None = None
     ) -> None:
         self.limits = limits
-        self._room = body_memory
-        """Shared with other connections; without one, the limit of each body is the only bound."""
+        self._body_memory = body_memory
+        """Shared with other connections; if None, only the size of each body is limited."""
         self._body_bytes = 0
         self._stream = stream
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.header_bytes)
-        self._ahead = 0
+        self._pipelined_bytes = 0
 
     async def read_head(self) -> RequestHead | None:
-        """Read the head of the next request; None if the client leaves or stays idle instead.
+        """Read the head of the next request; None if the client disconnects or stays idle.
 
         Raises BadRequest, SlowSender.
         """
@@ -78,7 +78,7 @@
         except ClientDisconnected:
             return None
         except trio.TooSlowError as error:
-            raise SlowSender("the head did not arrive") from error
+            raise SlowSender("request head timed out") from error
         if not isinstance(event, h11.Request):
             return None
         head = RequestHead(
@@ -86,25 +86,25 @@
             bytes(event.target),
             tuple((bytes(name), bytes(value)) for name, value in event.headers),
         )
-        _refuse_two_framings(head.headers)
-        _refuse_large(head, self.limits.header_bytes)
+        _reject_two_framings(head.headers)
+        _reject_large_head(head, self.limits.header_bytes)
         return head
 
     async def read_body(self) -> bytes:
-        """Read the whole body of the request; it counts in the room until `release_body`.
+        """Read the complete request body; it counts in the body memory until `release_body`.
 
-        Raises BadRequest, ClientGone, SlowSender, NoRoomForBody.
+        Raises BadRequest, ClientDisconnected, SlowSender, BodyMemoryFull.
         """
         if self._http.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            await self._send(self._http.send(go_on))
+            response = h11.InformationalResponse(status_code=100, headers=[])
+            await self._send(self._http.send(response))
         body = bytearray()
         while True:
             try:
                 with trio.fail_after(self.limits.header_timeout_s):
                     event = await self._next_event()
             except trio.TooSlowError as error:
-                raise SlowSender("the body did not arrive") from error
+                raise SlowSender("request body timed out") from error
             if isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             if not isinstance(event, h11.Data):
@@ -115,31 +115,31 @@
             body += event.data
 
     def release_body(self) -> None:
-        """Give back the room of the body; the request is over."""
-        if self._room is not None:
-            self._room.release(self._body_bytes)
+        """Release the memory of the request body; the request has ended."""
+        if self._body_memory is not None:
+            self._body_memory.release(self._body_bytes)
             self._body_bytes = 0
 
     def _count_body(self, count: int) -> None:
-        if self._room is not None:
-            self._room.acquire(count)
+        if self._body_memory is not None:
+            self._body_memory.acquire(count)
             self._body_bytes += count
 
     async def wait_until_disconnected(self) -> None:
-        """Return once the client has closed; bytes of later requests are kept for their turn."""
-        while self._ahead < MAX_AHEAD_BYTES:
+        """Return once the client has disconnected; bytes of pipelined requests are kept."""
+        while self._pipelined_bytes < MAX_PIPELINED_BYTES:
             try:
                 data = await self._stream.receive_some(READ_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 return
             if not data:
                 return
-            self._ahead += len(data)
+            self._pipelined_bytes += len(data)
             self._http.receive_data(data)
         await trio.sleep_forever()
 
     async def send_response(self, head: ResponseHead, body: bytes) -> None:
-        """Send a whole answer. Raises ClientGone."""
+        """Send a complete response. Raises ClientDisconnected."""
         parts = [self._start(head, len(body))]
         if body:
             parts.append(self._http.send(h11.Data(data=body)))
@@ -147,26 +147,29 @@
         await self._send(b"".join(parts))
 
     async def start_stream(self, head: ResponseHead, body: bytes = b"") -> None:
-        """Send the head of an answer of unknown length, and its first bytes. Raises ClientGone."""
+        """Send the head of a response of unknown length and its first bytes.
+
+        Raises ClientDisconnected.
+        """
         parts = [self._start(head, None)]
         if body:
             parts.append(self._http.send(h11.Data(data=body)))
         await self._send(b"".join(parts))
 
     async def send_chunk(self, body: bytes) -> None:
-        """Send a piece of an answer's body. Raises ClientGone."""
+        """Send a piece of a response body. Raises ClientDisconnected."""
         await self._send(self._http.send(h11.Data(data=body)))
 
     async def finish_stream(self) -> None:
-        """Send the proper end of an answer's body. Raises ClientGone."""
+        """End a response body normally. Raises ClientDisconnected."""
         await self._send(self._http.send(h11.EndOfMessage()))
 
     async def send_raw(self, data: bytes) -> None:
-        """Send bytes as they are, for stand-ins of servers that break the protocol."""
+        """Send raw bytes, for test servers that violate the protocol."""
         await self._send(data)
 
     def abort(self) -> None:
-        """Reset the connection: an answer that ends early must not look complete."""
+        """Reset the connection, so that a truncated response cannot look complete."""
         reset_on_close(self._stream)
         self._stream.socket.close()
 
@@ -175,15 +178,15 @@
         self._stream.socket.close()
 
     def can_start_response(self) -> bool:
-        """Tell whether nothing of an answer to the present request was sent."""
+        """Return whether no part of a response to the current request was sent."""
         return self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE)
 
     def start_next(self) -> bool:
-        """Make ready for the next request; False if the connection has to be closed."""
+        """Prepare for the next request; return False if the connection has to be closed."""
         if self._http.our_state is not h11.DONE or self._http.their_state is not h11.DONE:
             return False
         self._http.start_next_cycle()
-        self._ahead = len(self._http.trailing_data[0])
+        self._pipelined_bytes = len(self._http.trailing_data[0])
         return True
 
     async def _wait_for_bytes(self) -> bool:
@@ -226,15 +229,15 @@
             raise ClientDisconnected(repr(error)) from error
 
 
-def _refuse_two_framings(headers: Headers) -> None:
-    """Refuse a request that tells its length twice: two readers could find two requests in it."""
+def _reject_two_framings(headers: Headers) -> None:
+    """Reject a request with two body lengths: servers could find different requests in it."""
     names = [name for name, _ in headers]
     if _TRANSFER_ENCODING in names and _CONTENT_LENGTH in names:
-        raise BadRequest(400, "both a length and chunks")
+        raise BadRequest(400, "both Content-Length and Transfer-Encoding")
 
 
-def _refuse_large(head: RequestHead, limit: int) -> None:
-    """Refuse a head over the limit that came whole; h11 counts only what is not whole yet."""
+def _reject_large_head(head: RequestHead, limit: int) -> None:
+    """Reject a complete head over the limit; h11 limits only heads that are incomplete."""
     size = len(head.method) + len(head.target)
     size += sum(len(name) + len(value) + _LINE_EXTRA for name, value in head.headers)
     if size > limit:
--- a/egretstack/http1/_sockets.py
+++ b/egretstack/http1/_sockets.py
@@ -1,21 +1,22 @@
-"""TCP sockets with the options that a process among unreliable links needs."""
+"""TCP sockets with options for unreliable networks."""
 
 import socket
 
 import trio
 
 BACKLOG = 1024
-"""New connections that wait to be accepted; the kernel drops the opening packet of more."""
+"""Maximum number of connections waiting for accept; the kernel drops the SYN of further ones."""
 
-UNACKNOWLEDGED_MS = 4_000
-"""How long sent bytes may stay unacknowledged before the connection counts as broken.
+USER_TIMEOUT_MS = 4_000
+"""How long sent bytes may stay unacknowledged before the connection is considered broken.
 
-Behind a partition nothing is refused: without this limit a write waits for many minutes.
+Behind a network partition no packet is rejected; without this limit a write would wait for many
+minutes.
 """
 
 
 async def open_listener(host: str, port: int) -> trio.SocketListener:
-    """Listen on a numeric address."""
+    """Listen on a numeric IPv4 address."""
     listening = trio.socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -28,13 +29,13 @@
 
 
 async def open_connection(host: str, port: int) -> tuple[trio.SocketStream, socket.socket]:
-    """Connect to a numeric address; give the stream, and its socket for peeking.
+    """Connect to a numeric IPv4 address; return the stream, and its socket for peeking.
 
     Raises OSError.
     """
     raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     raw.setblocking(False)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     connecting = trio.socket.from_stdlib_socket(raw)
     try:
         await connecting.connect((host, port))
@@ -44,8 +45,8 @@
     return trio.SocketStream(connecting), raw
 
 
-def is_untouched(raw: socket.socket) -> bool:
-    """Tell whether an idle connection has neither bytes to read nor an end."""
+def is_open_and_quiet(raw: socket.socket) -> bool:
+    """Return whether an idle connection is open and has no bytes to read."""
     try:
         raw.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except (BlockingIOError, InterruptedError):
@@ -56,9 +57,9 @@
 
 
 def reset_on_close(stream: trio.SocketStream) -> None:
-    """Let the next close reset the connection, so that what was sent cannot look complete."""
+    """Make the next close reset the connection, so that a partial response cannot look complete."""
     linger = (1).to_bytes(4, "little") + (0).to_bytes(4, "little")
     try:
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     except (OSError, trio.ClosedResourceError):
-        return  # The connection is already broken: there is nothing left that could look complete.
+        return  # The connection is already broken, so no response on it can look complete.
