--- a/egretstack/services/_runner_health.py
+++ b/egretstack/services/_runner_health.py
@@ -7,14 +7,14 @@
 from egretstack.platform import health_request, runner_health
 from egretstack.traffic import RunnerHealth
 
-MOST_ANSWER_BYTES = 65_536
+MAX_ANSWER_BYTES = 65_536
 
 
 class NoHealthAnswer(Exception):
     """Something accepted the connection and did not answer: a runner or what stands before it."""
 
 
-async def ask_health(
+async def fetch_health(
     runner: Runner, path: str, connect_s: float, answer_s: float
 ) -> RunnerHealth | None:
     """Give what a healthy runner at a runner's address says; None if it is not healthy.
@@ -29,7 +29,7 @@
     question = health_request(runner.address, path)
     try:
         with trio.fail_after(answer_s):
-            head, _ = await exchange(connection, question, b"", MOST_ANSWER_BYTES)
+            head, _ = await exchange(connection, question, b"", MAX_ANSWER_BYTES)
             return head
     except (UpstreamBroken, trio.TooSlowError) as error:
         raise NoHealthAnswer(repr(error)) from error
--- a/egretstack/services/caller_api.py
+++ b/egretstack/services/caller_api.py
@@ -21,7 +21,7 @@
 from egretstack.services.session_host import SessionHost
 from egretstack.upstreams import CallRequest, CallResponse
 
-LEAVING_KNOWN_S = 5.0
+LEAVING_PROPAGATION_S = 5.0
 """Time in which every other instance knows that this one leaves, with a margin: until then one of
 them may still give its address to a caller, who keeps it for the answers' whole life."""
 CALLER_PORT = "caller"
@@ -56,7 +56,7 @@
 
     async def drain(self) -> None:
         """Serve on until callers' cached answers have run out, then take nothing new."""
-        await trio.sleep(LEAVING_KNOWN_S + self._answer_life_s())
+        await trio.sleep(LEAVING_PROPAGATION_S + self._answer_life_s())
         self._closed = True
         self.kernel.get(SessionHost).close()
         self._requests.close()
--- a/egretstack/services/calls.py
+++ b/egretstack/services/calls.py
@@ -16,7 +16,7 @@
 from egretstack.services.runners import Runners
 from egretstack.upstreams import CallRequest, CallResponse, OutcomeUnknown, Unsent
 
-REPEATS = 3
+MAX_TRIES = 3
 """Runners tried for one repeatable call, all within the call's one deadline."""
 _OWN_HEADERS = frozenset({ACCOUNT_HEADER.lower(), FENCING_HEADER.lower()})
 
@@ -83,7 +83,7 @@
     async def _repeatable(self, service: ServiceName, request: CallRequest) -> CallResponse:
         history = SendHistory()
         deadline_s = trio.current_time() + request.timeout_s
-        for runner in self.kernel.get(Runners).plain(service)[:REPEATS]:
+        for runner in self.kernel.get(Runners).plain(service)[:MAX_TRIES]:
             left_s = deadline_s - trio.current_time()
             if left_s <= 0:
                 break
--- a/egretstack/services/configuration.py
+++ b/egretstack/services/configuration.py
@@ -47,8 +47,8 @@
 
 PEER_TIMEOUT_S = 1.0
 """Wait for a peer's answer; a question is asked a second time, over a new link."""
-PEERS_ASKED = 2
-PEERS_ASKED_AT_START = 5
+PEERS_QUERIED = 2
+PEERS_QUERIED_AT_START = 5
 SNAPSHOT_TRIES = 3
 MAX_PULLS = 3
 MAX_PIECES = 1024
@@ -100,9 +100,9 @@
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Pull for ever."""
         port = self.kernel.get(PeerPort)
-        port.answer(ConfigAsk, self._answer)
-        port.answer(ConfigNews, self._hear)
-        port.answer(SnapshotAsk, self._answer_snapshot)
+        port.register_handler(ConfigAsk, self._answer)
+        port.register_handler(ConfigNews, self._hear)
+        port.register_handler(SnapshotAsk, self._answer_snapshot)
         self.kernel.get(Instances).on_change(self._share_budget)
         if self.kernel.has(Membership):
             self.kernel.get(Membership).on_peer_revision(self._peer_has)
@@ -137,9 +137,9 @@
                 return
             if self.state.judge(head) is Offer.OLDER and head.revision >= known:
                 return
-            await self.take_head(head)
+            await self.apply_head(head)
 
-    async def take_head(self, head: Head) -> Offer:
+    async def apply_head(self, head: Head) -> Offer:
         """Put a head of the platform in force if it is newer. Raises PlatformAway."""
         judged = self.state.judge(head)
         if judged is not Offer.NEWER:
@@ -162,7 +162,7 @@
     async def _pull_at_start(self) -> None:
         # The store may have been restored from an older copy: a process that starts takes the
         # newest configuration that several peers know before it looks there.
-        peers = self._others(PEERS_ASKED_AT_START)
+        peers = self._others(PEERS_QUERIED_AT_START)
         async with trio.open_nursery() as nursery:
             for member in peers:
                 nursery.start_soon(self._pull_peer, member)
@@ -170,7 +170,7 @@
     async def _pull(self) -> None:
         is_entry = self.kernel.settings.has("caller", "address")
         answered = False
-        for member in (self._mine() if is_entry else []) + self._others(PEERS_ASKED):
+        for member in (self._mine() if is_entry else []) + self._others(PEERS_QUERIED):
             answered = await self._pull_peer(member)
             if answered:
                 break
@@ -243,7 +243,7 @@
         if number is None:
             raise PeerGone(f"no port {port}")
         ask = partial(
-            self.kernel.get(PeerPort).ask,
+            self.kernel.get(PeerPort).request,
             InstanceId(member.id),
             member.host,
             number,
--- a/egretstack/services/configuration_news.py
+++ b/egretstack/services/configuration_news.py
@@ -13,7 +13,7 @@
 from egretstack.services.peer_port import PeerPort
 
 
-class ConfigurationNews(Service):
+class ConfigurationAnnouncer(Service):
     """Sends news; the receiver asks for what changed only if it has not got it yet."""
 
     name = "configuration_news"
@@ -55,7 +55,7 @@
                 told = configuration.state.revision
                 self.sent += 1
                 news = ConfigNews(configuration.own, told)
-                await self.kernel.get(PeerPort).ask(
+                await self.kernel.get(PeerPort).request(
                     InstanceId(member.id), member.host, member.ports[port], news
                 )
         except (PeerGone, PeerRefused):
--- a/egretstack/services/configuration_watch.py
+++ b/egretstack/services/configuration_watch.py
@@ -20,7 +20,7 @@
 from egretstack.services.instances import Instances
 from egretstack.services.platform_access import PlatformAccess
 
-WATCH_LIFE_S = 2.0
+WATCH_DURATION_S = 2.0
 """Life of one watch: a silent one is found, and the head read, well within five seconds."""
 
 RETRY_S = 0.3
@@ -79,7 +79,7 @@
 
     async def _watch(self, since: str | None) -> str | None:
         api = self.kernel.get(PlatformAccess).object_api
-        async with api.watch(ObjectKind.CONFIG_HEAD, since, WATCH_LIFE_S) as changes:
+        async with api.watch(ObjectKind.CONFIG_HEAD, since, WATCH_DURATION_S) as changes:
             if since is None:
                 await self.kernel.get(Configuration).read_platform()
             async for change in changes:
@@ -93,7 +93,7 @@
         if kind is not WatchKind.DELETED:
             head = await configuration.store.head_of(stored, configuration.state.snapshot)
             if configuration.state.judge(head) in (Offer.NEWER, Offer.SAME):
-                await configuration.take_head(head)
+                await configuration.apply_head(head)
                 return
         # A peer may have been faster than the watch: only a new read tells a store that is older.
         await configuration.read_platform()
--- a/egretstack/services/crash_guard.py
+++ b/egretstack/services/crash_guard.py
@@ -18,7 +18,7 @@
 from egretstack.kernel import Kernel, Service
 from egretstack.messages import MessageError
 from egretstack.relay import CrashGuard
-from egretstack.services._runner_health import NoHealthAnswer, ask_health
+from egretstack.services._runner_health import NoHealthAnswer, fetch_health
 from egretstack.services.engine_reports import EngineReports
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.relay_metrics import RelayMetrics
@@ -26,10 +26,10 @@
 
 CONNECT_TIMEOUT_S = 0.15
 HEALTH_TIMEOUT_S = 0.2
-MOST_PROBES = 3
-PROBE_AGAIN_S = 0.5
+MAX_PROBES = 3
+PROBE_RETRY_S = 0.5
 """Pause after a probe that told nothing: what starts in the runner's place may not be up yet."""
-NOTICE_S = 0.5
+PLANNED_END_NOTICE_S = 0.5
 """A runner that was known to leave for longer ends by plan."""
 FORGET_PERIOD_S = 30.0
 
@@ -75,9 +75,9 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Probe and share until cancelled."""
-        self._port.strikes = lambda: self._reports.strike_rows(trio.current_time())
-        self._port.clears = lambda: self._reports.clear_rows(trio.current_time())
-        self._port.on_report(self._take_report)
+        self._port.strike_rows = lambda: self._reports.strike_rows(trio.current_time())
+        self._port.clear_rows = lambda: self._reports.clear_rows(trio.current_time())
+        self._port.on_report_received(self._take_report)
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
@@ -98,10 +98,10 @@
     def answered(self, content: ContentId) -> None:
         """Take note that a runner ran a request to an end and lives."""
         now_s = trio.current_time()
-        cleared_round = self._port.clear(now_s, content)
+        cleared_round = self._port.record_clear(now_s, content)
         if cleared_round is not None:
             self._reports.cleared(now_s, content, cleared_round)
-            self._port.tell_soon()
+            self._port.report_soon()
 
     def broke(
         self,
@@ -129,17 +129,17 @@
 
     def _is_leaving(self, runner: RunnerId) -> bool:
         stopped_s = self._port.runners.stopped_s(runner)
-        return stopped_s is not None and trio.current_time() - stopped_s > NOTICE_S
+        return stopped_s is not None and trio.current_time() - stopped_s > PLANNED_END_NOTICE_S
 
     async def _probe(self, runner: Runner) -> None:
         """Ask a runner until it is known whether it has ended, a few times at most."""
         word = await self._ask(runner)
-        for _ in range(MOST_PROBES - 1):
+        for _ in range(MAX_PROBES - 1):
             if word is not _Word.UNKNOWN:
                 break
             for broken in self._broken_by_runner[runner.id]:
                 broken.judged.set()
-            await trio.sleep(PROBE_AGAIN_S)
+            await trio.sleep(PROBE_RETRY_S)
             word = await self._ask(runner)
         if word is _Word.UNKNOWN and self._port.runners.stopped_s(runner.id) is not None:
             word = _Word.ENDED  # Its entry is gone too.
@@ -147,7 +147,7 @@
             self._judge(runner.id, broken, ended=word is _Word.ENDED)
             broken.judged.set()
         if word is _Word.ENDED:
-            self._port.tell_soon()
+            self._port.report_soon()
 
     async def _ask(self, runner: Runner) -> _Word:
         """Find out whether a runner accepts no connection, or another one answers in its place.
@@ -157,7 +157,7 @@
         plan = self._store.service(runner.service)
         path = "/" if plan is None else plan.health_path
         try:
-            health = await ask_health(runner, path, CONNECT_TIMEOUT_S, HEALTH_TIMEOUT_S)
+            health = await fetch_health(runner, path, CONNECT_TIMEOUT_S, HEALTH_TIMEOUT_S)
         except ConnectFailed:
             return _Word.ENDED
         except NoHealthAnswer:
@@ -187,8 +187,8 @@
         self._reports.struck(broken.content, strike)
 
     def _strike(self, content: ContentId, strike: Strike) -> None:
-        if self._port.strike(trio.current_time(), content, strike):
-            self._engine_reports.ended(strike.runner)
+        if self._port.record_strike(trio.current_time(), content, strike):
+            self._engine_reports.record_ended(strike.runner)
 
     def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
         now_s = trio.current_time()
@@ -201,4 +201,4 @@
         for content, strike in strikes:
             self._strike(content, strike)
         for content, cleared_round in clears:
-            self._port.take_clear(now_s, content, cleared_round)
+            self._port.apply_clear(now_s, content, cleared_round)
--- a/egretstack/services/crash_list.py
+++ b/egretstack/services/crash_list.py
@@ -13,16 +13,16 @@
 from egretstack.kernel import Kernel
 from egretstack.messages import MessageError
 from egretstack.platform import Change, ObjectKind, RevisionConflict, StoreAway
-from egretstack.services.fleet_port import IDLE_LOOK_S
+from egretstack.services.fleet_port import IDLE_POLL_INTERVAL_S
 from egretstack.services.store_following import StoreFollower
-from egretstack.services.store_reading import AWAY_PAUSE_S
+from egretstack.services.store_reading import UNAVAILABLE_PAUSE_S
 
 WATCH_S = 5.0
 """Length of one watch. Only another home or an operator writes besides, both of them rarely."""
 FIELD = "record"
 """Name under which an object's spec holds the record's row."""
-MOST_BAD_LOGGED = 8
-MOST_NAME_LOGGED = 128
+MAX_BAD_LOGGED = 8
+MAX_NAME_LOGGED = 128
 
 
 class CrashList(StoreFollower):
@@ -38,7 +38,7 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Read and write until cancelled."""
-        self._port.on_crash_record(self._note_change)
+        self._port.on_crash_record_change(self._note_change)
         task_status.started()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follow)
@@ -65,8 +65,8 @@
             watched = await store.watch(ObjectKind.CRASH_RECORD, self._revision, WATCH_S)
             changes, revision = watched.changes, watched.revision
         bad = [name for change in changes if (name := self._take(change)) is not None]
-        for name in bad[:MOST_BAD_LOGGED]:
-            log(Event.CRASH_RECORD_UNREADABLE, content=name[:MOST_NAME_LOGGED])
+        for name in bad[:MAX_BAD_LOGGED]:
+            log(Event.CRASH_RECORD_UNREADABLE, content=name[:MAX_NAME_LOGGED])
         self._revision = revision
         self._changed.set()
 
@@ -77,21 +77,21 @@
         if change.deleted:
             # Deleted by an operator, unless this instance has nothing more to keep of it.
             if self._stored_by_content.pop(content, None) is not None:
-                self._port.clear(now_s, content)
+                self._port.record_clear(now_s, content)
             return None
         try:
             record = record_of(change.object.spec.get(FIELD))
         except MessageError:
             return change.object.name
         self._stored_by_content[content] = record
-        self._port.take_crash_record(now_s, content, record)
+        self._port.apply_crash_record(now_s, content, record)
         return None
 
     async def _write_changes(self) -> None:
         while True:
             await self._changed.wait()
             if self._port.is_home() and (self._revision is None or not self._may_try()):
-                await trio.sleep(IDLE_LOOK_S)
+                await trio.sleep(IDLE_POLL_INTERVAL_S)
                 continue
             self._changed = trio.Event()
             if not self._port.is_home():
@@ -99,9 +99,9 @@
             try:
                 await self._write_all()
             except StoreAway as error:
-                self._reading.away(error)
+                self._reading.record_unavailable(error)
                 self._changed.set()
-                await trio.sleep(AWAY_PAUSE_S)
+                await trio.sleep(UNAVAILABLE_PAUSE_S)
 
     async def _write_all(self) -> None:
         lasting = self._port.crashes.lasting()
--- a/egretstack/services/directory_port.py
+++ b/egretstack/services/directory_port.py
@@ -31,12 +31,12 @@
 LIMITS = ServerLimits(header_bytes=8_192, body_bytes=1_024, header_timeout_s=2, idle_timeout_s=10)
 MAX_ADDRESSES = 64
 """Clients use no more of one answer."""
-ANSWER_LIFE_S = 2.0
+ANSWER_TTL_S = 2.0
 """How long clients keep an answer; some keep it three times as long, still within the grace of a
 stopping instance. A dead instance is named for no longer than this plus its silence."""
 GRACE_SHARE = 0.25
 """Part of the grace that an answer's life may take at most, so that three lives end within it."""
-LOOK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 
 
 class DirectoryPort(Service):
@@ -67,13 +67,13 @@
             nursery.start_soon(self._leave_on_drain)
             while True:
                 self._tell_state()
-                await trio.sleep(LOOK_S)
+                await trio.sleep(CHECK_INTERVAL_S)
 
     async def _leave_on_drain(self) -> None:
         await self.kernel.draining.wait()
         self._leaving = True
         self._tell_state()
-        self._port.tell_soon()
+        self._port.report_soon()
 
     def is_ready(self) -> bool:
         """Tell whether clients may be sent here."""
@@ -85,8 +85,8 @@
         else:
             state = InstanceState.READY if self.is_ready() else InstanceState.STARTING
         if state is not self._port.fleet.own.state:
-            self._port.describe(state=state)
-            self._port.tell_soon()
+            self._port.update_own(state=state)
+            self._port.report_soon()
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         connection = ClientConnection(stream, LIMITS)
@@ -113,10 +113,10 @@
             self._tell_state()
             addresses = self.ready_addresses(asked_region(head), asked_host(head))
             if not addresses:
-                return json_answer(503, {"error": "no instance is ready"}, ANSWER_LIFE_S)
+                return json_answer(503, {"error": "no instance is ready"}, ANSWER_TTL_S)
             grace_s = self.kernel.settings.bounds.grace_s
             life_s = min(
-                ANSWER_LIFE_S, grace_s * GRACE_SHARE, self.kernel.settings.bounds.directory_life_s
+                ANSWER_TTL_S, grace_s * GRACE_SHARE, self.kernel.settings.bounds.directory_life_s
             )
             return directory_answer(addresses, life_s)
         return json_answer(404, {"error": "no such resource"})
--- a/egretstack/services/dispatching.py
+++ b/egretstack/services/dispatching.py
@@ -100,14 +100,14 @@
         """Tell the policy that the work left its engine, or the queue."""
         waiting = self._waiting_by_id.pop(work.id, None)
         if reason is EndReason.FAILED and waiting is not None and waiting.placement is not None:
-            self.kernel.get(Runners).doubt(waiting.placement.runner_id)
+            self.kernel.get(Runners).check_soon(waiting.placement.runner_id)
         self._tell(Ended(work.id, tokens, reason))
 
     def lengths(self) -> LengthSummary:
         """Give what this entry learned of output lengths."""
         return self._policy.summary()
 
-    def learned(self, event: LengthsLearned) -> None:
+    def add_lengths(self, event: LengthsLearned) -> None:
         """Tell the policy what another entry learned."""
         self._tell(event)
 
--- a/egretstack/services/engine_placing.py
+++ b/egretstack/services/engine_placing.py
@@ -26,16 +26,16 @@
 from egretstack.relay import EnginePlacing, RequestFailed, barred
 from egretstack.routing import EnginePlan, RouteKind
 from egretstack.services.fleet_port import FleetPort
-from egretstack.services.placing_home import MOST_RETRY_S, PlacingHome
+from egretstack.services.placing_home import MAX_RETRY_AFTER_S, PlacingHome
 from egretstack.services.relay_metrics import RelayMetrics
 
-ASK_S = 0.04
+ANSWER_TIMEOUT_S = 0.04
 """Time for the home's answer, which takes some 2 ms; then the question is sent once more."""
-ASK_TIMES = 2
-ASK_AGAIN_S = 0.25
+MAX_SENDS = 2
+RENEW_INTERVAL_S = 0.25
 """How often a generation that waits at the home tells that it still does."""
 REFUSED_RETRY_S = 0.5
-MOVE_ASK_S = 0.08
+PERMIT_REQUEST_INTERVAL_S = 0.08
 """How often a run that has to move asks whether it is its turn."""
 RANK_STEP = 1e6
 """Sets ranks further apart than any run has tokens."""
@@ -75,7 +75,7 @@
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Take answers until cancelled."""
         self._home.own_runs = lambda: list(self._run_by_attempt.values())
-        self._home.answer_here = self._take
+        self._home.on_local_answer = self._take
         for kind in (PlaceAnswer, BackupAnswer, MoveTurn):
             self._port.handle(kind, self._take_from_peer)
         task_status.started()
@@ -114,8 +114,8 @@
             raise barred()
         rested_s = self._rested_after_s(work)
         if rested_s > 0.0:
-            await trio.sleep(min(rested_s, ASK_AGAIN_S) if rested_s <= left_s else 0.0)
-            return _NoPlace(min(MOST_RETRY_S, rested_s), rested_s > left_s)
+            await trio.sleep(min(rested_s, RENEW_INTERVAL_S) if rested_s <= left_s else 0.0)
+            return _NoPlace(min(MAX_RETRY_AFTER_S, rested_s), rested_s > left_s)
         asked = self._without_resting(work)
         answer = await self._ask_place(asked)
         if answer is None:
@@ -133,8 +133,8 @@
             return placed
         free_s = self._free_alone_after_s(work)
         if free_s <= left_s:
-            await trio.sleep(ASK_AGAIN_S)
-        return _NoPlace(min(MOST_RETRY_S, free_s) or REFUSED_RETRY_S, free_s > left_s)
+            await trio.sleep(RENEW_INTERVAL_S)
+        return _NoPlace(min(MAX_RETRY_AFTER_S, free_s) or REFUSED_RETRY_S, free_s > left_s)
 
     def begin(self, run: Run) -> None:
         """Note a run that goes out."""
@@ -147,7 +147,7 @@
 
     def first_token(self, run: Run, read_s: float, waited_s: float) -> None:
         """Note a first token: `read_s` after the send, and `waited_s` after the request came."""
-        self._metrics.answered(RouteKind.STREAM, waited_s)
+        self._metrics.observe_answer(RouteKind.STREAM, waited_s)
         self._home.placer.book.first_token(run.work.prompt_tokens, read_s)
 
     def tokens_left(self, run: Run) -> float:
@@ -178,7 +178,7 @@
         try:
             while True:
                 self._tell(MoveAsk(own, attempt, source, self._move_order(run), list(refused)))
-                with trio.move_on_after(MOVE_ASK_S):
+                with trio.move_on_after(PERMIT_REQUEST_INTERVAL_S):
                     await turn.wait()
                     self._copying.add(attempt)
                     return RunnerId(self._destination_by_attempt.pop(attempt))
@@ -201,18 +201,18 @@
         An answer without a runner tells that the home is there and no place came yet.
         """
         ask = PlaceAsk(self.kernel.settings.instance, work_row(work))
-        first = await self._ask(work.attempt, ask, times=ASK_TIMES)
+        first = await self._ask(work.attempt, ask, times=MAX_SENDS)
         if not isinstance(first, PlaceAnswer):
             return None
         if first.runner and first.runner not in work.excluded:
             return first
-        later = await self._answer_in(work.attempt, ASK_AGAIN_S)
+        later = await self._answer_in(work.attempt, RENEW_INTERVAL_S)
         return later if isinstance(later, PlaceAnswer) else first
 
     async def _ask(self, attempt: str, ask: Message, times: int) -> Message | None:
         """Ask the home; None if it is silent."""
         for _ in range(times):
-            answer = await self._answer_in(attempt, ASK_S, ask)
+            answer = await self._answer_in(attempt, ANSWER_TIMEOUT_S, ask)
             if answer is not None:
                 return answer
         log(Event.HOME_SILENT, request=attempt, address=self._port.home_address())
@@ -236,24 +236,24 @@
         """Send something to the home, which may be here."""
         address = self._port.home_address()
         if address is None:
-            self._home.ask(message)
+            self._home.handle_request(message)
         else:
             self._port.send(address, message)
 
     def _place_alone(self, work: Work, engine: EnginePlan) -> Placement | None:
         now_s = trio.current_time()
-        self._home.refresh()
+        self._home.refresh_own_runs()
         decided = self._home.placer.place(now_s, work, engine, whole=self._port.is_home())
         return decided if isinstance(decided, Placement) else None
 
     def _without_resting(self, work: Work) -> Work:
         """Give a work that keeps off the engines which want nothing from this instance now."""
-        resting = self._home.rests.resting(trio.current_time())
+        resting = self._home.backoffs.resting(trio.current_time())
         return replace(work, excluded=(*work.excluded, *resting)) if resting else work
 
     def _rested_after_s(self, work: Work) -> float:
         """Give when some engine wants a work from this instance; 0 if now, or if there is none."""
-        now_s, rests = trio.current_time(), self._home.rests
+        now_s, rests = trio.current_time(), self._home.backoffs
         usable = [
             one
             for one in self._port.runners.ready(work.service)
--- a/egretstack/services/engine_reports.py
+++ b/egretstack/services/engine_reports.py
@@ -14,16 +14,16 @@
 from egretstack.ids import RunnerId
 from egretstack.kernel import Kernel, Service
 from egretstack.platform import BadBody, report_request, runner_report
-from egretstack.services.fleet_port import IDLE_LOOK_S, FleetPort
+from egretstack.services.fleet_port import IDLE_POLL_INTERVAL_S, FleetPort
 from egretstack.services.store_reading import StoreReading
 from egretstack.traffic import RunnerReport
 
-LOOK_S = 0.1
+POLL_INTERVAL_S = 0.1
 PERIOD_S = 1.0
 """Each report costs a call; with the store there, its list tells of leaving runners sooner."""
-STORE_AWAY_S = 1.0
+STORE_UNAVAILABLE_AGE_S = 1.0
 """Age of the list of runners from which reports stand in for it."""
-STORE_AWAY_PERIOD_S = 0.25
+STORE_UNAVAILABLE_PERIOD_S = 0.25
 """Runners are gone some 1.5 s after their notice: a run needs the better part of that to move."""
 TIMEOUT_S = 0.5
 MAX_REPORT_BYTES = 1_048_576
@@ -48,7 +48,7 @@
         """Let `taker` see each report."""
         self._takers.append(taker)
 
-    def ended(self, runner: RunnerId) -> None:
+    def record_ended(self, runner: RunnerId) -> None:
         """Take it, as the home, that an instance found a runner to have ended.
 
         Its own silence would show a second or two later, when copies and places there are lost.
@@ -64,7 +64,9 @@
         try:
             async with trio.open_nursery() as nursery:
                 while True:
-                    await trio.sleep(LOOK_S if self._port.is_home() else IDLE_LOOK_S)
+                    await trio.sleep(
+                        POLL_INTERVAL_S if self._port.is_home() else IDLE_POLL_INTERVAL_S
+                    )
                     if self._port.is_home() and self._is_due():
                         self._ask_all(nursery)
         finally:
@@ -72,8 +74,8 @@
 
     def _is_due(self) -> bool:
         now_s = trio.current_time()
-        away = self._port.runners.age_s(now_s) > STORE_AWAY_S
-        return now_s - self._asked_s >= (STORE_AWAY_PERIOD_S if away else PERIOD_S)
+        away = self._port.runners.age_s(now_s) > STORE_UNAVAILABLE_AGE_S
+        return now_s - self._asked_s >= (STORE_UNAVAILABLE_PERIOD_S if away else PERIOD_S)
 
     def _ask_all(self, nursery: trio.Nursery) -> None:
         self._asked_s = trio.current_time()
@@ -96,7 +98,7 @@
         if silent != self._port.runners.silent:
             log(Event.RUNNERS_SILENT, runners=",".join(sorted(silent)))
             self._port.runners.silent = silent
-            self._port.tell_soon()
+            self._port.report_soon()
 
     async def _ask(self, runner: Runner) -> None:
         report = await self._report(runner)
@@ -104,13 +106,13 @@
             self._silence.missed(runner.id)
             return
         if report.born_ms not in (None, runner.incarnation.born_ms):
-            self._port.runner_born(runner.id, report.born_ms)
+            self._port.record_runner_start(runner.id, report.born_ms)
             return
         self._silence.answered(runner.id)
         for taker in self._takers:
             taker(runner.id, report)
         if report.leaving or report.leaves_in_s is not None:
-            self._port.notice(runner.id)
+            self._port.record_leaving(runner.id)
 
     async def _report(self, runner: Runner) -> RunnerReport | None:
         """Ask one engine; None if it gives no report that can be read."""
--- a/egretstack/services/evacuation_list.py
+++ b/egretstack/services/evacuation_list.py
@@ -16,12 +16,12 @@
 WATCH_SHARE = 0.25
 """Part of the time in which an evacuation has to be known everywhere that one watch lasts: a silent
 connection hides it for no longer, and the leash."""
-LONGEST_WATCH_S = 2.0
+MAX_WATCH_S = 2.0
 OWN_READING_SHARE = 0.5
 """The same after which an instance without news from the home reads for itself; its call is given
 up after 1 s, and a second one is answered within the bound."""
-MOST_BAD_LOGGED = 8
-MOST_NAME_LOGGED = 128
+MAX_BAD_LOGGED = 8
+MAX_NAME_LOGGED = 128
 
 
 class EvacuationList(StoreFollower):
@@ -66,10 +66,10 @@
         else:
             watch_s = self.kernel.settings.bounds.evacuate_s * WATCH_SHARE
             watched = await store.watch(
-                ObjectKind.EVACUATION, self._revision, min(LONGEST_WATCH_S, watch_s)
+                ObjectKind.EVACUATION, self._revision, min(MAX_WATCH_S, watch_s)
             )
             changes, revision = watched.changes, watched.revision
-        for bad in self._entries.take(changes)[:MOST_BAD_LOGGED]:
-            log(Event.EVACUATION_UNREADABLE, zone=bad.name[:MOST_NAME_LOGGED], error=bad.error)
+        for bad in self._entries.take(changes)[:MAX_BAD_LOGGED]:
+            log(Event.EVACUATION_UNREADABLE, zone=bad.name[:MAX_NAME_LOGGED], error=bad.error)
         self._revision = revision
-        self._port.take_evacuations(self._entries.zones(), revision, trio.current_time())
+        self._port.apply_evacuations(self._entries.zones(), revision, trio.current_time())
--- a/egretstack/services/fleet_news.py
+++ b/egretstack/services/fleet_news.py
@@ -40,14 +40,14 @@
 LOADS_PERIOD_S = 0.75
 """How often loads are told. They are used only by an instance that finds the home silent, and are
 then a second old anyway."""
-MOST_LOADS = 32
+MAX_LOADS = 32
 """Loads in one datagram, 30 bytes each; of more engines some are told each time, in turn."""
-MOST_HOLDERS = 8
+MAX_HOLDERS = 8
 """Instances that are named as having the newest configuration. Each of 195 fetches it from one of
 them; as more have it, others are named."""
-HAND_OVERS = 3
+HANDOVER_REPEATS = 3
 """How often a home that is no more says so: one datagram in some fifty is lost."""
-ASK_AGAIN_S = 0.1
+REREQUEST_INTERVAL_S = 0.1
 """Time between two reports that ask for lost news; the answer takes some 5 ms."""
 EPOCH_BITS = 53
 MAX_AGE_S = 3600.0
@@ -69,7 +69,7 @@
     evacuations_read_s: float
 
 
-class FleetNewsService(Service):
+class FleetUpdatesService(Service):
     """Tells the news while this instance is the home, and takes them while it is not."""
 
     name = "fleet_news"
@@ -93,7 +93,7 @@
         """The epoch of the home whose rows these were."""
         self._missed_s: float | None = None
         """When what was lost was last asked for; None if nothing is missing."""
-        self.loads: Callable[[], list] = list
+        self.load_rows: Callable[[], list] = list
         """Gives the rows of the loads of all engines."""
         self._table_revision: int | None = None
         """Revision of the table of runners as the home's news last left it; None if this instance
@@ -105,10 +105,10 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Tell and take until cancelled."""
-        self._port.held = lambda: self._keeper.held
-        self._port.missed = lambda: self._keeper.missed
-        self._port.on_tell(self._tell)
-        self._port.on_report(self._take_report)
+        self._port.held_updates = lambda: self._keeper.held
+        self._port.misses_updates = lambda: self._keeper.missed
+        self._port.on_report_sent(self._tell)
+        self._port.on_report_received(self._take_report)
         self._port.handle(FleetNews, self._take)
         task_status.started()
         await self._repeat()
@@ -177,7 +177,7 @@
         """
         if self._keeper.teller is not None:
             self._keeper.follow()
-            self._hand_overs = HAND_OVERS
+            self._hand_overs = HANDOVER_REPEATS
         if not self._hand_overs:
             return
         self._hand_overs -= 1
@@ -251,16 +251,16 @@
 
     def _newest_configuration(self, now_s: float) -> tuple[int, list[InstanceId]]:
         version, holders = self._port.fleet.configuration_holders(now_s)
-        if len(holders) > MOST_HOLDERS:
-            holders = self.kernel.rng.sample(holders, MOST_HOLDERS)
+        if len(holders) > MAX_HOLDERS:
+            holders = self.kernel.rng.sample(holders, MAX_HOLDERS)
         return version, holders
 
     def _tell_loads(self, others: list[KnownInstance]) -> None:
-        rows = self.loads()
+        rows = self.load_rows()
         if not rows:
             return
         begin = self._next_load % len(rows)
-        some = (rows[begin:] + rows[:begin])[:MOST_LOADS]
+        some = (rows[begin:] + rows[:begin])[:MAX_LOADS]
         self._next_load = begin + len(some)
         data = encode(FleetLoads(self._port.fleet.own.instance.id, some))
         for known in others:
@@ -298,9 +298,9 @@
         self._gaps.inc()
         if self._missed_s is None:
             log(Event.NEWS_GAP, home=home, base=news.base, latest=news.latest)
-        if self._missed_s is None or now_s - self._missed_s >= ASK_AGAIN_S:
+        if self._missed_s is None or now_s - self._missed_s >= REREQUEST_INTERVAL_S:
             self._missed_s = now_s
-            self._port.tell_soon()
+            self._port.report_soon()
 
     def _use(self, now_s: float, home: InstanceId, news: FleetNews) -> None:
         """Put the rows to use, which are all that the home has told."""
@@ -312,7 +312,7 @@
             self._port.fleet.still_told(now_s, home)
         self._use_crashes(now_s, changed_keys)
         if _LIMIT in kinds or self._port.limits.limited():
-            self._port.take_limits(self._told_limits())
+            self._port.apply_limits(self._told_limits())
         self._use_evacuations(now_s, news, _ZONE in kinds)
         read_s = now_s - news.runners_age_ms / 1000
         table = self._port.runners
@@ -331,7 +331,7 @@
         for key in keys:
             if key in rows:
                 content = ContentId(key[1:])
-                self._port.take_crash_record(now_s, content, record_of(rows[key]))
+                self._port.apply_crash_record(now_s, content, record_of(rows[key]))
 
     def _use_evacuations(self, now_s: float, news: FleetNews, changed: bool) -> None:
         # Under another home the rows may be the same as this instance told when it was home itself.
@@ -340,7 +340,7 @@
             rows = self._keeper.follow().rows.rows()
             self._told_zones = frozenset(ZoneName(key[1:]) for key in rows if key[0] == _ZONE)
         read_s = now_s - news.evacuations_age_ms / 1000
-        self._port.take_evacuations(self._told_zones, news.evacuations_revision, read_s)
+        self._port.apply_evacuations(self._told_zones, news.evacuations_revision, read_s)
 
     def _told_limits(self) -> dict[RunnerId, float]:
         rows = self._keeper.follow().rows.rows().items()
@@ -354,7 +354,7 @@
         rows = self._of(_RUNNER)
         listed = [runner_of(row[:-1]) for row in rows]
         marks_by_id = {one.id: _marks_of(row) for one, row in zip(listed, rows, strict=True)}
-        self._port.take_runners(listed, revision, read_s, by_home=True)
+        self._port.apply_runner_list(listed, revision, read_s, by_home=True)
         table.silent = frozenset(one for one, it in marks_by_id.items() if it & _SILENT)
         table.suspects = frozenset(one for one, it in marks_by_id.items() if it & _SUSPECT)
 
--- a/egretstack/services/fleet_port.py
+++ b/egretstack/services/fleet_port.py
@@ -34,15 +34,15 @@
 from egretstack.messages import Message, MessageError, decode, encode
 from egretstack.platform import NodeSettings
 
-MOST_GREETED = 4
+MAX_ANNOUNCEMENTS = 4
 """Instances that a newcomer tells of itself beside the one that it takes for the home. Any of them
 points to the home; were all of a list greeted, instances that start together would send each other
 as many datagrams as the square of their number."""
-MOST_LEAVING = 64
+MAX_LEAVING_REPORTED = 64
 """Leaving runners in one report, some 20 bytes each; the latest to leave."""
 MAX_DATAGRAM_BYTES = 65_000
 INCARNATION_BITS = 53
-IDLE_LOOK_S = 0.25
+IDLE_POLL_INTERVAL_S = 0.25
 """How often an instance that is not the home looks whether it has become it: a report's period.
 Loops that look more often wake idle processes up for nothing."""
 Handler = Callable[[Message, tuple[str, int]], None]
@@ -70,19 +70,19 @@
         self.evacuations = Evacuations()
         self.crashes = CrashTable()
         self.limits = RunnerLimits()
-        self.runs: Callable[[], list] = list
+        self.run_rows: Callable[[], list] = list
         """Gives the rows of the runs of this instance."""
-        self.held: Callable[[], HeldNews] = HeldNews
+        self.held_updates: Callable[[], HeldNews] = HeldNews
         """Gives what this instance holds of the home's news."""
-        self.missed: Callable[[], bool] = bool
+        self.misses_updates: Callable[[], bool] = bool
         """Tells whether some of it was lost."""
-        self.answers: Callable[[], list] = list
+        self.answer_count_rows: Callable[[], list] = list
         """Gives the rows of what plain runners made of the calls of this instance."""
-        self.strikes: Callable[[], list] = list
+        self.strike_rows: Callable[[], list] = list
         """Gives the rows of the runners that ended while they ran requests of this instance."""
-        self.clears: Callable[[], list] = list
+        self.clear_rows: Callable[[], list] = list
         """Gives the rows of the requests that were answered since."""
-        self.tell_now = trio.Event()
+        self.report_now = trio.Event()
         self._handler_by_kind: dict[type[Message], Handler] = {
             InstanceReport: self._take_report,
             FleetView: self._take_view,
@@ -98,15 +98,15 @@
         """Let `handler` take messages of a kind."""
         self._handler_by_kind[kind] = handler
 
-    def on_tell(self, teller: Callable[[], None]) -> None:
+    def on_report_sent(self, teller: Callable[[], None]) -> None:
         """Let `teller` send what it has to tell, each time this instance has reported."""
         self._tellers.append(teller)
 
-    def on_report(self, taker: Callable[[InstanceId, InstanceReport], None]) -> None:
+    def on_report_received(self, taker: Callable[[InstanceId, InstanceReport], None]) -> None:
         """Let `taker` see what an instance reports."""
         self._report_takers.append(taker)
 
-    def describe(self, **changes: object) -> None:
+    def update_own(self, **changes: object) -> None:
         """Change what this instance tells of itself."""
         self.fleet.own = replace(self.fleet.own, **changes)
 
@@ -140,9 +140,9 @@
         except OSError as error:
             log(Event.DATAGRAM_UNSENT, to=address, error=str(error))
 
-    def tell_soon(self) -> None:
+    def report_soon(self) -> None:
         """Report, and tell as the home, without waiting for the period's end."""
-        self.tell_now.set()
+        self.report_now.set()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Send and receive."""
@@ -172,13 +172,13 @@
             if host != node.ip:
                 self.send(f"{host}:{node.first_peer_port}", self._own_report())
 
-    def greet_some(self) -> None:
+    def announce_to_some(self) -> None:
         """Report to a few instances that are not heard; one of them knows the home."""
         unheard = self.fleet.unheard(trio.current_time())
-        some = self.kernel.rng.sample(unheard, min(MOST_GREETED, len(unheard)))
+        some = self.kernel.rng.sample(unheard, min(MAX_ANNOUNCEMENTS, len(unheard)))
         self._greet_all(some)
 
-    def greet_unheard(self) -> None:
+    def announce_to_all(self) -> None:
         """Report to all instances that are not heard, as the home: they follow another one."""
         self._greet_all(self.fleet.unheard(trio.current_time()))
 
@@ -190,8 +190,8 @@
     async def _tell(self) -> None:
         while True:
             with trio.move_on_after(REPORT_PERIOD_S):
-                await self.tell_now.wait()
-            self.tell_now = trio.Event()
+                await self.report_now.wait()
+            self.report_now = trio.Event()
             self._report()
             if len(self.fleet.live(trio.current_time())) == 1:
                 self._greet_seeds()
@@ -205,15 +205,15 @@
 
     def _own_report(self) -> InstanceReport:
         home = self.fleet.home(trio.current_time())
-        held = self.held()
+        held = self.held_updates()
         return InstanceReport(
             instance_row(self.fleet.own),
             home,
-            [held.epoch, held.version, self.missed()],
-            self.runs(),
-            self.answers(),
-            self.strikes(),
-            self.clears(),
+            [held.epoch, held.version, self.misses_updates()],
+            self.run_rows(),
+            self.answer_count_rows(),
+            self.strike_rows(),
+            self.clear_rows(),
             self.leaving(),
             self.limits.rows(trio.current_time()),
         )
@@ -250,9 +250,9 @@
         before = self.fleet.home(now_s)
         self.fleet.pointed(now_s, rows_of(view.instances, instance_of))
         if self.fleet.home(now_s) != before:
-            self.tell_soon()
+            self.report_soon()
 
-    def take_runners(
+    def apply_runner_list(
         self, runners: list, revision: int, read_s: float, *, by_home: bool = False
     ) -> None:
         """Take a reading of the list of runners, by this instance or by the home."""
@@ -262,9 +262,9 @@
             log(Event.RUNNER_LEAVES, runner=runner.id, service=runner.service, revision=revision)
         self._tell_gone(stopped)
         if stopped and self.is_home():
-            self.tell_soon()
+            self.report_soon()
 
-    def take_evacuations(self, zones: frozenset[ZoneName], revision: int, read_s: float) -> None:
+    def apply_evacuations(self, zones: frozenset[ZoneName], revision: int, read_s: float) -> None:
         """Take a reading of the evacuated zones, by this instance or by the home."""
         change = self.evacuations.take(zones, revision, read_s)
         if change is None:
@@ -277,23 +277,23 @@
         for zone in sorted(change.ended):
             log(Event.ZONE_BACK, zone=zone, revision=revision, age_ms=age_ms)
         if self.is_home():
-            self.tell_soon()
+            self.report_soon()
 
     def leaving(self) -> list[RunnerId]:
         """Give the runners that leave, for a report: the next home may know of none."""
-        return self.runners.leaving()[-MOST_LEAVING:]
+        return self.runners.leaving()[-MAX_LEAVING_REPORTED:]
 
-    def take_limits(self, per_s_by_id: Mapping[RunnerId, float]) -> None:
+    def apply_limits(self, per_s_by_id: Mapping[RunnerId, float]) -> None:
         """Take all limits of runners that the home knows of."""
         for runner in self.limits.told_all(trio.current_time(), per_s_by_id):
             self._limit_changed(runner)
 
-    def hear_limit(self, runner: RunnerId, per_s: float | None, sent_s: float) -> None:
+    def record_runner_limit(self, runner: RunnerId, per_s: float | None, sent_s: float) -> None:
         """Take what an answer to a request sent at `sent_s` says of a runner's limit."""
         if self.limits.heard(trio.current_time(), runner, per_s, sent_s):
             self._limit_changed(runner)
 
-    def take_limit(self, runner: RunnerId, per_s: float | None, age_s: float) -> None:
+    def record_peer_limit(self, runner: RunnerId, per_s: float | None, age_s: float) -> None:
         """Take another instance's word of what a runner said of its limit."""
         now_s = trio.current_time()
         if self.limits.told(now_s, runner, per_s, now_s - age_s):
@@ -305,15 +305,15 @@
             log(Event.RUNNER_UNLIMITED, runner=runner)
         else:
             log(Event.RUNNER_LIMITED, runner=runner, per_s=per_s)
-        self.tell_soon()
+        self.report_soon()
 
-    def take_crash_record(self, now_s: float, content: ContentId, record: CrashRecord) -> None:
+    def apply_crash_record(self, now_s: float, content: ContentId, record: CrashRecord) -> None:
         """Take what the home or the store knows of a request under which runners ended."""
         refused = self.crashes.refuses(content)
         if self.crashes.take(now_s, content, record):
             self._crashes_changed(content, was_refused=refused)
 
-    def strike(self, now_s: float, content: ContentId, strike: Strike) -> bool:
+    def record_strike(self, now_s: float, content: ContentId, strike: Strike) -> bool:
         """Note that a runner ended while it ran a request of this instance, or of another one.
 
         Tells whether that is news.
@@ -324,13 +324,13 @@
             self._crashes_changed(content, was_refused=refused)
         return changed
 
-    def take_clear(self, now_s: float, content: ContentId, cleared_round: int) -> None:
+    def apply_clear(self, now_s: float, content: ContentId, cleared_round: int) -> None:
         """Take it that a runner answered a request of another instance."""
         refused = self.crashes.refuses(content)
         if self.crashes.take_clear(now_s, content, cleared_round):
             self._crashes_changed(content, was_refused=refused)
 
-    def clear(self, now_s: float, content: ContentId) -> int | None:
+    def record_clear(self, now_s: float, content: ContentId) -> int | None:
         """Note that a request was answered, or let free; give the round that begins, if any."""
         refused = self.crashes.refuses(content)
         cleared_round = self.crashes.clear(now_s, content)
@@ -338,7 +338,7 @@
             self._crashes_changed(content, was_refused=refused)
         return cleared_round
 
-    def on_crash_record(self, taker: Callable[[], None]) -> None:
+    def on_crash_record_change(self, taker: Callable[[], None]) -> None:
         """Let `taker` know when a record of a request under which runners ended has changed."""
         self._crash_takers.append(taker)
 
@@ -351,24 +351,24 @@
         for taker in self._crash_takers:
             taker()
         if self.is_home():
-            self.tell_soon()
+            self.report_soon()
 
-    def runner_born(self, runner: RunnerId, born_ms: int) -> None:
+    def record_runner_start(self, runner: RunnerId, born_ms: int) -> None:
         """Take a runner's own word of when it started."""
         gone = self.runners.started(runner, born_ms)
         if gone is None:
             return
         log(Event.RUNNER_STARTED_AGAIN, runner=runner, born_ms=born_ms)
         self._tell_gone([gone])
-        self.tell_soon()
+        self.report_soon()
 
-    def runner_back(self, runner: RunnerId) -> None:
+    def confirm_runner(self, runner: RunnerId) -> None:
         """Take it that a runner whose entry came back answers for itself."""
         if self.runners.confirm(runner):
             log(Event.RUNNER_BACK, runner=runner, revision=self.runners.revision)
-            self.tell_soon()
+            self.report_soon()
 
-    def on_gone(self, taker: Callable[[Runner], None]) -> None:
+    def on_runner_ended(self, taker: Callable[[Runner], None]) -> None:
         """Let `taker` see each start of a runner that has surely ended."""
         self._gone_takers.append(taker)
 
@@ -378,8 +378,8 @@
                 for taker in self._gone_takers:
                     taker(runner)
 
-    def notice(self, runner: RunnerId) -> None:
+    def record_leaving(self, runner: RunnerId) -> None:
         """Take a runner's own word that it leaves."""
         if self.runners.notice(trio.current_time(), runner):
             log(Event.RUNNER_LEAVES, runner=runner, by="itself")
-            self.tell_soon()
+            self.report_soon()
--- a/egretstack/services/front_port.py
+++ b/egretstack/services/front_port.py
@@ -31,12 +31,12 @@
 
 LIMITS_AT_START = ServerLimits(16_384, 4_194_304, 3.0, 15.0)
 """Until a configuration is known."""
-MOST_BODY_BYTES = 24_000_000
+MAX_BODY_BYTES_IN_PROGRESS = 24_000_000
 """Bodies in progress, all together, in bytes. Each is held twice while it is joined and sent; with
 the 25 MB that a process needs by itself that is 73 MB of the smallest instances' 128 MB."""
 FULL_RETRY_S = 0.2
 """A body takes some 50 ms on a link of 100 Mbit/s, and other instances have room."""
-LOOK_S = 0.05
+DRAIN_CHECK_INTERVAL_S = 0.05
 STOP_MARGIN_S = 0.6
 """Time before the end of the grace at which the process stops by itself."""
 _CLOSE = (b"connection", b"close")
@@ -59,7 +59,7 @@
         self._store = kernel.get(StoreReading)
         self._metrics = kernel.get(RelayMetrics)
         self._in_progress = 0
-        self.body_room = BodyRoom(MOST_BODY_BYTES)
+        self.body_memory = BodyRoom(MAX_BODY_BYTES_IN_PROGRESS)
         gauge = self._metrics.gauge("egret_relay_in_progress", "Requests in progress.")
         gauge.set_function(lambda: self._in_progress)
         self._leaving = False
@@ -79,14 +79,14 @@
         """Serve those who still come by an older answer of the directory, until all is done."""
         node: NodeSettings = self.kernel.settings
         self._leaving = True
-        self._relaying.leave()
+        self._relaying.begin_leaving()
         began_s = trio.current_time()
         longest_s = node.bounds.grace_s - STOP_MARGIN_S
         while trio.current_time() - began_s < longest_s:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     async def _serve(self, stream: trio.SocketStream) -> None:
-        connection = ClientConnection(stream, self._limits(), self.body_room)
+        connection = ClientConnection(stream, self._limits(), self.body_memory)
         try:
             while await self._serve_one(connection):
                 connection.limits = self._limits()
@@ -151,12 +151,14 @@
             else:
                 answer = await self._relay_whole(task)
         except RequestFailed as error:
-            self._metrics.ended(kind, error.kind.value)
+            self._metrics.count_request(kind, error.kind.value)
             await self._refuse(connection, request.attempt_id, error)
             return
-        self._metrics.ended(kind, "stream" if answer is None else f"{answer.head.status // 100}xx")
+        self._metrics.count_request(
+            kind, "stream" if answer is None else f"{answer.head.status // 100}xx"
+        )
         if answer is not None:
-            self._metrics.answered(kind, trio.current_time() - began_s)
+            self._metrics.observe_answer(kind, trio.current_time() - began_s)
             await self._send(connection, answer)
             log(
                 Event.REQUEST_ANSWERED,
--- a/egretstack/services/instance_listing.py
+++ b/egretstack/services/instance_listing.py
@@ -12,12 +12,12 @@
 from egretstack.kernel import Kernel, Service
 from egretstack.platform import ObjectKind, RevisionConflict, StoreAway, StoredObject, is_address
 from egretstack.services.fleet_port import FleetPort
-from egretstack.services.store_reading import AWAY_PAUSE_S, StoreReading
+from egretstack.services.store_reading import UNAVAILABLE_PAUSE_S, StoreReading
 
-AWAY_LONG_PAUSE_S = 4.0
+UNAVAILABLE_LONG_PAUSE_S = 4.0
 """Pause after a call that the store did not answer, where nothing waits for the answer."""
-LOOK_S = 0.5
-UNLED_S = 1.5
+CHECK_INTERVAL_S = 0.5
+HOME_WAIT_S = 1.5
 """How long no other home is heard before an instance registers and lists. The seeds lead a starting
 one to the home, and the next in line follows a home that died; were all to register in
 that second, the store would get two calls of each for nothing. They serve meanwhile."""
@@ -51,18 +51,20 @@
                     await self._register()
                     registered = True
                 listing = await self._reading.store.list(ObjectKind.INSTANCE, allow_stale=True)
-                listed = [one for stored in listing.objects if (one := _listed(stored)) is not None]
+                listed = [
+                    one for stored in listing.objects if (one := _parse_listed(stored)) is not None
+                ]
                 if len(listed) < len(listing.objects):
                     log(Event.INSTANCE_UNREADABLE, count=len(listing.objects) - len(listed))
                 self._port.fleet.listed(trio.current_time(), listed)
                 if self._port.is_home():
-                    self._port.greet_unheard()
+                    self._port.announce_to_all()
                 else:
-                    self._port.greet_some()
+                    self._port.announce_to_some()
                 await trio.sleep(pause_s)
                 pause_s = min(2 * pause_s, LAST_LISTING_S)
             except StoreAway as error:
-                self._reading.away(error)
+                self._reading.record_unavailable(error)
                 await trio.sleep(self._away_pause_s())
 
     async def _until_unled(self) -> None:
@@ -70,8 +72,8 @@
         if not self._port.has_seeds() and not self._port.fleet.known():
             return  # The first of a fleet waits for nobody.
         unled_since_s = trio.current_time()
-        while trio.current_time() - unled_since_s < UNLED_S:
-            await trio.sleep(LOOK_S)
+        while trio.current_time() - unled_since_s < HOME_WAIT_S:
+            await trio.sleep(CHECK_INTERVAL_S)
             if self._port.fleet.is_led(trio.current_time()):
                 unled_since_s = trio.current_time()
 
@@ -82,7 +84,7 @@
         calls a second for as long as the store turns it away.
         """
         alone = len(self._port.fleet.live(trio.current_time())) == 1
-        return AWAY_PAUSE_S if alone else AWAY_LONG_PAUSE_S
+        return UNAVAILABLE_PAUSE_S if alone else UNAVAILABLE_LONG_PAUSE_S
 
     async def _register(self) -> None:
         """Write where this instance is; a write without an answer is made again, to no harm."""
@@ -102,7 +104,7 @@
         log(Event.INSTANCE_REGISTERED, already=False)
 
 
-def _listed(stored: StoredObject) -> KnownInstance | None:
+def _parse_listed(stored: StoredObject) -> KnownInstance | None:
     """Give an instance that the store lists; None if the entry is not one of this system's."""
     spec = stored.spec
     zone, front, peer = (spec.get(name) for name in ("zone", "front", "peer"))
--- a/egretstack/services/instances.py
+++ b/egretstack/services/instances.py
@@ -55,7 +55,7 @@
         if self.last_read is not None:
             await reading(self.last_read)
 
-    def put(self, members: list[Member]) -> None:
+    def set_members(self, members: list[Member]) -> None:
         """Hold these members, and tell of a change."""
         if members == self._members:
             return
@@ -96,6 +96,6 @@
         self._away = False
         self.last_read = members
         if self._reading is None:
-            self.put(members)
+            self.set_members(members)
         else:
             await self._reading(members)
--- a/egretstack/services/ledger_store.py
+++ b/egretstack/services/ledger_store.py
@@ -41,20 +41,20 @@
 from egretstack.services.peer_port import PeerPort
 from egretstack.services.platform_access import PlatformAccess
 
-BEGIN_PATIENCE_S = 2.5
+BEGIN_TIMEOUT_S = 2.5
 """How long a call waits for its intent to be written."""
-HOME_PATIENCE_S = 0.3
+HOME_TIMEOUT_S = 0.3
 """How long the shard's home is waited for before one writes oneself."""
-FINISH_PATIENCE_S = 0.5
+FINISH_TIMEOUT_S = 0.5
 """How long an answer waits for its outcome to be written; it is written later otherwise."""
-SEND_WITHIN_S = 5.0
+MAX_SEND_AGE_S = 5.0
 """Age of an intent, from before it was written, above which it is not sent any more."""
 DEADLINE_MARGIN_S = 10.0
-NOT_RUN_KEPT_S = 600.0
+NOT_RUN_RETENTION_S = 600.0
 PLATFORM_RETRY_S = 5.0
 MAX_ATTEMPTS = 10_000
-DRAIN_PATIENCE_S = 30.0
-FENCES_PER_S = 1_000
+DRAIN_TIMEOUT_S = 30.0
+FENCING_NUMBERS_PER_S = 1_000
 """A key's first fencing number is its time in milliseconds, so that one which was forgotten and
 is used again starts above the numbers that the service remembers."""
 _PEER = "peer"
@@ -76,8 +76,8 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Hold the tasks that write."""
-        self.kernel.get(PeerPort).answer(AttemptAsk, self._answer)
-        self.kernel.get(PeerPort).answer(ShardAsk, self._write_for_peer)
+        self.kernel.get(PeerPort).register_handler(AttemptAsk, self._answer)
+        self.kernel.get(PeerPort).register_handler(ShardAsk, self._write_for_peer)
         api = self.kernel.get(PlatformAccess).object_api
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
@@ -87,7 +87,7 @@
 
     async def drain(self) -> None:
         """Write what is left, within a bound: with the platform away it would never end."""
-        with trio.move_on_after(DRAIN_PATIENCE_S):
+        with trio.move_on_after(DRAIN_TIMEOUT_S):
             while not self._store.idle:
                 await trio.sleep(0.1)
 
@@ -101,7 +101,7 @@
             raise _away("the store did not answer a moment ago")
         began_s = trio.current_time()
         row = self._new_row(ask)
-        operation = Operation(Wanted.BEGIN, ask.key, row, began_s + BEGIN_PATIENCE_S, ask.over)
+        operation = Operation(Wanted.BEGIN, ask.key, row, began_s + BEGIN_TIMEOUT_S, ask.over)
         self._book.begin(row.attempt)
         if await self._ask_home(number, operation):
             outcome = operation.outcome
@@ -127,7 +127,7 @@
         forgotten meanwhile and used again, so what it would send now could run a second time.
         """
         age_s = trio.current_time() - intent.began_s
-        if age_s > SEND_WITHIN_S or not self._book.may_send(intent.row.attempt):
+        if age_s > MAX_SEND_AGE_S or not self._book.may_send(intent.row.attempt):
             log(Event.INTENT_TOO_OLD, attempt=intent.row.attempt, age_s=round(age_s, 3))
             proof = NotRunProof(f"the intent was {age_s:.1f} s old, so the call was not sent")
             raise EgretError(ErrorKind.NOT_RUN, proof.reason, proof=proof)
@@ -135,7 +135,7 @@
     async def release(self, intent: Intent) -> None:
         """Free the key of an intent that was not sent and, from this moment, never will be."""
         self._book.abandon(intent.row.attempt)
-        until_s = min(intent.row.until_s, self.kernel.epoch.now() + NOT_RUN_KEPT_S)
+        until_s = min(intent.row.until_s, self.kernel.epoch.now() + NOT_RUN_RETENTION_S)
         row = replace(intent.row.ended(CallState.NOT_RUN), until_s=until_s)
         await self._finish(intent, row)
 
@@ -156,7 +156,7 @@
             return Stage.SILENT
         ask = AttemptAsk(row.boot, row.attempt)
         try:
-            told = await self.kernel.get(PeerPort).ask(
+            told = await self.kernel.get(PeerPort).request(
                 row.owner, owner.host, owner.ports[_PEER], ask
             )
             return Stage(told.stage)
@@ -171,7 +171,7 @@
             return operation.outcome is not Outcome.LOST
         self._store.submit(number, operation)
         self._nursery.start_soon(self._forget_after, number, operation)
-        with trio.move_on_after(FINISH_PATIENCE_S):
+        with trio.move_on_after(FINISH_TIMEOUT_S):
             while operation.outcome is None:
                 await trio.sleep(0.005)
         return operation.outcome is not Outcome.LOST
@@ -188,13 +188,13 @@
         if home is None or home == self._owner:
             return False
         operation.forwarded = True
-        until_s = self.kernel.epoch.now() + HOME_PATIENCE_S
+        until_s = self.kernel.epoch.now() + HOME_TIMEOUT_S
         ask = ask_of(number, operation, until_s)
         member = member_by_id[home]
-        with trio.move_on_after(HOME_PATIENCE_S):
+        with trio.move_on_after(HOME_TIMEOUT_S):
             try:
                 port = self.kernel.get(PeerPort)
-                told = await port.ask(home, member.host, member.ports[_PEER], ask)
+                told = await port.request(home, member.host, member.ports[_PEER], ask)
             except (PeerGone, PeerRefused):
                 return False
             return isinstance(told, ShardTell) and take_tell(told, operation)
@@ -224,8 +224,8 @@
             self._boot,
             ask.fingerprint,
             CallState.INTENT,
-            int(now_s * FENCES_PER_S),
-            now_s + ask.timeout_s + SEND_WITHIN_S + DEADLINE_MARGIN_S,
+            int(now_s * FENCING_NUMBERS_PER_S),
+            now_s + ask.timeout_s + MAX_SEND_AGE_S + DEADLINE_MARGIN_S,
             now_s + ask.retention_s,
         )
 
--- a/egretstack/services/length_sharing.py
+++ b/egretstack/services/length_sharing.py
@@ -38,7 +38,7 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Answer peers, and ask one of them each period."""
-        self.kernel.get(PeerPort).answer(LengthsAsk, self._answer)
+        self.kernel.get(PeerPort).register_handler(LengthsAsk, self._answer)
         task_status.started()
         while True:
             await trio.sleep(PERIOD_S)
@@ -54,7 +54,7 @@
         peer = InstanceId(source.id)
         port = source.ports[_PORT]
         try:
-            answer = await self.kernel.get(PeerPort).ask(peer, source.host, port, LengthsAsk())
+            answer = await self.kernel.get(PeerPort).request(peer, source.host, port, LengthsAsk())
             if not isinstance(answer, LengthsAnswer) or not isinstance(answer.packed, bytes):
                 raise PeerRefused("not an answer about lengths")
             summary = unpack_summary(answer.packed)
@@ -64,7 +64,7 @@
         except (PeerRefused, ValueError) as error:
             log(Event.PEER_REFUSED, error=str(error))
             return
-        self.kernel.get(Dispatching).learned(LengthsLearned(peer, summary))
+        self.kernel.get(Dispatching).add_lengths(LengthsLearned(peer, summary))
 
     def _sources(self) -> list[Member]:
         live = self.kernel.get(Instances).members(ENTRY_SERVICE, MemberState.LIVE)
--- a/egretstack/services/limits.py
+++ b/egretstack/services/limits.py
@@ -50,7 +50,7 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Answer entries, and send the asks that are due."""
-        self.kernel.get(PeerPort).answer_peer(LimitsAsk, self._answer)
+        self.kernel.get(PeerPort).register_peer_handler(LimitsAsk, self._answer)
         self.kernel.get(Membership).on_change(self._see)
         self._see()
         async with trio.open_nursery() as nursery:
@@ -132,7 +132,9 @@
             raise PeerGone("not listed")
         port = member.ports[PEER_PORT]
         with trio.move_on_after(ASK_TIMEOUT_S):
-            answer = await self.kernel.get(PeerPort).ask(ask.home, member.host, port, ask.message)
+            answer = await self.kernel.get(PeerPort).request(
+                ask.home, member.host, port, ask.message
+            )
             if isinstance(answer, LimitsAnswer):
                 return answer
             raise PeerRefused("not an answer about limits")
--- a/egretstack/services/membership.py
+++ b/egretstack/services/membership.py
@@ -64,7 +64,7 @@
         """Send heartbeats, answer them, and follow the list."""
         await self.kernel.get(Instances).on_reading(self._take_reading)
         port = self.kernel.get(PeerPort)
-        port.answer_peer(Heartbeat, self._answer)
+        port.register_peer_handler(Heartbeat, self._answer)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._leave_when_draining)
             task_status.started()
@@ -123,7 +123,7 @@
         """Let heartbeats carry this applied revision; the next ones go out at once."""
         self._state.set_revision(revision)
 
-    def notice_runner(self, runner: RunnerId, leaving: bool, *, for_good: bool) -> None:
+    def publish_runner_notice(self, runner: RunnerId, leaving: bool, *, for_good: bool) -> None:
         """Let every instance know that a runner leaves, or takes work again.
 
         A notice that is not for good ends after some minutes unless it is given again.
@@ -157,7 +157,7 @@
         port = ask.peer.ports.get(_port_name(self.kernel))
         if port is None:
             raise PeerGone("no peer port is listed")
-        answer = await self.kernel.get(PeerPort).ask(
+        answer = await self.kernel.get(PeerPort).request(
             InstanceId(ask.peer.id),
             ask.peer.host,
             port,
@@ -200,7 +200,7 @@
         """Tell listeners of what has changed since they were told last."""
         if self._told_changes != self._state.changes:
             self._told_changes = self._state.changes
-            self.kernel.get(Instances).put(self._state.members())
+            self.kernel.get(Instances).set_members(self._state.members())
             self._log_states()
         live = self.live_instances()
         if live == self._told_live:
--- a/egretstack/services/operator_port.py
+++ b/egretstack/services/operator_port.py
@@ -76,7 +76,7 @@
         """Let every instance know of an operator's order about a runner."""
         if not is_name(runner) or not self.kernel.has(Membership):
             return Response(json.dumps({"error": "no such runner here"}), status=404)
-        self.kernel.get(Membership).notice_runner(RunnerId(runner), leaving, for_good=True)
+        self.kernel.get(Membership).publish_runner_notice(RunnerId(runner), leaving, for_good=True)
         body = {"runner": runner, "leaving": leaving}
         return Response(json.dumps(body), content_type="application/json")
 
--- a/egretstack/services/peer_port.py
+++ b/egretstack/services/peer_port.py
@@ -22,7 +22,7 @@
 )
 from egretstack.services.platform_access import PlatformAccess
 
-ASK_TIMEOUT_S = 2.0
+REQUEST_TIMEOUT_S = 2.0
 MAX_LINKS = 512
 MAX_LINKS_OF_PEER = 8
 MAX_OPEN_LINKS = 512
@@ -31,8 +31,8 @@
 REUSE_S = 30.0
 """Least idle time after which a link is opened anew; below `IDLE_LINK_S`, so that a question is
 never sent into a link that the other side is closing."""
-Answerer = Callable[[Message], Awaitable[Message]]
-PeerAnswerer = Callable[[InstanceId, Message], Awaitable[Message]]
+Handler = Callable[[Message], Awaitable[Message]]
+PeerHandler = Callable[[InstanceId, Message], Awaitable[Message]]
 
 
 class Lane(Enum):
@@ -60,13 +60,13 @@
 
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
-        self._answerer_by_kind: dict[type[Message], PeerAnswerer] = {}
+        self._answerer_by_kind: dict[type[Message], PeerHandler] = {}
         self._link_by_place: dict[_Place, _OpenLink] = {}
         self._lock_by_place: dict[_Place, trio.Lock] = {}
         self._accepted = 0
         self._accepted_by_peer: Counter[InstanceId] = Counter()
 
-    def answer(self, kind: type[Message], answerer: Answerer) -> None:
+    def register_handler(self, kind: type[Message], answerer: Handler) -> None:
         """Let `answerer` answer messages of a kind."""
 
         async def without_sender(_: InstanceId, message: Message) -> Message:
@@ -74,7 +74,7 @@
 
         self._answerer_by_kind[kind] = without_sender
 
-    def answer_peer(self, kind: type[Message], answerer: PeerAnswerer) -> None:
+    def register_peer_handler(self, kind: type[Message], answerer: PeerHandler) -> None:
         """Let `answerer` answer messages of a kind, given the sender's proven name too."""
         self._answerer_by_kind[kind] = answerer
 
@@ -87,13 +87,13 @@
             await nursery.start(access.serve_streams, self._serve, address, int(port))
             task_status.started()
 
-    async def ask(
+    async def request(
         self,
         peer: InstanceId,
         host: str,
         port: int,
         message: Message,
-        timeout_s: float = ASK_TIMEOUT_S,
+        timeout_s: float = REQUEST_TIMEOUT_S,
         lane: Lane = Lane.ORDINARY,
     ) -> Message:
         """Ask a peer. Raises PeerGone (also where no answer came in time), PeerRefused."""
--- a/egretstack/services/placing_home.py
+++ b/egretstack/services/placing_home.py
@@ -42,14 +42,14 @@
 from egretstack.platform import NodeSettings
 from egretstack.routing import ColdPlan
 from egretstack.services.engine_reports import EngineReports
-from egretstack.services.fleet_news import FleetNewsService
-from egretstack.services.fleet_port import IDLE_LOOK_S, FleetPort
+from egretstack.services.fleet_news import FleetUpdatesService
+from egretstack.services.fleet_port import IDLE_POLL_INTERVAL_S, FleetPort
 from egretstack.services.store_reading import StoreReading
 from egretstack.traffic import RunnerReport
 
-MOST_RETRY_S = 10.0
+MAX_RETRY_AFTER_S = 10.0
 """Longest time that a caller is told to wait before it comes back."""
-SETTLE_S = 0.05
+WAIT_LIST_POLL_INTERVAL_S = 0.05
 """How often the home looks for room for what waits, besides whenever something is asked."""
 
 
@@ -65,25 +65,25 @@
         self._store = kernel.get(StoreReading)
         settings: NodeSettings = kernel.settings
         self.split = FleetSplit(settings.instance)
-        self.cold = ColdRation(self.split, self._port.runners, settings.bounds)
-        self.cold.plan = self._cold_plan
+        self.cold_allocation = ColdRation(self.split, self._port.runners, settings.bounds)
+        self.cold_allocation.plan = self._cold_plan
         limits = LimitRation(self.split, self._port.runners, self._port.limits)
-        self.rests = RunnerRests(self._port.runners)
-        self.bounds = SendBounds((self.cold, limits, self.rests))
-        self.placer = Placer(self._port.runners, kernel.rng, self.bounds)
+        self.backoffs = RunnerRests(self._port.runners)
+        self.send_bounds = SendBounds((self.cold_allocation, limits, self.backoffs))
+        self.placer = Placer(self._port.runners, kernel.rng, self.send_bounds)
         self.own_runs: Callable[[], list[Run]] = list
         """Gives the runs of this instance."""
-        self.answer_here: Callable[[Message], None] = lambda message: None
+        self.on_local_answer: Callable[[Message], None] = lambda message: None
         """Takes answers to this instance's own questions."""
         self._turns = MoveTurns()
         self._asker_by_attempt: dict[str, InstanceId] = {}
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Answer peers until cancelled."""
-        self._port.runs = lambda: [run_row(run) for run in self.own_runs()]
-        self.kernel.get(FleetNewsService).loads = self._load_rows
+        self._port.run_rows = lambda: [run_row(run) for run in self.own_runs()]
+        self.kernel.get(FleetUpdatesService).load_rows = self._load_rows
         self._port.handle(FleetLoads, self._take_loads)
-        self._port.on_report(self._take_report)
+        self._port.on_report_received(self._take_report)
         self._port.handle(PlaceAsk, self._answer_peer)
         self._port.handle(PlaceDrop, self._answer_peer)
         self._port.handle(BackupAsk, self._answer_peer)
@@ -94,15 +94,15 @@
         while True:
             if self._port.is_home():
                 self._settle()
-                await trio.sleep(SETTLE_S)
+                await trio.sleep(WAIT_LIST_POLL_INTERVAL_S)
             else:
-                await trio.sleep(IDLE_LOOK_S)
+                await trio.sleep(IDLE_POLL_INTERVAL_S)
 
     def _cold_plan(self, service: ServiceName) -> ColdPlan | None:
         plan = self._store.service(service)
         return None if plan is None else plan.cold
 
-    def ask(self, message: Message) -> None:
+    def handle_request(self, message: Message) -> None:
         """Take a question of any instance, this one too; what can't be answered is left alone."""
         if isinstance(message, PlaceAsk):
             self._place(message)
@@ -115,12 +115,12 @@
         elif isinstance(message, MoveDone):
             self._end_turn(message.attempt, RunnerId(message.source))
 
-    def refresh(self) -> None:
+    def refresh_own_runs(self) -> None:
         """Bring the runs of this instance in the book up to date."""
         self.placer.book.reported(self.kernel.settings.instance, list(self.own_runs()))
 
     def _answer_peer(self, message: Message, sender: tuple[str, int]) -> None:
-        self.ask(message)
+        self.handle_request(message)
 
     def _place(self, ask: PlaceAsk) -> None:
         work = work_of(ask.work)
@@ -142,7 +142,7 @@
 
     def _settle(self) -> set[str]:
         """Place what waits and tell those who asked; give the attempts that have a place now."""
-        self.refresh()
+        self.refresh_own_runs()
         placed = self.placer.settle(trio.current_time())
         for one in placed:
             asker = self._asker_by_attempt.pop(one.attempt, None)
@@ -161,7 +161,7 @@
 
     def _choose_backup(self, ask: BackupAsk) -> None:
         asker = InstanceId(ask.sender)
-        self.refresh()
+        self.refresh_own_runs()
         run = self.placer.book.run(ask.attempt)
         engine = None if run is None else self._store.engine(run.work.service)
         if engine is None or not self._can_answer(asker):
@@ -173,7 +173,7 @@
 
     def _take_turn_ask(self, ask: MoveAsk) -> None:
         asker = InstanceId(ask.sender)
-        self.refresh()
+        self.refresh_own_runs()
         if not self._can_answer(asker) or self.placer.book.run(ask.attempt) is None:
             return  # Asked again soon; the run's report may have been lost.
         self._asker_by_attempt[ask.attempt] = asker
@@ -224,12 +224,12 @@
     def _answer(self, asker: InstanceId, message: Message) -> None:
         address = self._port.address_of(asker)
         if address is None:
-            self.answer_here(message)
+            self.on_local_answer(message)
         else:
             self._port.send(address, message)
 
     def _load_rows(self) -> list:
-        self.refresh()
+        self.refresh_own_runs()
         now_s = trio.current_time()
         self.placer.gone(known.instance.id for known in self._port.fleet.live(now_s))
         return self.placer.book.load_rows(now_s)
@@ -238,7 +238,7 @@
         self.placer.book.reported(instance, [run_of(row) for row in report.runs])
 
     def _take_measure(self, runner: RunnerId, report: RunnerReport) -> None:
-        self.refresh()
+        self.refresh_own_runs()
         self.placer.book.measured(trio.current_time(), runner, report.kv_used_tokens)
 
     def _take_loads(self, told: FleetLoads, sender: tuple[str, int]) -> None:
@@ -248,4 +248,4 @@
 
 
 def _retry_ms(wait_s: float) -> int:
-    return round(min(MOST_RETRY_S, wait_s) * 1000)
+    return round(min(MAX_RETRY_AFTER_S, wait_s) * 1000)
--- a/egretstack/services/relay_metrics.py
+++ b/egretstack/services/relay_metrics.py
@@ -54,11 +54,11 @@
         """Add a gauge of another service's; the values of its labels come from closed lists."""
         return Gauge(name, meaning, labels, registry=self.registry)
 
-    def ended(self, kind: RouteKind | None, outcome: str) -> None:
+    def count_request(self, kind: RouteKind | None, outcome: str) -> None:
         """Count a request; the kind is None where no route was found."""
         self._requests.labels("none" if kind is None else kind.value, outcome).inc()
 
-    def answered(self, kind: RouteKind, seconds: float) -> None:
+    def observe_answer(self, kind: RouteKind, seconds: float) -> None:
         """Note the time to an answer or a first event."""
         self._seconds.labels(kind.value).observe(seconds)
 
--- a/egretstack/services/relaying.py
+++ b/egretstack/services/relaying.py
@@ -23,15 +23,15 @@
 from egretstack.services.engine_placing import EnginePlacingService
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.placing_home import PlacingHome
-from egretstack.services.runner_words import RunnerWordsService
+from egretstack.services.runner_words import RunnerSignalsService
 from egretstack.services.store_reading import StoreReading
 from egretstack.traffic import ClientRequest
 
-INSTANCES_LOOK_S = 0.5
+INSTANCES_CHECK_INTERVAL_S = 0.5
 STARTING_RETRY_S = 0.5
 LEAVING_RETRY_S = 0.05
 """A leaving instance sends clients to another one, which can take them at once."""
-TOKEN_S = 0.012
+TOKEN_TIME_S = 0.012
 """Time for one output token of a stream on a busy engine, by which a leaving instance judges
 whether a stream would end before the process has to."""
 STREAM_START_S = 1.0
@@ -69,23 +69,23 @@
             placing=kernel.get(EnginePlacingService),
             budget=RetryBudget(node.bounds),
             pool=ConnectionPool(),
-            bounds=kernel.get(PlacingHome).bounds,
-            rests=kernel.get(PlacingHome).rests,
+            bounds=kernel.get(PlacingHome).send_bounds,
+            rests=kernel.get(PlacingHome).backoffs,
             crashes=kernel.get(CrashGuardService),
-            words=kernel.get(RunnerWordsService),
+            words=kernel.get(RunnerSignalsService),
         )
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Keep the shared tools up to date."""
         # A connection to a process that ended behind a cut looks whole: a request sent on it would
         # wait for nothing.
-        self._port.on_gone(lambda runner: self.tools.pool.forget(runner.address))
+        self._port.on_runner_ended(lambda runner: self.tools.pool.forget(runner.address))
         task_status.started()
         try:
             while True:
                 now_s = trio.current_time()
                 self._count_instances(now_s)
-                await trio.sleep_until(now_s + INSTANCES_LOOK_S)
+                await trio.sleep_until(now_s + INSTANCES_CHECK_INTERVAL_S)
         finally:
             self.tools.pool.close()
 
@@ -96,7 +96,7 @@
         self._split.others = tuple(one.id for one in others)
         self._split.heard = len(self._port.fleet.live(now_s)) - 1
 
-    def leave(self) -> None:
+    def begin_leaving(self) -> None:
         """Take no new work that could not end before the process has to."""
         self._leaving_since_s = trio.current_time()
 
@@ -168,4 +168,4 @@
         if task.route.kind is not RouteKind.STREAM:
             return LAST_CALL_S
         wants = task.request.generation
-        return STREAM_START_S + (wants.max_output_tokens * TOKEN_S if wants else left_s)
+        return STREAM_START_S + (wants.max_output_tokens * TOKEN_TIME_S if wants else left_s)
--- a/egretstack/services/runner_list.py
+++ b/egretstack/services/runner_list.py
@@ -10,7 +10,7 @@
 from egretstack.events import Event, log
 from egretstack.kernel import Kernel
 from egretstack.platform import Change, ObjectKind, RunnerEntries
-from egretstack.services.fleet_port import IDLE_LOOK_S
+from egretstack.services.fleet_port import IDLE_POLL_INTERVAL_S
 from egretstack.services.relay_metrics import RelayMetrics
 from egretstack.services.store_following import StoreFollower
 
@@ -18,11 +18,11 @@
 OWN_READING_SHARE = 0.6
 """Part of the time in which a runner's notice has to be known everywhere, after which an instance
 without news from the home reads for itself; one reading takes some 10 ms."""
-NEW_HOME_S = 0.5
+NEW_HOME_SETTLE_S = 0.5
 """Time for a new home to read the list for the first time; the former one may have left it old."""
-MOST_BAD_LOGGED = 8
+MAX_BAD_LOGGED = 8
 """Lines for bad entries of one reading; anyone may write there, and a log line costs some 50 us."""
-MOST_NAME_LOGGED = 128
+MAX_NAME_LOGGED = 128
 """Characters of a bad entry's name that are logged."""
 
 
@@ -51,15 +51,15 @@
         """Tell when this home hears of runners too late: its calls may hang for long."""
         home_since_s = None
         while True:
-            await trio.sleep(IDLE_LOOK_S)
+            await trio.sleep(IDLE_POLL_INTERVAL_S)
             if not self._port.is_home():
                 home_since_s = None
                 continue
             now_s = trio.current_time()
             home_since_s = now_s if home_since_s is None else home_since_s
-            settled = now_s - home_since_s > NEW_HOME_S
+            settled = now_s - home_since_s > NEW_HOME_SETTLE_S
             if settled and self._port.runners.by_id and not self._is_told():
-                self._reading.late()
+                self._reading.record_late()
 
     def _is_told(self) -> bool:
         old_s = self.kernel.settings.bounds.runner_drain_s * OWN_READING_SHARE
@@ -77,12 +77,12 @@
             )
             self._take_entries(changes.changes, changes.unnamed)
             self._revision = changes.revision
-        self._port.take_runners(self._entries.runners(), self._revision, trio.current_time())
+        self._port.apply_runner_list(self._entries.runners(), self._revision, trio.current_time())
 
     def _take_entries(self, changes: Iterable[Change], unnamed: int) -> None:
         bad = self._entries.take(changes)
-        for entry in bad[:MOST_BAD_LOGGED]:
-            log(Event.RUNNER_UNREADABLE, runner=entry.name[:MOST_NAME_LOGGED], error=entry.error)
-        if unnamed or len(bad) > MOST_BAD_LOGGED:
-            more = max(0, len(bad) - MOST_BAD_LOGGED)
+        for entry in bad[:MAX_BAD_LOGGED]:
+            log(Event.RUNNER_UNREADABLE, runner=entry.name[:MAX_NAME_LOGGED], error=entry.error)
+        if unnamed or len(bad) > MAX_BAD_LOGGED:
+            more = max(0, len(bad) - MAX_BAD_LOGGED)
             log(Event.RUNNER_UNREADABLE, runner="", more=more, without_name=unnamed)
--- a/egretstack/services/runner_returns.py
+++ b/egretstack/services/runner_returns.py
@@ -13,13 +13,13 @@
 from egretstack.http1 import ConnectFailed
 from egretstack.ids import RunnerId
 from egretstack.kernel import Kernel, Service
-from egretstack.services._runner_health import NoHealthAnswer, ask_health
+from egretstack.services._runner_health import NoHealthAnswer, fetch_health
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.placing_home import PlacingHome
 from egretstack.services.store_reading import StoreReading
 from egretstack.traffic import RunnerHealth
 
-LOOK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 """How often returned runners are asked; they are few, and each question takes a slot of theirs."""
 TIMEOUT_S = 0.5
 
@@ -34,14 +34,14 @@
         super().__init__(kernel)
         self._port = kernel.get(FleetPort)
         self._store = kernel.get(StoreReading)
-        self._rests = kernel.get(PlacingHome).rests
+        self._rests = kernel.get(PlacingHome).backoffs
         self._told_not_back: set[RunnerId] = set()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Ask while this instance is the home."""
         task_status.started()
         while True:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(CHECK_INTERVAL_S)
             if not self._port.is_home():
                 continue
             evacuated = self._port.runners.evacuated
@@ -64,7 +64,7 @@
         said = None if health is None else health.name
         if said == runner.incarnation.name:
             self._port.runners.became_cold(trio.current_time(), runner.id, health.cold_s)
-            self._port.runner_back(runner.id)
+            self._port.confirm_runner(runner.id)
         elif runner.id not in self._told_not_back:
             self._told_not_back.add(runner.id)
             log(Event.RUNNER_NOT_BACK, runner=runner.id, answered=said)
@@ -72,7 +72,7 @@
     async def _health(self, runner: Runner, path: str) -> RunnerHealth | None:
         """Give what a healthy runner at a runner's address says; None if none answers."""
         try:
-            return await ask_health(runner, path, TIMEOUT_S, TIMEOUT_S)
+            return await fetch_health(runner, path, TIMEOUT_S, TIMEOUT_S)
         except ConnectFailed:
             return None
         except NoHealthAnswer as error:
--- a/egretstack/services/runner_strikes.py
+++ b/egretstack/services/runner_strikes.py
@@ -7,11 +7,11 @@
 from egretstack.ids import InstanceId, RunnerId
 from egretstack.kernel import Kernel, Service
 from egretstack.placing import FleetStrikes, count_of, count_row
-from egretstack.services.fleet_port import IDLE_LOOK_S, FleetPort
+from egretstack.services.fleet_port import IDLE_POLL_INTERVAL_S, FleetPort
 from egretstack.services.relaying import Relaying
 from egretstack.services.store_reading import StoreReading
 
-LOOK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 """How often the home judges, besides at each report; clears suspects in time."""
 
 
@@ -30,12 +30,12 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Report and judge until cancelled."""
-        self._port.answers = self._rows
-        self._port.on_report(self._take_report)
-        self.kernel.get(Relaying).tools.on_break = self._port.tell_soon
+        self._port.answer_count_rows = self._rows
+        self._port.on_report_received(self._take_report)
+        self.kernel.get(Relaying).tools.on_break = self._port.report_soon
         task_status.started()
         while True:
-            await trio.sleep(LOOK_S if self._port.is_home() else IDLE_LOOK_S)
+            await trio.sleep(CHECK_INTERVAL_S if self._port.is_home() else IDLE_POLL_INTERVAL_S)
             if self._port.is_home():
                 self._judge()
 
@@ -61,4 +61,4 @@
         if suspects != self._port.runners.suspects:
             log(Event.RUNNERS_SUSPECTED, runners=",".join(sorted(suspects)))
             self._port.runners.suspects = suspects
-            self._port.tell_soon()
+            self._port.report_soon()
--- a/egretstack/services/runner_words.py
+++ b/egretstack/services/runner_words.py
@@ -16,7 +16,7 @@
 FORGET_PERIOD_S = 30.0
 
 
-class RunnerWordsService(Service, RunnerWords):
+class RunnerSignalsService(Service, RunnerWords):
     """Learns what runners take: so many requests a second, none for a while, or no more."""
 
     name = "runner_words"
@@ -25,8 +25,8 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self._port = kernel.get(FleetPort)
-        self._rests = kernel.get(PlacingHome).rests
-        self._bounds = kernel.get(PlacingHome).bounds
+        self._rests = kernel.get(PlacingHome).backoffs
+        self._bounds = kernel.get(PlacingHome).send_bounds
         gauge = kernel.get(RelayMetrics).gauge(
             "egret_relay_limited_runners", "Runners that name how many requests a second they take."
         )
@@ -34,7 +34,7 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Forget runners that are gone, until cancelled."""
-        self._port.on_report(self._take_report)
+        self._port.on_report_received(self._take_report)
         task_status.started()
         while True:
             await trio.sleep(FORGET_PERIOD_S)
@@ -45,12 +45,12 @@
         """Take what a runner says beside its answer to a request that was sent at `sent_s`."""
         if answer.misdirected:
             return  # Another runner's word.
-        self._port.hear_limit(runner, answer.limit_per_s, sent_s)
+        self._port.record_runner_limit(runner, answer.limit_per_s, sent_s)
         is_news = answer.leaving and not self._port.runners.is_leaving(runner)
         if is_news or answer.rest_s is not None:
             log(Event.RUNNER_WORD, runner=runner, leaving=answer.leaving, rest_s=answer.rest_s)
         if answer.leaving:
-            self._port.notice(runner)
+            self._port.record_leaving(runner)
         if answer.rest_s is not None:
             self._rests.asked(trio.current_time(), runner, answer.rest_s)
 
@@ -62,7 +62,7 @@
             log(Event.PEER_REFUSED, sender=instance, error=str(error))
             return
         for runner in leaving:
-            self._port.notice(runner)
+            self._port.record_leaving(runner)
         for runner, per_s, age_s in limits:
             if runner in self._port.runners.by_id:
-                self._port.take_limit(runner, per_s, age_s)
+                self._port.record_peer_limit(runner, per_s, age_s)
--- a/egretstack/services/runners.py
+++ b/egretstack/services/runners.py
@@ -25,9 +25,9 @@
 from egretstack.upstreams import EngineClient, EngineError, LoadReport, PlainService
 
 REPORT_TIMEOUT_S = 2.0
-RENEW_S = 60.0
+NOTICE_RENEWAL_S = 60.0
 """How often it is spread again that a runner's own report says it leaves."""
-CLIENT_KEPT_S = 3600.0
+CLIENT_TTL_S = 3600.0
 """How long the client of a runner that is not listed any more is kept, for what still runs."""
 
 
@@ -83,7 +83,7 @@
         self._turns.choose(chosen)
         self._turns_changed.set()
 
-    def doubt(self, runner_id: RunnerId) -> None:
+    def check_soon(self, runner_id: RunnerId) -> None:
         """Read a runner's report out of turn, after a refused connection or a broken stream."""
         self._turns.doubt(runner_id)
         self._turns_changed.set()
@@ -136,7 +136,7 @@
         for runner_id in list(self._engine_by_id):
             if runner_id in listed:
                 self._unlisted_s.pop(runner_id, None)
-            elif now_s - self._unlisted_s.setdefault(runner_id, now_s) >= CLIENT_KEPT_S:
+            elif now_s - self._unlisted_s.setdefault(runner_id, now_s) >= CLIENT_TTL_S:
                 del self._engine_by_id[runner_id]
                 del self._member_by_id[runner_id]
                 del self._unlisted_s[runner_id]
@@ -191,12 +191,12 @@
         """Let instances that do not read this runner's reports know what it says."""
         now_s = trio.current_time()
         renewed_s = self._renewed_s.get(runner_id)
-        if leaving and (renewed_s is None or now_s - renewed_s >= RENEW_S):
+        if leaving and (renewed_s is None or now_s - renewed_s >= NOTICE_RENEWAL_S):
             self._renewed_s[runner_id] = now_s
-            self.kernel.get(Membership).notice_runner(runner_id, True, for_good=False)
+            self.kernel.get(Membership).publish_runner_notice(runner_id, True, for_good=False)
         elif not leaving and renewed_s is not None:
             del self._renewed_s[runner_id]
-            self.kernel.get(Membership).notice_runner(runner_id, False, for_good=False)
+            self.kernel.get(Membership).publish_runner_notice(runner_id, False, for_good=False)
 
     def _tell_all(self, events: list[PolicyEvent]) -> None:
         for event in events:
--- a/egretstack/services/session_host.py
+++ b/egretstack/services/session_host.py
@@ -76,7 +76,7 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Hold the nursery that pumps run in."""
-        self.kernel.get(PeerPort).answer(SessionTaken, self._taken_elsewhere)
+        self.kernel.get(PeerPort).register_handler(SessionTaken, self._taken_elsewhere)
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
@@ -176,7 +176,7 @@
         self._holders.note(clock.now(), place, self._own)
         takeover = Takeover(self.kernel.get(Instances), self._own, SessionTaken(self._own, *place))
         with trio.move_on_after(self._resume_window_s):
-            ask = self.kernel.get(PeerPort).ask
+            ask = self.kernel.get(PeerPort).request
             await takeover.run(ask, {ref.owner, told_before}, lambda: session.outcome is None)
         for peer in sorted(takeover.untold):
             log(Event.SESSION_HOLDER_UNTOLD, work=session.work_id, peer=peer)
--- a/egretstack/services/settings_file.py
+++ b/egretstack/services/settings_file.py
@@ -13,7 +13,7 @@
 from egretstack.services.placing_home import PlacingHome
 from egretstack.services.relaying import Relaying
 
-LOOK_S = 1.0
+CHECK_INTERVAL_S = 1.0
 """How often the file is looked at for a change that came without a signal."""
 
 
@@ -39,7 +39,7 @@
 
     async def _look(self) -> None:
         while True:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(CHECK_INTERVAL_S)
             if self._stamp() != self._seen:
                 self._read()
 
@@ -61,4 +61,4 @@
         log(Event.SETTINGS_READ_AGAIN, changed=changed)
         self.kernel.settings = settings
         self.kernel.get(Relaying).tools.budget.bounds = settings.bounds
-        self.kernel.get(PlacingHome).cold.bounds = settings.bounds
+        self.kernel.get(PlacingHome).cold_allocation.bounds = settings.bounds
--- a/egretstack/services/store_following.py
+++ b/egretstack/services/store_following.py
@@ -10,15 +10,19 @@
 
 from egretstack.kernel import Kernel, Service
 from egretstack.platform import HistoryGone, StoreAway
-from egretstack.services.fleet_port import IDLE_LOOK_S, FleetPort
-from egretstack.services.store_reading import AWAY_PAUSE_S, START_LOOK_S, StoreReading
+from egretstack.services.fleet_port import IDLE_POLL_INTERVAL_S, FleetPort
+from egretstack.services.store_reading import (
+    START_POLL_INTERVAL_S,
+    UNAVAILABLE_PAUSE_S,
+    StoreReading,
+)
 
 HOME_PAUSE_S = 0.1
 """Pause between two watches of the home, which end at each change."""
 OWN_READING_PAUSE_S = 0.6
 OWN_READING_SPREAD_S = 0.05
 """Within so long for each instance of the fleet all read for themselves: 20 calls a second."""
-AWAY_OWN_PAUSE_S = 1.6
+UNAVAILABLE_OWN_PAUSE_S = 1.6
 """Pause after a call that the store did not answer, for an instance that is not the home: on the
 store's return the home reads and tells. One that is cut off from the home alone reaches the store,
 and has no such pause."""
@@ -52,24 +56,24 @@
         while True:
             home = self._port.is_home()
             if self._reading.is_starting():
-                await trio.sleep(START_LOOK_S)
+                await trio.sleep(START_POLL_INTERVAL_S)
                 continue
             if not self._may_try() or (not home and self._is_told()):
                 self._revision = None
-                await trio.sleep(IDLE_LOOK_S)
+                await trio.sleep(IDLE_POLL_INTERVAL_S)
                 continue
             if not home and await self._is_told_soon():
                 continue
             try:
                 await self._read()
-                self._reading.answered()
+                self._reading.record_answer()
                 await trio.sleep(HOME_PAUSE_S if home else OWN_READING_PAUSE_S)
             except HistoryGone:
                 self._revision = None
             except StoreAway as error:
-                self._reading.away(error)
+                self._reading.record_unavailable(error)
                 self._revision = None
-                await trio.sleep(AWAY_PAUSE_S if home else AWAY_OWN_PAUSE_S)
+                await trio.sleep(UNAVAILABLE_PAUSE_S if home else UNAVAILABLE_OWN_PAUSE_S)
 
     async def _is_told_soon(self) -> bool:
         """Let an instance whose home does not reach the store wait for one that does.
--- a/egretstack/services/store_reading.py
+++ b/egretstack/services/store_reading.py
@@ -27,15 +27,15 @@
     parse_object,
 )
 from egretstack.routing import EnginePlan, ServicePlan, VersionGate
-from egretstack.services.fleet_port import IDLE_LOOK_S, FleetPort
+from egretstack.services.fleet_port import IDLE_POLL_INTERVAL_S, FleetPort
 from egretstack.services.relay_metrics import RelayMetrics
 
 CONFIG_WATCH_S = 1.2
 """Length of one watch of the configuration, by the home and the next in line: a silent connection
 hides a change for no longer, and the leash, within the time in which it has to be in force."""
-LOOK_S = 0.2
+PEER_CHECK_INTERVAL_S = 0.2
 """How often an instance looks for a newer configuration at a peer."""
-AWAY_PAUSE_S = 0.4
+UNAVAILABLE_PAUSE_S = 0.4
 """Pause after a call that the store did not answer."""
 START_WAIT_S = 0.05
 """How long an instance that has just started waits for a home before it reads the store itself: a
@@ -44,7 +44,7 @@
 FIRST_START_WAIT_S = 1.0
 """The same when the whole fleet starts for the first time, unless it is a seed: with nobody to lead
 yet each would read and watch all lists. No caller waits."""
-START_LOOK_S = 0.02
+START_POLL_INTERVAL_S = 0.02
 START_LED_S = 1.5
 """The same once it hears a home: its news may be lost, and its configuration has to be fetched."""
 READ_SPREAD_S = 0.4
@@ -120,7 +120,7 @@
             self._packed = pack_text(json.dumps(self._spec).encode())
         return self._packed
 
-    def take_configuration(self, spec: dict[str, object], source: str) -> None:
+    def apply_configuration(self, spec: dict[str, object], source: str) -> None:
         """Put a configuration in force if it is newer."""
         try:
             configuration = decode_configuration(spec)
@@ -130,7 +130,7 @@
         if not self.gate.offer(configuration):
             return
         self._spec, self._packed = spec, None
-        self._port.describe(config_version=configuration.version)
+        self._port.update_own(config_version=configuration.version)
         log(Event.CONFIG_IN_FORCE, version=configuration.version, source=source)
 
     async def _follow_configuration(self) -> None:
@@ -138,9 +138,9 @@
         while True:
             try:
                 if self.is_starting():
-                    await trio.sleep(START_LOOK_S)
+                    await trio.sleep(START_POLL_INTERVAL_S)
                 elif self._is_told_configuration():
-                    await trio.sleep(IDLE_LOOK_S)
+                    await trio.sleep(IDLE_POLL_INTERVAL_S)
                 elif await self._may_be_told_soon():
                     continue
                 elif revision is None:
@@ -150,9 +150,9 @@
             except HistoryGone:
                 revision = None
             except StoreAway as error:
-                self.away(error)
+                self.record_unavailable(error)
                 revision = None
-                await trio.sleep(AWAY_PAUSE_S)
+                await trio.sleep(UNAVAILABLE_PAUSE_S)
 
     def _is_told_configuration(self) -> bool:
         """Tell whether peers see to it that this instance has the configuration."""
@@ -176,14 +176,14 @@
 
     async def _read_configuration(self) -> int:
         listing = await self.store.list(ObjectKind.CONFIGURATION)
-        self.answered()
+        self.record_answer()
         for one in listing.objects:
             self._take_stored(one)
         return listing.revision
 
     async def _watch_configuration(self, revision: int) -> int:
         changes = await self.store.watch(ObjectKind.CONFIGURATION, revision, CONFIG_WATCH_S)
-        self.answered()
+        self.record_answer()
         for change in changes.changes:
             if not change.deleted:
                 self._take_stored(change.object)
@@ -191,12 +191,12 @@
 
     def _take_stored(self, stored: StoredObject) -> None:
         if stored.name == CONFIGURATION_NAME:
-            self.take_configuration(stored.spec, "store")
+            self.apply_configuration(stored.spec, "store")
 
     async def _follow_peers(self) -> None:
         """Fetch a newer configuration from a peer that has it."""
         while True:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(PEER_CHECK_INTERVAL_S)
             self._watch.pass_time(trio.current_time())
             self._tell_sight("")
             holders = self._port.fleet.newest_config(trio.current_time())
@@ -208,21 +208,21 @@
             spec = parse_object(await fetch_text(instance.peer_address))
         except (OSError, BadBody) as error:
             log(Event.CONFIG_NOT_FETCHED, peer=instance.id, error=str(error))
-            await trio.sleep(AWAY_PAUSE_S)
+            await trio.sleep(UNAVAILABLE_PAUSE_S)
             return
-        self.take_configuration(spec, instance.id)
+        self.apply_configuration(spec, instance.id)
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Note that the store answered a call."""
         self._watch.answered(trio.current_time())
         self._tell_sight("")
 
-    def away(self, error: StoreAway) -> None:
+    def record_unavailable(self, error: StoreAway) -> None:
         """Note that the store did not answer a call."""
         self._watch.failed(trio.current_time())
         self._tell_sight(str(error))
 
-    def late(self) -> None:
+    def record_late(self) -> None:
         """Note that this home's list of runners is older than a runner's notice allows."""
         self._watch.late()
         self._tell_sight("the list of runners is old")
@@ -236,5 +236,5 @@
             log(Event.STORE_AWAY, error=error)
         elif before is StoreSight.AWAY and sight is StoreSight.READS:
             log(Event.STORE_BACK)
-        self._port.describe(store=sight)
-        self._port.tell_soon()
+        self._port.update_own(store=sight)
+        self._port.report_soon()
--- a/tests/matrix/test_switch_offs.py
+++ b/tests/matrix/test_switch_offs.py
@@ -218,7 +218,7 @@
     async def ask_once(self, member, port, message):
         peers = self.kernel.get(PeerPort)
         number = member.ports[port]
-        return await peers.ask(InstanceId(member.id), member.host, number, message)
+        return await peers.request(InstanceId(member.id), member.host, number, message)
 
     with _without(_replace(Configuration, "_ask", ask_once)):
         _turns_red(Point.CONFIGURATION_HOLDS, "test_change_fan_out__connection_silent")
--- a/tests/test_configuration_spread.py
+++ b/tests/test_configuration_spread.py
@@ -7,7 +7,7 @@
 from egretstack.configuration import watchers
 from egretstack.objectapi import ENTRY_SERVICE, ObjectKind
 from egretstack.services.configuration import Configuration
-from egretstack.services.configuration_news import ConfigurationNews
+from egretstack.services.configuration_news import ConfigurationAnnouncer
 from egretstack.services.configuration_watch import ConfigurationWatch
 from egretstack.settings import Program
 from tests.configuration_fixtures import (
@@ -216,7 +216,7 @@
 
 async def test_news_of_one_steward_are_bounded():
     async with site(STEWARDS) as (world, processes):
-        news = [one.kernel.get(ConfigurationNews) for one in processes]
+        news = [one.kernel.get(ConfigurationAnnouncer) for one in processes]
         before = [one.sent for one in news]
         await wait_in_force(processes, await accept(world, 1))
         await trio.sleep(3)
--- a/tests/test_fleet_news.py
+++ b/tests/test_fleet_news.py
@@ -20,7 +20,7 @@
 from egretstack.fleet._news import MAX_REMOVED, unpack_changes
 from egretstack.ids import InstanceId
 from egretstack.messages import MessageError, decode, encode
-from egretstack.services.fleet_news import FleetNewsService
+from egretstack.services.fleet_news import FleetUpdatesService
 from egretstack.services.fleet_port import FleetPort
 from tests.fleet_fixtures import known, runner
 from tests.news_fixtures import INSTANCES, MAX_DATAGRAM, OTHER, fleet_rows, messages, tell, teller
@@ -205,9 +205,9 @@
         ports = [one.get(FleetPort) for one in site.kernels]
         await site.until(lambda: sum(one.is_home() for one in ports) == 1)
         (home,) = [one for one in site.kernels if one.get(FleetPort).is_home()]
-        await site.until(lambda: home.get(FleetNewsService)._as_of.runners_revision > 0)
+        await site.until(lambda: home.get(FleetUpdatesService)._as_of.runners_revision > 0)
         (other,) = [one for one in site.kernels if one is not home]
-        port, news = home.get(FleetPort), home.get(FleetNewsService)
+        port, news = home.get(FleetPort), home.get(FleetUpdatesService)
         sent = []
         port.send_encoded = lambda address, data: sent.append(decode(msgpack.unpackb(data)))
         before = news._as_of.runners_revision
--- a/tests/test_ledger_calls.py
+++ b/tests/test_ledger_calls.py
@@ -8,7 +8,7 @@
 from egretstack.objectapi import ObjectKind
 from egretstack.services.calls import Calls
 from egretstack.services.configuration import Configuration
-from egretstack.services.ledger_store import SEND_WITHIN_S
+from egretstack.services.ledger_store import MAX_SEND_AGE_S
 from egretstack.services.runners import Runners
 from tests.ledger_site import (
     KEY_ID,
@@ -120,7 +120,7 @@
         listed = runners.plain
 
         def after_a_freeze(service):
-            clock.jump(SEND_WITHIN_S + 1)
+            clock.jump(MAX_SEND_AGE_S + 1)
             return listed(service)
 
         runners.plain = after_a_freeze
@@ -139,7 +139,7 @@
             found.append(await call(entries[0], post(timeout_s=60)))
 
         world.nursery.start_soon(caller)
-        await trio.sleep(SEND_WITHIN_S + 1)
+        await trio.sleep(MAX_SEND_AGE_S + 1)
         runner.connecting.set()
         await trio.sleep(1)
         check.assertEqual(found, [ErrorKind.NOT_RUN])
--- a/tests/test_limits_world.py
+++ b/tests/test_limits_world.py
@@ -259,7 +259,7 @@
         row = AskRow(AccountId("acme"), 0, 0, Share(), Share(), 0.0)
         ask = make_ask(InstanceId(others[0].name), 10**15, [row])
         port = others[1].kernel.get(PeerPort)
-        answer = await port.ask(InstanceId(home.name), home.host, PORTS["peer"], ask)
+        answer = await port.request(InstanceId(home.name), home.host, PORTS["peer"], ask)
         check.assertIsInstance(answer, Nothing)
         check.assertEqual(loans._loan_by_entry[InstanceId(others[0].name)], before)
 
--- a/tests/test_membership_services.py
+++ b/tests/test_membership_services.py
@@ -13,7 +13,7 @@
 from egretstack.objectapi import MemberState
 from egretstack.peers import connect_peer
 from egretstack.replay import EngineParameters
-from egretstack.services.caller_api import LEAVING_KNOWN_S, CallerApi
+from egretstack.services.caller_api import LEAVING_PROPAGATION_S, CallerApi
 from egretstack.services.instances import Instances
 from egretstack.services.membership import Membership
 from egretstack.services.peer_port import IDLE_LINK_S, PeerPort
@@ -90,7 +90,7 @@
     # of it yet, and comes while its answer holds. Refused then, it could not know where to go.
     async with small_site(entries=2) as (_, entries):
         entries[1].kernel.begin_drain()
-        await trio.sleep(ANSWER_LIFE_S + LEAVING_KNOWN_S - 0.5)
+        await trio.sleep(ANSWER_LIFE_S + LEAVING_PROPAGATION_S - 0.5)
         api = entries[1].kernel.get(CallerApi)
         api.check_open()
         session = await open_story(entries[1], 600)
@@ -113,7 +113,7 @@
         entries[1].kernel.begin_drain()
         host = entries[1].kernel.get(SessionHost)
         contract = contract_of(entries[1])
-        await trio.sleep(ANSWER_LIFE_S + LEAVING_KNOWN_S - 0.5)
+        await trio.sleep(ANSWER_LIFE_S + LEAVING_PROPAGATION_S - 0.5)
         own = await open_story(entries[1], 600)
         await trio.sleep(1)
         with check.assertRaises(EgretError) as refused:
@@ -267,13 +267,15 @@
 async def test_an_operators_order_reaches_every_entry_for_engines_and_plain_services():
     async with small_site(entries=3) as (_, entries):
         membership = entries[0].kernel.get(Membership)
-        membership.notice_runner(RunnerId("engine-1"), True, for_good=True)
-        membership.notice_runner(RunnerId("holds-0"), True, for_good=True)
+        membership.publish_runner_notice(RunnerId("engine-1"), True, for_good=True)
+        membership.publish_runner_notice(RunnerId("holds-0"), True, for_good=True)
         await trio.sleep(KNOWN_S)
         for process in entries:
             check.assertEqual(usable(process), {"engine-0"})
             check.assertEqual(process.kernel.get(Runners).plain("holds"), [])
-        entries[2].kernel.get(Membership).notice_runner(RunnerId("holds-0"), False, for_good=True)
+        entries[2].kernel.get(Membership).publish_runner_notice(
+            RunnerId("holds-0"), False, for_good=True
+        )
         await trio.sleep(KNOWN_S)
         check.assertEqual(len(entries[0].kernel.get(Runners).plain("holds")), 1)
 
--- a/tests/test_platform_bad_input.py
+++ b/tests/test_platform_bad_input.py
@@ -125,17 +125,17 @@
     # and some dozens of them in progress at once were not. The one too many is told to come back.
     async with platform_site() as site:
         front = site.kernels[0].get(FrontPort)
-        front.body_room = BodyRoom(50_000)
+        front.body_memory = BodyRoom(50_000)
         post = b"POST /holds/1 HTTP/1.1\r\n" + HEAD + b"content-length: 40000\r\n\r\n"
         host, _, port = site.settings(0).front_address.rpartition(":")
         async with await trio.open_tcp_stream(host, int(port)) as first:
             await first.send_all(post + b"z" * 39_999)
-            await site.until(lambda: front.body_room.held_bytes >= 39_999)
+            await site.until(lambda: front.body_memory.held_bytes >= 39_999)
             check.assertEqual(await raw(site, post + b"z" * 40_000), 503)
             check.assertEqual(sum(len(one.heads) for one in site.plain), 0)
             await first.send_all(b"z")
             check.assertIn(b" 200 ", await first.receive_some(100))
-        await site.until(lambda: front.body_room.held_bytes == 0)
+        await site.until(lambda: front.body_memory.held_bytes == 0)
         last = post.replace(b"\r\n\r\n", b"\r\nconnection: close\r\n\r\n")
         check.assertEqual(await raw(site, last + b"z" * 40_000), 200)
 
--- a/tests/test_runner_crashes.py
+++ b/tests/test_runner_crashes.py
@@ -253,7 +253,7 @@
     """Let every instance refuse a content, as after three ends."""
     record = CrashRecord(0, {"a": 2, "b": 2, "c": 2}, True)
     for one in site.kernels:
-        one.get(FleetPort).take_crash_record(trio.current_time(), content, record)
+        one.get(FleetPort).apply_crash_record(trio.current_time(), content, record)
 
 
 def is_ready(site):
--- a/tests/test_runner_entries.py
+++ b/tests/test_runner_entries.py
@@ -9,7 +9,7 @@
 from egretstack.ids import ServiceName
 from egretstack.platform import BadBody, Change, RunnerEntries, StoredObject, parse_object
 from egretstack.platform._store import _changes, _page
-from egretstack.services.instance_listing import _listed
+from egretstack.services.instance_listing import _parse_listed
 from standins.platform import runner_spec
 from tests.support import check, tests_of
 
@@ -196,7 +196,7 @@
     # Every process would end: a report is sent to each instance that the store lists, and an
     # address that is none cannot be sent to.
     good = {"zone": "a", "front": "10.1.0.1:80", "peer": "10.1.0.1:7200", "strength": 3}
-    check.assertIsNotNone(_listed(stored("e-1", good)))
+    check.assertIsNotNone(_parse_listed(stored("e-1", good)))
     for changes in (
         {"peer": ""},
         {"peer": "x:y"},
@@ -204,4 +204,4 @@
         {"zone": None},
         {"peer": "1.1.1.1"},
     ):
-        check.assertIsNone(_listed(stored("e-1", good | changes)))
+        check.assertIsNone(_parse_listed(stored("e-1", good | changes)))
