--- a/egretstack/services/_runner_health.py
+++ b/egretstack/services/_runner_health.py
@@ -26,10 +26,10 @@
 
 async def _answer(runner: Runner, path: str, connect_s: float, answer_s: float) -> ResponseHead:
     connection = await connect_upstream(runner.address, connect_s)
-    question = health_request(runner.address, path)
+    request = health_request(runner.address, path)
     try:
         with trio.fail_after(answer_s):
-            head, _ = await exchange(connection, question, b"", MAX_ANSWER_BYTES)
+            head, _ = await exchange(connection, request, b"", MAX_ANSWER_BYTES)
             return head
     except (UpstreamBroken, trio.TooSlowError) as error:
         raise NoHealthAnswer(repr(error)) from error
--- a/egretstack/services/caller_api.py
+++ b/egretstack/services/caller_api.py
@@ -56,7 +56,7 @@
 
     async def drain(self) -> None:
         """Serve on until callers' cached answers have run out, then take nothing new."""
-        await trio.sleep(LEAVING_PROPAGATION_S + self._answer_life_s())
+        await trio.sleep(LEAVING_PROPAGATION_S + self._answer_ttl_s())
         self._closed = True
         self.kernel.get(SessionHost).close()
         self._requests.close()
@@ -84,7 +84,7 @@
         rows = [
             {"instance": one.id, "zone": one.zone, "url": one.url(CALLER_PORT)} for one in chosen
         ]
-        return {"entries": rows, "keep_s": self._answer_life_s()}
+        return {"entries": rows, "keep_s": self._answer_ttl_s()}
 
     async def call(
         self, contract: Contract, service: ServiceName, call: CallRequest
@@ -96,5 +96,5 @@
         """Count a final answer other than the one asked for."""
         self.kernel.get(PlatformAccess).metrics.refusals.labels(kind.value).inc()
 
-    def _answer_life_s(self) -> float:
+    def _answer_ttl_s(self) -> float:
         return self.kernel.settings.number("caller", "answer_life_s")
--- a/egretstack/services/configuration.py
+++ b/egretstack/services/configuration.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True)
-class _Lead:
+class _NewerRevision:
     """A process that has a newer revision: its instance, and the name of its port."""
 
     instance: InstanceId
@@ -83,7 +83,7 @@
         self.state = ConfigurationState()
         self._rng = random.Random(self.own)
         self._changed = trio.Event()
-        self._news_send, self._news = trio.open_memory_channel[_Lead](MAX_PULLS)
+        self._announced_send, self._announced = trio.open_memory_channel[_NewerRevision](MAX_PULLS)
         self._alarm_at_s: dict[tuple[Event, int, str], float] = {}
         self._reading = trio.Lock()
 
@@ -101,14 +101,14 @@
         """Pull for ever."""
         port = self.kernel.get(PeerPort)
         port.register_handler(ConfigAsk, self._answer)
-        port.register_handler(ConfigNews, self._hear)
+        port.register_handler(ConfigNews, self._on_news)
         port.register_handler(SnapshotAsk, self._answer_snapshot)
         self.kernel.get(Instances).on_change(self._share_budget)
         if self.kernel.has(Membership):
-            self.kernel.get(Membership).on_peer_revision(self._peer_has)
+            self.kernel.get(Membership).on_peer_revision(self._on_peer_revision)
         async with trio.open_nursery() as nursery:
             for _ in range(MAX_PULLS):
-                nursery.start_soon(self._follow_news)
+                nursery.start_soon(self._pull_announced)
             task_status.started()
             await self._pull_at_start()
             while True:
@@ -122,7 +122,7 @@
     def offer(self, snapshot: Snapshot) -> Offer:
         """Put a snapshot in force if it is newer."""
         offer = self.state.offer(snapshot)
-        self._note(offer, snapshot.head.revision, snapshot.head.change_id)
+        self._on_offer(offer, snapshot.head.revision, snapshot.head.change_id)
         return offer
 
     async def read_platform(self) -> None:
@@ -143,7 +143,7 @@
         """Put a head of the platform in force if it is newer. Raises PlatformAway."""
         judged = self.state.judge(head)
         if judged is not Offer.NEWER:
-            self._note(judged, head.revision, head.change_id)
+            self._on_offer(judged, head.revision, head.change_id)
             return judged
         return self.offer(await self.store.complete(head, self.state.snapshot))
 
@@ -170,7 +170,7 @@
     async def _pull(self) -> None:
         is_entry = self.kernel.settings.has("caller", "address")
         answered = False
-        for member in (self._mine() if is_entry else []) + self._others(PEERS_QUERIED):
+        for member in (self._own_members() if is_entry else []) + self._others(PEERS_QUERIED):
             answered = await self._pull_peer(member)
             if answered:
                 break
@@ -181,34 +181,34 @@
         members = self.kernel.get(Instances).members(ENTRY_SERVICE)
         return [member for member in members if STEWARD_PORT in member.ports]
 
-    def _mine(self) -> list[Member]:
+    def _own_members(self) -> list[Member]:
         return [member for member in self._members() if member.id == self.own]
 
     def _others(self, count: int) -> list[Member]:
         others = [member for member in self._members() if member.id != self.own]
         return self._rng.sample(others, min(count, len(others)))
 
-    async def _follow_news(self) -> None:
-        async for lead in self._news:
+    async def _pull_announced(self) -> None:
+        async for newer in self._announced:
             for member in self._members():
-                if member.id == lead.instance and lead.revision > self.state.revision:
-                    await self._pull_peer(member, lead.port)
+                if member.id == newer.instance and newer.revision > self.state.revision:
+                    await self._pull_peer(member, newer.port)
 
     async def _pull_peer(self, member: Member, port: str = STEWARD_PORT) -> bool:
         """Ask a peer for what changed; True when it answered."""
-        ask = ConfigAsk(self.state.revision, self.state.change_id)
+        query = ConfigAsk(self.state.revision, self.state.change_id)
         try:
-            answer = await self._ask(member, port, ask)
+            answer = await self._query(member, port, query)
             if isinstance(answer, ConfigTell):
                 delta = told_delta(answer)
                 offer = self.state.offer_delta(delta)
-                self._note(offer, delta.revision, delta.change_ids[-1])
+                self._on_offer(offer, delta.revision, delta.change_ids[-1])
                 if offer is Offer.GAP and delta.base_revision == self.state.revision:
                     await self._pull_snapshot(member, port)
             elif isinstance(answer, ConfigFar):
                 await self._pull_snapshot(member, port)
             elif isinstance(answer, ConfigForked):
-                self._note(Offer.FORKED, answer.revision, answer.change_id)
+                self._on_offer(Offer.FORKED, answer.revision, answer.change_id)
         except (PeerGone, PeerRefused):
             return False
         except TransferError as error:
@@ -230,7 +230,7 @@
     async def _read_pieces(self, member: Member, port: str) -> Snapshot | None:
         builder = SnapshotBuilder()
         for _ in range(MAX_PIECES):
-            answer = await self._ask(member, port, SnapshotAsk(builder.after))
+            answer = await self._query(member, port, SnapshotAsk(builder.after))
             if not isinstance(answer, SnapshotPiece):
                 return None
             snapshot = builder.add(answer)
@@ -238,11 +238,11 @@
                 return snapshot
         raise TransferError("too many pieces")
 
-    async def _ask(self, member: Member, port: str, message: Message) -> Message:
+    async def _query(self, member: Member, port: str, message: Message) -> Message:
         number = member.ports.get(port)
         if number is None:
             raise PeerGone(f"no port {port}")
-        ask = partial(
+        request = partial(
             self.kernel.get(PeerPort).request,
             InstanceId(member.id),
             member.host,
@@ -251,12 +251,12 @@
             timeout_s=PEER_TIMEOUT_S,
         )
         try:
-            return await ask()
+            return await request()
         except PeerGone:
             # A kept link may have gone silent for good while new ones work. Going on to the next
             # peer would meet the same there: three peers in turn, two seconds each, and a change
             # would be in force after the five seconds allowed. A question may be asked twice.
-            return await ask()
+            return await request()
 
     async def _answer(self, message: ConfigAsk) -> Message:
         found = self.state.delta_since(message.revision, message.change_id)
@@ -265,7 +265,7 @@
         if found is Behind.FAR:
             return ConfigFar(self.state.revision)
         if found is Behind.FORKED:
-            self._note(Offer.FORKED, message.revision, message.change_id)
+            self._on_offer(Offer.FORKED, message.revision, message.change_id)
             known = self.state.snapshot.head.id_at(message.revision)
             return ConfigForked(message.revision, known)
         return Nothing()
@@ -274,20 +274,22 @@
         snapshot = self.state.snapshot
         return Nothing() if snapshot is None else piece(snapshot, message.after)
 
-    async def _hear(self, message: ConfigNews) -> Message:
-        self._follow(_Lead(InstanceId(message.instance), STEWARD_PORT, message.revision))
+    async def _on_news(self, message: ConfigNews) -> Message:
+        self._enqueue_pull(
+            _NewerRevision(InstanceId(message.instance), STEWARD_PORT, message.revision)
+        )
         return Nothing()
 
-    def _peer_has(self, instance: InstanceId, revision: Revision) -> None:
-        self._follow(_Lead(instance, ENTRY_PORT, revision))
+    def _on_peer_revision(self, instance: InstanceId, revision: Revision) -> None:
+        self._enqueue_pull(_NewerRevision(instance, ENTRY_PORT, revision))
 
-    def _follow(self, lead: _Lead) -> None:
-        if lead.revision > self.state.revision:
+    def _enqueue_pull(self, newer: _NewerRevision) -> None:
+        if newer.revision > self.state.revision:
             # With the channel full, enough pulls wait already; each takes the newest there is.
             with suppress(trio.WouldBlock):
-                self._news_send.send_nowait(lead)
+                self._announced_send.send_nowait(newer)
 
-    def _note(self, offer: Offer, revision: int, change_id: str) -> None:
+    def _on_offer(self, offer: Offer, revision: int, change_id: str) -> None:
         if offer is Offer.APPLIED:
             log(Event.CONFIG_APPLIED, revision=revision)
             self.kernel.get(PlatformAccess).metrics.revision.set(revision)
--- a/egretstack/services/configuration_news.py
+++ b/egretstack/services/configuration_news.py
@@ -27,16 +27,16 @@
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Tell of each revision; one that is passed at once is left out."""
         configuration = self.kernel.get(Configuration)
-        told = Revision(0)
+        announced = Revision(0)
         async with trio.open_nursery() as nursery:
             task_status.started()
             while True:
-                if configuration.state.revision == told:
+                if configuration.state.revision == announced:
                     await configuration.wait_for_change()
-                told = configuration.state.revision
+                announced = configuration.state.revision
                 for member, port in self._receivers():
                     if (member.id, port) not in self._busy:
-                        nursery.start_soon(self._tell, member, port)
+                        nursery.start_soon(self._announce, member, port)
 
     def _receivers(self) -> list[tuple[Member, str]]:
         own = self.kernel.get(Configuration).own
@@ -45,16 +45,16 @@
         children = self.kernel.get(ConfigurationWatch).fan_out.children
         return entry + [(one, STEWARD_PORT) for one in children]
 
-    async def _tell(self, member: Member, port: str) -> None:
+    async def _announce(self, member: Member, port: str) -> None:
         """Tell one receiver until it has heard the newest; a lost message is left to its pulls."""
         configuration = self.kernel.get(Configuration)
         self._busy.add((member.id, port))
         try:
-            told = Revision(0)
-            while told != configuration.state.revision:
-                told = configuration.state.revision
+            announced = Revision(0)
+            while announced != configuration.state.revision:
+                announced = configuration.state.revision
                 self.sent += 1
-                news = ConfigNews(configuration.own, told)
+                news = ConfigNews(configuration.own, announced)
                 await self.kernel.get(PeerPort).request(
                     InstanceId(member.id), member.host, member.ports[port], news
                 )
--- a/egretstack/services/configuration_relay.py
+++ b/egretstack/services/configuration_relay.py
@@ -20,8 +20,8 @@
         node: NodeSettings = self.kernel.settings
         listener = await open_listener(node.ip, node.first_peer_port)
         async with trio.open_nursery() as nursery:
-            await nursery.start(trio.serve_listeners, self._give, [listener])
+            await nursery.start(trio.serve_listeners, self._serve, [listener])
             task_status.started()
 
-    async def _give(self, stream: trio.SocketStream) -> None:
+    async def _serve(self, stream: trio.SocketStream) -> None:
         await give_packed(stream, self.kernel.get(StoreReading).packed_configuration())
--- a/egretstack/services/configuration_watch.py
+++ b/egretstack/services/configuration_watch.py
@@ -37,13 +37,13 @@
         own = InstanceId(kernel.settings.text("instance", "id"))
         self.fan_out = FanOut(own)
         self._rng = random.Random(own)
-        self._away = False
+        self._unavailable = False
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Watch for ever."""
         instances = self.kernel.get(Instances)
-        instances.on_change(self._list_changed)
-        self._list_changed()
+        instances.on_change(self._on_list_change)
+        self._on_list_change()
         task_status.started()
         while True:
             if self.fan_out.is_watcher():
@@ -53,7 +53,7 @@
                 await self.kernel.get(Configuration).sample_platform()
                 await trio.sleep(PULL_PERIOD_S * (0.8 + 0.4 * self._rng.random()))
 
-    def _list_changed(self) -> None:
+    def _on_list_change(self) -> None:
         members = self.kernel.get(Instances).members(ENTRY_SERVICE)
         self.fan_out.update([one for one in members if STEWARD_PORT in one.ports])
 
@@ -62,11 +62,11 @@
         try:
             since = await self._version()
             await configuration.read_platform()
-            self._note_away("")
+            self._log_availability("")
             while self.fan_out.is_watcher():
                 since = await self._watch(since)
         except PlatformAway as error:
-            self._note_away(str(error))
+            self._log_availability(str(error))
             await trio.sleep(error.retry_after_s or RETRY_S * (1 + self._rng.random()))
         except WatchLost:
             await trio.sleep(RETRY_S * self._rng.random())
@@ -85,10 +85,10 @@
             async for change in changes:
                 since = change.object.version
                 if change.kind is not WatchKind.BOOKMARK:
-                    await self._take(change.kind, change.object)
+                    await self._apply(change.kind, change.object)
         return since
 
-    async def _take(self, kind: WatchKind, stored: StoredObject) -> None:
+    async def _apply(self, kind: WatchKind, stored: StoredObject) -> None:
         configuration = self.kernel.get(Configuration)
         if kind is not WatchKind.DELETED:
             head = await configuration.store.head_of(stored, configuration.state.snapshot)
@@ -98,9 +98,9 @@
         # A peer may have been faster than the watch: only a new read tells a store that is older.
         await configuration.read_platform()
 
-    def _note_away(self, error: str) -> None:
-        if error and not self._away:
+    def _log_availability(self, error: str) -> None:
+        if error and not self._unavailable:
             log(Event.PLATFORM_AWAY, what="configuration", error=error)
-        if self._away and not error:
+        if self._unavailable and not error:
             log(Event.PLATFORM_BACK, what="configuration")
-        self._away = bool(error)
+        self._unavailable = bool(error)
--- a/egretstack/services/crash_guard.py
+++ b/egretstack/services/crash_guard.py
@@ -34,7 +34,7 @@
 FORGET_PERIOD_S = 30.0
 
 
-class _Word(Enum):
+class _ProbeResult(Enum):
     """What came of a probe."""
 
     LIVES = "lives"
@@ -49,7 +49,7 @@
     sent_s: float
     first_event_s: float | None
     broke_s: float
-    judged: trio.Event = field(default_factory=trio.Event)
+    decided: trio.Event = field(default_factory=trio.Event)
 
 
 class CrashGuardService(Service, CrashGuard):
@@ -77,7 +77,7 @@
         """Probe and share until cancelled."""
         self._port.strike_rows = lambda: self._reports.strike_rows(trio.current_time())
         self._port.clear_rows = lambda: self._reports.clear_rows(trio.current_time())
-        self._port.on_report_received(self._take_report)
+        self._port.on_report_received(self._on_report)
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
@@ -115,14 +115,14 @@
         broken = _BrokenRun(attempt, content, sent_s, first_event_s, trio.current_time())
         known = self._port.runners.by_id.get(runner)
         if known is None or self._nursery is None or self._is_leaving(runner):
-            broken.judged.set()
+            broken.decided.set()
         elif runner in self._broken_by_runner:
             self._broken_by_runner[runner].append(broken)
         else:
             self._broken_by_runner[runner] = [broken]
             self._nursery.start_soon(self._probe, known)
         if self._port.crashes.suspects(content):
-            return broken.judged
+            return broken.decided
         unsuspected = trio.Event()
         unsuspected.set()
         return unsuspected
@@ -133,23 +133,23 @@
 
     async def _probe(self, runner: Runner) -> None:
         """Ask a runner until it is known whether it has ended, a few times at most."""
-        word = await self._ask(runner)
+        result = await self._probe_once(runner)
         for _ in range(MAX_PROBES - 1):
-            if word is not _Word.UNKNOWN:
+            if result is not _ProbeResult.UNKNOWN:
                 break
             for broken in self._broken_by_runner[runner.id]:
-                broken.judged.set()
+                broken.decided.set()
             await trio.sleep(PROBE_RETRY_S)
-            word = await self._ask(runner)
-        if word is _Word.UNKNOWN and self._port.runners.stopped_s(runner.id) is not None:
-            word = _Word.ENDED  # Its entry is gone too.
+            result = await self._probe_once(runner)
+        if result is _ProbeResult.UNKNOWN and self._port.runners.stopped_s(runner.id) is not None:
+            result = _ProbeResult.ENDED  # Its entry is gone too.
         for broken in self._broken_by_runner.pop(runner.id):
-            self._judge(runner.id, broken, ended=word is _Word.ENDED)
-            broken.judged.set()
-        if word is _Word.ENDED:
+            self._record_outcome(runner.id, broken, ended=result is _ProbeResult.ENDED)
+            broken.decided.set()
+        if result is _ProbeResult.ENDED:
             self._port.report_soon()
 
-    async def _ask(self, runner: Runner) -> _Word:
+    async def _probe_once(self, runner: Runner) -> _ProbeResult:
         """Find out whether a runner accepts no connection, or another one answers in its place.
 
         One that is busy answers late or rejects the question, and has not ended.
@@ -159,13 +159,21 @@
         try:
             health = await fetch_health(runner, path, CONNECT_TIMEOUT_S, HEALTH_TIMEOUT_S)
         except ConnectFailed:
-            return _Word.ENDED
+            return _ProbeResult.ENDED
         except NoHealthAnswer:
-            return _Word.ENDED if self._port.runners.is_gone(runner.id) else _Word.UNKNOWN
+            return (
+                _ProbeResult.ENDED
+                if self._port.runners.is_gone(runner.id)
+                else _ProbeResult.UNKNOWN
+            )
         other = health is not None and health.name != runner.incarnation.name
-        return _Word.ENDED if other or self._port.runners.is_gone(runner.id) else _Word.LIVES
+        return (
+            _ProbeResult.ENDED
+            if other or self._port.runners.is_gone(runner.id)
+            else _ProbeResult.LIVES
+        )
 
-    def _judge(self, runner: RunnerId, broken: _BrokenRun, *, ended: bool) -> None:
+    def _record_outcome(self, runner: RunnerId, broken: _BrokenRun, *, ended: bool) -> None:
         log(
             Event.RUN_BROKEN,
             request=broken.attempt,
@@ -183,14 +191,14 @@
             strike_weight(broken.first_event_s, broken.broke_s),
             self._port.crashes.round(broken.content),
         )
-        self._strike(broken.content, strike)
+        self._record_strike(broken.content, strike)
         self._reports.struck(broken.content, strike)
 
-    def _strike(self, content: ContentId, strike: Strike) -> None:
+    def _record_strike(self, content: ContentId, strike: Strike) -> None:
         if self._port.record_strike(trio.current_time(), content, strike):
             self._engine_reports.record_ended(strike.runner)
 
-    def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
+    def _on_report(self, instance: InstanceId, report: InstanceReport) -> None:
         now_s = trio.current_time()
         try:
             strikes = [strike_of(row, now_s) for row in report.strikes]
@@ -199,6 +207,6 @@
             log(Event.PEER_REFUSED, sender=instance, error=str(error))
             return
         for content, strike in strikes:
-            self._strike(content, strike)
+            self._record_strike(content, strike)
         for content, cleared_round in clears:
             self._port.apply_clear(now_s, content, cleared_round)
--- a/egretstack/services/crash_list.py
+++ b/egretstack/services/crash_list.py
@@ -38,25 +38,25 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Read and write until cancelled."""
-        self._port.on_crash_record_change(self._note_change)
+        self._port.on_crash_record_change(self._on_record_change)
         task_status.started()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follow)
             nursery.start_soon(self._write_changes)
 
-    def _note_change(self) -> None:
+    def _on_record_change(self) -> None:
         self._changed.set()
 
-    def _is_told(self) -> bool:
+    def _is_current(self) -> bool:
         return self._port.fleet.is_led(trio.current_time())
 
-    def _may_try(self) -> bool:
+    def _may_read(self) -> bool:
         """Leave it to the list of runners to find out when the store is back."""
         sight = self._port.fleet.own.store
         return self._port.is_home() and sight is not StoreSight.AWAY
 
     async def _read(self) -> None:
-        store = self._reading.store
+        store = self._store_reading.store
         if self._revision is None:
             listing = await store.list(ObjectKind.CRASH_RECORD)
             self._stored_by_content.clear()
@@ -64,13 +64,13 @@
         else:
             watched = await store.watch(ObjectKind.CRASH_RECORD, self._revision, WATCH_S)
             changes, revision = watched.changes, watched.revision
-        bad = [name for change in changes if (name := self._take(change)) is not None]
+        bad = [name for change in changes if (name := self._apply(change)) is not None]
         for name in bad[:MAX_BAD_LOGGED]:
             log(Event.CRASH_RECORD_UNREADABLE, content=name[:MAX_NAME_LOGGED])
         self._revision = revision
         self._changed.set()
 
-    def _take(self, change: Change) -> str | None:
+    def _apply(self, change: Change) -> str | None:
         """Take an object of the store; give its name if it cannot be read."""
         now_s = trio.current_time()
         content = ContentId(change.object.name)
@@ -90,7 +90,7 @@
     async def _write_changes(self) -> None:
         while True:
             await self._changed.wait()
-            if self._port.is_home() and (self._revision is None or not self._may_try()):
+            if self._port.is_home() and (self._revision is None or not self._may_read()):
                 await trio.sleep(IDLE_POLL_INTERVAL_S)
                 continue
             self._changed = trio.Event()
@@ -99,7 +99,7 @@
             try:
                 await self._write_all()
             except StoreAway as error:
-                self._reading.record_unavailable(error)
+                self._store_reading.record_unavailable(error)
                 self._changed.set()
                 await trio.sleep(UNAVAILABLE_PAUSE_S)
 
@@ -111,11 +111,11 @@
         for content in self._stored_by_content.keys() - lasting.keys():
             # What its own deletion tells is not an operator's doing.
             self._stored_by_content.pop(content)
-            await self._reading.store.delete(ObjectKind.CRASH_RECORD, content)
+            await self._store_reading.store.delete(ObjectKind.CRASH_RECORD, content)
 
     async def _write(self, content: ContentId, record: CrashRecord) -> None:
         """Write a record; another home that wrote meanwhile is heard of by the watch."""
-        store, spec = self._reading.store, {FIELD: record_row(record)}
+        store, spec = self._store_reading.store, {FIELD: record_row(record)}
         try:
             if not await store.replace(ObjectKind.CRASH_RECORD, content, spec):
                 await store.create(ObjectKind.CRASH_RECORD, content, spec)
--- a/egretstack/services/directory_port.py
+++ b/egretstack/services/directory_port.py
@@ -66,20 +66,20 @@
             task_status.started()
             nursery.start_soon(self._leave_on_drain)
             while True:
-                self._tell_state()
+                self._publish_state()
                 await trio.sleep(CHECK_INTERVAL_S)
 
     async def _leave_on_drain(self) -> None:
         await self.kernel.draining.wait()
         self._leaving = True
-        self._tell_state()
+        self._publish_state()
         self._port.report_soon()
 
     def is_ready(self) -> bool:
         """Tell whether clients may be sent here."""
         return not self._leaving and self._store.is_informed()
 
-    def _tell_state(self) -> None:
+    def _publish_state(self) -> None:
         if self._leaving:
             state = InstanceState.LEAVING
         else:
@@ -110,15 +110,15 @@
         if is_directory_question(head):
             # Looked at ten times a second alone, an instance that has just become ready would send
             # its first callers away.
-            self._tell_state()
+            self._publish_state()
             addresses = self.ready_addresses(asked_region(head), asked_host(head))
             if not addresses:
                 return json_answer(503, {"error": "no instance is ready"}, ANSWER_TTL_S)
             grace_s = self.kernel.settings.bounds.grace_s
-            life_s = min(
+            ttl_s = min(
                 ANSWER_TTL_S, grace_s * GRACE_SHARE, self.kernel.settings.bounds.directory_life_s
             )
-            return directory_answer(addresses, life_s)
+            return directory_answer(addresses, ttl_s)
         return json_answer(404, {"error": "no such resource"})
 
     def ready_addresses(self, region: RegionName, host: str) -> list[str]:
--- a/egretstack/services/dispatching.py
+++ b/egretstack/services/dispatching.py
@@ -61,7 +61,7 @@
         """Send the policy the ticks it asks for."""
         self.kernel.get(Instances).on_change(self._count_instances)
         self._count_instances()
-        self.kernel.get(Runners).on_event(self._tell)
+        self.kernel.get(Runners).on_event(self._handle_event)
         task_status.started()
         while True:
             self._wake = trio.Event()
@@ -69,19 +69,19 @@
             with trio.CancelScope(deadline=float("inf") if at_s is None else at_s) as scope:
                 await self._wake.wait()
             if scope.cancelled_caught:
-                self._tell(Tick())
+                self._handle_event(Tick())
 
     async def place(self, work: Work, may_evict: Callable[[], bool]) -> Placement:
         """Wait for a runner; raise EgretError with the policy's refusal."""
         waiting = _Waiting(work, may_evict)
         self._waiting_by_id[work.id] = waiting
-        self._tell(Arrived(work))
+        self._handle_event(Arrived(work))
         return await self._decision(waiting)
 
     async def place_again(self, placement: Placement) -> Placement:
         """Wait for a runner after the policy took the work away."""
         waiting = self._waiting_by_id[placement.work.id]
-        self._tell(Evicted(placement.work.id))
+        self._handle_event(Evicted(placement.work.id))
         return await self._decision(waiting)
 
     def engine(self, runner_id: RunnerId) -> EngineClient | None:
@@ -90,18 +90,18 @@
 
     def started(self, work: Work) -> None:
         """Tell the policy that the engine accepted the work."""
-        self._tell(Started(work.id))
+        self._handle_event(Started(work.id))
 
     def progressed(self, work: Work, tokens: int, delivered: int) -> None:
         """Tell the policy how far the work has come."""
-        self._tell(Progressed(work.id, tokens, delivered))
+        self._handle_event(Progressed(work.id, tokens, delivered))
 
     def ended(self, work: Work, tokens: int, reason: EndReason) -> None:
         """Tell the policy that the work left its engine, or the queue."""
         waiting = self._waiting_by_id.pop(work.id, None)
         if reason is EndReason.FAILED and waiting is not None and waiting.placement is not None:
             self.kernel.get(Runners).check_soon(waiting.placement.runner_id)
-        self._tell(Ended(work.id, tokens, reason))
+        self._handle_event(Ended(work.id, tokens, reason))
 
     def lengths(self) -> LengthSummary:
         """Give what this entry learned of output lengths."""
@@ -109,7 +109,7 @@
 
     def add_lengths(self, event: LengthsLearned) -> None:
         """Tell the policy what another entry learned."""
-        self._tell(event)
+        self._handle_event(event)
 
     async def _decision(self, waiting: _Waiting) -> Placement:
         await waiting.decided.wait()
@@ -129,9 +129,9 @@
 
     def _count_instances(self) -> None:
         live = self.kernel.get(Instances).members(ENTRY_SERVICE, MemberState.LIVE)
-        self._tell(InstancesSeen(max(1, len(live))))
+        self._handle_event(InstancesSeen(max(1, len(live))))
 
-    def _tell(self, event: PolicyEvent) -> None:
+    def _handle_event(self, event: PolicyEvent) -> None:
         for action in self._policy.handle(trio.current_time(), event):
             self._carry_out(action)
         self._wake.set()
--- a/egretstack/services/duties.py
+++ b/egretstack/services/duties.py
@@ -129,7 +129,7 @@
         while True:
             if self._plan is not None and self.holds():
                 for member in self._engines():
-                    await self._bring(member)
+                    await self._converge(member)
             configuration = self._kernel.get(Configuration)
             with trio.move_on_after(CONVERGE_PERIOD_S if self._plan else TICK_S):
                 await configuration.wait_for_change()
@@ -137,7 +137,7 @@
     def _engines(self) -> list[Member]:
         return self._kernel.get(Instances).members(self._service, MemberState.LIVE)
 
-    async def _bring(self, member: Member) -> None:
+    async def _converge(self, member: Member) -> None:
         engine = self._kernel.get(PlatformAccess).engine(member)
         try:
             with trio.move_on_after(READ_TIMEOUT_S) as reading:
--- a/egretstack/services/engine_placing.py
+++ b/egretstack/services/engine_placing.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _NoPlace:
+class _NotPlaced:
     """No place came of a try."""
 
     retry_s: float
@@ -66,8 +66,8 @@
         running.set_function(lambda: len(self._run_by_attempt))
         self._run_by_attempt: dict[str, Run] = {}
         self._answer_by_attempt: dict[str, Message] = {}
-        self._asked_by_attempt: dict[str, trio.Event] = {}
-        self._turn_by_attempt: dict[str, trio.Event] = {}
+        self._answered_by_attempt: dict[str, trio.Event] = {}
+        self._permit_by_attempt: dict[str, trio.Event] = {}
         self._destination_by_attempt: dict[str, str] = {}
         self._copying: set[str] = set()
         """Runs that have their turn; a turn told twice is theirs still."""
@@ -75,66 +75,66 @@
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Take answers until cancelled."""
         self._home.own_runs = lambda: list(self._run_by_attempt.values())
-        self._home.on_local_answer = self._take
+        self._home.on_local_answer = self._on_answer
         for kind in (PlaceAnswer, BackupAnswer, MoveTurn):
-            self._port.handle(kind, self._take_from_peer)
+            self._port.handle(kind, self._on_peer_answer)
         task_status.started()
         await trio.sleep_forever()
 
-    async def place(self, work: Work, engine: EnginePlan) -> Placement:
+    async def place(self, request: Work, engine: EnginePlan) -> Placement:
         """Give the place of a generation, once there is room. Raises RequestFailed.
 
         It waits at the home for as long as its caller can be expected to, and is then refused; at
         once if no zone that it may run in is left.
         """
         began_s = trio.current_time()
-        tried: Placement | _NoPlace = _NoPlace(REFUSED_RETRY_S)
+        outcome: Placement | _NotPlaced = _NotPlaced(REFUSED_RETRY_S)
         try:
-            with trio.move_on_after(work.wait_s):
-                while isinstance(tried, _NoPlace) and not tried.is_final:
-                    left_s = began_s + work.wait_s - trio.current_time()
-                    tried = await self._try_place(work, engine, left_s)
+            with trio.move_on_after(request.wait_s):
+                while isinstance(outcome, _NotPlaced) and not outcome.is_final:
+                    left_s = began_s + request.wait_s - trio.current_time()
+                    outcome = await self._try_place(request, engine, left_s)
         finally:
-            if isinstance(tried, _NoPlace):
-                self._home.placer.ended(work.attempt)
-                self._tell(PlaceDrop(work.attempt))
+            if isinstance(outcome, _NotPlaced):
+                self._home.placer.ended(request.attempt)
+                self._send_to_home(PlaceDrop(request.attempt))
         waited_ms = round((trio.current_time() - began_s) * 1000)
-        if isinstance(tried, _NoPlace):
-            retry_s = tried.retry_s
-            log(Event.PLACE_REFUSED, request=work.attempt, retry_s=retry_s, waited_ms=waited_ms)
+        if isinstance(outcome, _NotPlaced):
+            retry_s = outcome.retry_s
+            log(Event.PLACE_REFUSED, request=request.attempt, retry_s=retry_s, waited_ms=waited_ms)
             raise RequestFailed(ErrorKind.ENGINES_FULL, "no engine is free", retry_after_s=retry_s)
-        self._log_placed(work, tried, waited_ms)
-        return tried
+        self._log_placed(request, outcome, waited_ms)
+        return outcome
 
     async def _try_place(
-        self, work: Work, engine: EnginePlan, left_s: float
-    ) -> Placement | _NoPlace:
+        self, request: Work, engine: EnginePlan, left_s: float
+    ) -> Placement | _NotPlaced:
         """Ask for a place once, with `left_s` left to wait. Raises RequestFailed."""
-        if self._port.runners.is_barred(work.service, work.zones):
+        if self._port.runners.is_barred(request.service, request.zones):
             raise barred()
-        rested_s = self._rested_after_s(work)
-        if rested_s > 0.0:
-            await trio.sleep(min(rested_s, RENEW_INTERVAL_S) if rested_s <= left_s else 0.0)
-            return _NoPlace(min(MAX_RETRY_AFTER_S, rested_s), rested_s > left_s)
-        asked = self._without_resting(work)
-        answer = await self._ask_place(asked)
+        backoff_s = self._backoff_left_s(request)
+        if backoff_s > 0.0:
+            await trio.sleep(min(backoff_s, RENEW_INTERVAL_S) if backoff_s <= left_s else 0.0)
+            return _NotPlaced(min(MAX_RETRY_AFTER_S, backoff_s), backoff_s > left_s)
+        eligible = self._exclude_backed_off(request)
+        answer = await self._request_place(eligible)
         if answer is None:
-            return await self._try_alone(asked, engine, left_s)
-        if answer.runner and answer.runner not in asked.excluded:
-            return self._take_place(answer)
-        return _NoPlace(answer.retry_after_ms / 1000, answer.refused)
-
-    async def _try_alone(
-        self, work: Work, engine: EnginePlan, left_s: float
-    ) -> Placement | _NoPlace:
-        """Place a work by this instance's own view."""
-        placed = self._place_alone(work, engine)
+            return await self._try_locally(eligible, engine, left_s)
+        if answer.runner and answer.runner not in eligible.excluded:
+            return self._accept_place(answer)
+        return _NotPlaced(answer.retry_after_ms / 1000, answer.refused)
+
+    async def _try_locally(
+        self, request: Work, engine: EnginePlan, left_s: float
+    ) -> Placement | _NotPlaced:
+        """Place a request by this instance's own view."""
+        placed = self._place_locally(request, engine)
         if placed is not None:
             return placed
-        free_s = self._free_alone_after_s(work)
+        free_s = self._free_locally_after_s(request)
         if free_s <= left_s:
             await trio.sleep(RENEW_INTERVAL_S)
-        return _NoPlace(min(MAX_RETRY_AFTER_S, free_s) or REFUSED_RETRY_S, free_s > left_s)
+        return _NotPlaced(min(MAX_RETRY_AFTER_S, free_s) or REFUSED_RETRY_S, free_s > left_s)
 
     def begin(self, run: Run) -> None:
         """Note a run that goes out."""
@@ -161,8 +161,8 @@
         engine that looks emptiest to all.
         """
         attempt = run.work.attempt
-        ask = BackupAsk(self.kernel.settings.instance, attempt, run.runner, source)
-        answer = await self._ask(attempt, ask, times=1)
+        query = BackupAsk(self.kernel.settings.instance, attempt, run.runner, source)
+        answer = await self._request(attempt, query, times=1)
         if not isinstance(answer, BackupAnswer) or not answer.backup:
             return None
         return RunnerId(answer.backup)
@@ -174,65 +174,67 @@
         """
         attempt, source = run.work.attempt, run.runner
         own = self.kernel.settings.instance
-        turn = self._turn_by_attempt[attempt] = trio.Event()
+        permitted = self._permit_by_attempt[attempt] = trio.Event()
         try:
             while True:
-                self._tell(MoveAsk(own, attempt, source, self._move_order(run), list(refused)))
+                self._send_to_home(
+                    MoveAsk(own, attempt, source, self._move_order(run), list(refused))
+                )
                 with trio.move_on_after(PERMIT_REQUEST_INTERVAL_S):
-                    await turn.wait()
+                    await permitted.wait()
                     self._copying.add(attempt)
                     return RunnerId(self._destination_by_attempt.pop(attempt))
         finally:
-            self._turn_by_attempt.pop(attempt, None)
+            self._permit_by_attempt.pop(attempt, None)
 
     def move_done(self, attempt: str, source: RunnerId) -> None:
         """Give the turn up."""
         self._destination_by_attempt.pop(attempt, None)
         self._copying.discard(attempt)
-        self._tell(MoveDone(self.kernel.settings.instance, attempt, source))
+        self._send_to_home(MoveDone(self.kernel.settings.instance, attempt, source))
 
     def _move_order(self, run: Run) -> float:
         """Give the order of moves off one runner: urgent first, then those with most to lose."""
         return RANK_STEP * run.work.rank - self.tokens_left(run)
 
-    async def _ask_place(self, work: Work) -> PlaceAnswer | None:
+    async def _request_place(self, request: Work) -> PlaceAnswer | None:
         """Ask the home, and wait there for a place; None if the home is silent.
 
         An answer without a runner tells that the home is there and no place came yet.
         """
-        ask = PlaceAsk(self.kernel.settings.instance, work_row(work))
-        first = await self._ask(work.attempt, ask, times=MAX_SENDS)
+        query = PlaceAsk(self.kernel.settings.instance, work_row(request))
+        first = await self._request(request.attempt, query, times=MAX_SENDS)
         if not isinstance(first, PlaceAnswer):
             return None
-        if first.runner and first.runner not in work.excluded:
+        if first.runner and first.runner not in request.excluded:
             return first
-        later = await self._answer_in(work.attempt, RENEW_INTERVAL_S)
-        return later if isinstance(later, PlaceAnswer) else first
+        second = await self._wait_for_answer(request.attempt, RENEW_INTERVAL_S)
+        return second if isinstance(second, PlaceAnswer) else first
 
-    async def _ask(self, attempt: str, ask: Message, times: int) -> Message | None:
+    async def _request(self, attempt: str, query: Message, times: int) -> Message | None:
         """Ask the home; None if it is silent."""
         for _ in range(times):
-            answer = await self._answer_in(attempt, ANSWER_TIMEOUT_S, ask)
+            answer = await self._wait_for_answer(attempt, ANSWER_TIMEOUT_S, query)
             if answer is not None:
                 return answer
         log(Event.HOME_SILENT, request=attempt, address=self._port.home_address())
         return None
 
-    async def _answer_in(
-        self, attempt: str, timeout_s: float, ask: Message | None = None
+    async def _wait_for_answer(
+        self, attempt: str, timeout_s: float, query: Message | None = None
     ) -> Message | None:
-        asked = self._asked_by_attempt[attempt] = trio.Event()
+        answered = self._answered_by_attempt[attempt] = trio.Event()
         try:
-            if ask is not None:
-                self._tell(ask)
+            if query is not None:
+                self._send_to_home(query)
             with trio.move_on_after(timeout_s):
-                await asked.wait()
+                await answered.wait()
             return self._answer_by_attempt.pop(attempt, None)
         finally:
-            self._asked_by_attempt.pop(attempt, None)
+            self._answered_by_attempt.pop(attempt, None)
             self._answer_by_attempt.pop(attempt, None)
 
-    def _tell(self, message: Message) -> None:
+    def _send_to_home(self, message: Message) -> None:
         """Send something to the home, which may be here."""
         address = self._port.home_address()
         if address is None:
@@ -240,34 +242,36 @@
         else:
             self._port.send(address, message)
 
-    def _place_alone(self, work: Work, engine: EnginePlan) -> Placement | None:
+    def _place_locally(self, request: Work, engine: EnginePlan) -> Placement | None:
         now_s = trio.current_time()
         self._home.refresh_own_runs()
-        decided = self._home.placer.place(now_s, work, engine, whole=self._port.is_home())
+        decided = self._home.placer.place(now_s, request, engine, whole=self._port.is_home())
         return decided if isinstance(decided, Placement) else None
 
-    def _without_resting(self, work: Work) -> Work:
-        """Give a work that keeps off the engines which want nothing from this instance now."""
-        resting = self._home.backoffs.resting(trio.current_time())
-        return replace(work, excluded=(*work.excluded, *resting)) if resting else work
+    def _exclude_backed_off(self, request: Work) -> Work:
+        """Give a request that keeps off the engines which want nothing from this instance now."""
+        backed_off = self._home.backoffs.resting(trio.current_time())
+        return (
+            replace(request, excluded=(*request.excluded, *backed_off)) if backed_off else request
+        )
 
-    def _rested_after_s(self, work: Work) -> float:
-        """Give when some engine wants a work from this instance; 0 if now, or if there is none."""
-        now_s, rests = trio.current_time(), self._home.backoffs
+    def _backoff_left_s(self, request: Work) -> float:
+        """Give when some engine wants a request from this instance; 0 if now, or if there is none."""
+        now_s, backoffs = trio.current_time(), self._home.backoffs
         usable = [
             one
-            for one in self._port.runners.ready(work.service)
-            if one.id not in work.excluded and work.may_run_in(one.zone)
+            for one in self._port.runners.ready(request.service)
+            if one.id not in request.excluded and request.may_run_in(one.zone)
         ]
-        times = (rests.free_after_s(now_s, one, SendPart.ALONE) for one in usable)
+        times = (backoffs.free_after_s(now_s, one, SendPart.ALONE) for one in usable)
         return min(times, default=0.0)
 
-    def _free_alone_after_s(self, work: Work) -> float:
-        """Give when some engine may take a work without the home's word; 0 if now."""
+    def _free_locally_after_s(self, request: Work) -> float:
+        """Give when some engine may take a request without the home's word; 0 if now."""
         placer = self._home.placer
-        return placer.free_after_s(trio.current_time(), work, SendPart.ALONE)
+        return placer.free_after_s(trio.current_time(), request, SendPart.ALONE)
 
-    def _take_place(self, answer: PlaceAnswer) -> Placement:
+    def _accept_place(self, answer: PlaceAnswer) -> Placement:
         """Take the home's answer, and the runners it names if they are news here.
 
         An instance that is cut off from the home's news and not from its answers would find none of
@@ -278,43 +282,45 @@
                 log(Event.RUNNER_INTRODUCED, runner=runner.id, request=answer.attempt)
         return _placement(answer)
 
-    def _take_from_peer(self, message: Message, sender: tuple[str, int]) -> None:
-        self._take(message)
+    def _on_peer_answer(self, message: Message, sender: tuple[str, int]) -> None:
+        self._on_answer(message)
 
-    def _take(self, message: Message) -> None:
+    def _on_answer(self, message: Message) -> None:
         if isinstance(message, MoveTurn):
-            self._take_turn(message)
+            self._on_permit(message)
         elif isinstance(message, PlaceAnswer | BackupAnswer):
-            asked = self._asked_by_attempt.get(message.attempt)
-            if asked is not None:
+            answered = self._answered_by_attempt.get(message.attempt)
+            if answered is not None:
                 self._answer_by_attempt[message.attempt] = message
-                asked.set()
+                answered.set()
 
-    def _take_turn(self, turn: MoveTurn) -> None:
+    def _on_permit(self, permit: MoveTurn) -> None:
         """Let a run have its turn; give the turn back if the run has ended or does not wait.
 
         A question may overtake the news that its run has ended. The others would then wait for a
         turn that nobody uses, for longer than the engine's notice, and be lost with it.
         """
-        waiting = self._turn_by_attempt.get(turn.attempt)
+        waiting = self._permit_by_attempt.get(permit.attempt)
         if waiting is not None:
-            self._destination_by_attempt[turn.attempt] = turn.destination
+            self._destination_by_attempt[permit.attempt] = permit.destination
             waiting.set()
-        elif turn.attempt not in self._copying:
-            self._tell(MoveDone(self.kernel.settings.instance, turn.attempt, turn.source))
+        elif permit.attempt not in self._copying:
+            self._send_to_home(
+                MoveDone(self.kernel.settings.instance, permit.attempt, permit.source)
+            )
 
-    def _log_placed(self, work: Work, placed: Placement, waited_ms: int) -> None:
+    def _log_placed(self, request: Work, placed: Placement, waited_ms: int) -> None:
         now_s = trio.current_time()
         log(
             Event.PLACED,
-            request=work.attempt,
+            request=request.attempt,
             runner=placed.runner,
             backup=placed.backup,
             waited_ms=waited_ms,
-            prompt=work.prompt_tokens,
-            most=work.max_output_tokens,
-            hint=work.length_hint,
-            rank=work.rank,
+            prompt=request.prompt_tokens,
+            most=request.max_output_tokens,
+            hint=request.length_hint,
+            rank=request.rank,
             home=self._port.fleet.home(now_s),
             runners_age_s=round(self._port.runners.age_s(now_s), 3),
         )
--- a/egretstack/services/engine_reports.py
+++ b/egretstack/services/engine_reports.py
@@ -40,13 +40,13 @@
         self._port = kernel.get(FleetPort)
         self._store = kernel.get(StoreReading)
         self._pool = ConnectionPool(max_idle=1)
-        self._silence = Silence()
-        self._asked_s = float("-inf")
-        self._takers: list[Callable[[RunnerId, RunnerReport], None]] = []
+        self._unanswered = Silence()
+        self._requested_s = float("-inf")
+        self._listeners: list[Callable[[RunnerId, RunnerReport], None]] = []
 
-    def on_report(self, taker: Callable[[RunnerId, RunnerReport], None]) -> None:
+    def on_report(self, listener: Callable[[RunnerId, RunnerReport], None]) -> None:
         """Let `taker` see each report."""
-        self._takers.append(taker)
+        self._listeners.append(listener)
 
     def record_ended(self, runner: RunnerId) -> None:
         """Take it, as the home, that an instance found a runner to have ended.
@@ -55,8 +55,8 @@
         """
         engines = self._engines()
         if self._port.is_home() and any(one.id == runner for one in engines):
-            self._silence.ended(runner)
-            self._tell_silent(engines)
+            self._unanswered.ended(runner)
+            self._publish_unresponsive(engines)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Ask while this instance is the home."""
@@ -68,21 +68,23 @@
                         POLL_INTERVAL_S if self._port.is_home() else IDLE_POLL_INTERVAL_S
                     )
                     if self._port.is_home() and self._is_due():
-                        self._ask_all(nursery)
+                        self._check_all(nursery)
         finally:
             self._pool.close()
 
     def _is_due(self) -> bool:
         now_s = trio.current_time()
-        away = self._port.runners.age_s(now_s) > STORE_UNAVAILABLE_AGE_S
-        return now_s - self._asked_s >= (STORE_UNAVAILABLE_PERIOD_S if away else PERIOD_S)
+        unavailable = self._port.runners.age_s(now_s) > STORE_UNAVAILABLE_AGE_S
+        return now_s - self._requested_s >= (
+            STORE_UNAVAILABLE_PERIOD_S if unavailable else PERIOD_S
+        )
 
-    def _ask_all(self, nursery: trio.Nursery) -> None:
-        self._asked_s = trio.current_time()
+    def _check_all(self, nursery: trio.Nursery) -> None:
+        self._requested_s = trio.current_time()
         engines = self._engines()
-        self._tell_silent(engines)
+        self._publish_unresponsive(engines)
         for runner in engines:
-            nursery.start_soon(self._ask, runner)
+            nursery.start_soon(self._check, runner)
 
     def _engines(self) -> list[Runner]:
         return [
@@ -93,28 +95,28 @@
             and self._store.engine(runner.service)
         ]
 
-    def _tell_silent(self, engines: list[Runner]) -> None:
-        silent = self._silence.silent({runner.id for runner in engines})
-        if silent != self._port.runners.silent:
-            log(Event.RUNNERS_SILENT, runners=",".join(sorted(silent)))
-            self._port.runners.silent = silent
+    def _publish_unresponsive(self, engines: list[Runner]) -> None:
+        unresponsive = self._unanswered.silent({runner.id for runner in engines})
+        if unresponsive != self._port.runners.silent:
+            log(Event.RUNNERS_SILENT, runners=",".join(sorted(unresponsive)))
+            self._port.runners.silent = unresponsive
             self._port.report_soon()
 
-    async def _ask(self, runner: Runner) -> None:
-        report = await self._report(runner)
+    async def _check(self, runner: Runner) -> None:
+        report = await self._request_report(runner)
         if report is None:
-            self._silence.missed(runner.id)
+            self._unanswered.missed(runner.id)
             return
         if report.born_ms not in (None, runner.incarnation.born_ms):
             self._port.record_runner_start(runner.id, report.born_ms)
             return
-        self._silence.answered(runner.id)
-        for taker in self._takers:
-            taker(runner.id, report)
+        self._unanswered.answered(runner.id)
+        for listener in self._listeners:
+            listener(runner.id, report)
         if report.leaving or report.leaves_in_s is not None:
             self._port.record_leaving(runner.id)
 
-    async def _report(self, runner: Runner) -> RunnerReport | None:
+    async def _request_report(self, runner: Runner) -> RunnerReport | None:
         """Ask one engine; None if it gives no report that can be read."""
         try:
             connection = await self._pool.take(runner.address, TIMEOUT_S)
--- a/egretstack/services/evacuation_list.py
+++ b/egretstack/services/evacuation_list.py
@@ -44,11 +44,11 @@
             await trio.sleep_forever()
         await self._follow()
 
-    def _is_told(self) -> bool:
-        old_s = self.kernel.settings.bounds.evacuate_s * OWN_READING_SHARE
-        return self._port.evacuations.age_s(trio.current_time()) < old_s
+    def _is_current(self) -> bool:
+        max_age_s = self.kernel.settings.bounds.evacuate_s * OWN_READING_SHARE
+        return self._port.evacuations.age_s(trio.current_time()) < max_age_s
 
-    def _may_try(self) -> bool:
+    def _may_read(self) -> bool:
         """Leave it to the list of runners to find out when the store is back.
 
         An instance that is not the home tries only while it reads that list itself: were all to
@@ -58,7 +58,7 @@
         return sight is StoreSight.READS or (self._port.is_home() and sight is StoreSight.UNKNOWN)
 
     async def _read(self) -> None:
-        store = self._reading.store
+        store = self._store_reading.store
         if self._revision is None:
             listing = await store.list(ObjectKind.EVACUATION)
             self._entries.clear()
--- a/egretstack/services/fleet_news.py
+++ b/egretstack/services/fleet_news.py
@@ -56,11 +56,11 @@
 _ZONE = "z"
 _CRASH = "c"
 _LIMIT = "l"
-_SILENT = 1
+_UNRESPONSIVE = 1
 _SUSPECT = 2
 
 
-class _AsOf(NamedTuple):
+class _SourceVersions(NamedTuple):
     """How far what the rows tell goes."""
 
     runners_revision: int
@@ -79,19 +79,19 @@
         super().__init__(kernel)
         self._port = kernel.get(FleetPort)
         self._keeper = NewsKeeper(lambda: kernel.rng.getrandbits(EPOCH_BITS) or 1)
-        self._as_of = _AsOf(0, float("-inf"), 0, float("-inf"))
-        self._told_s = float("-inf")
-        self._loads_s = float("-inf")
+        self._sources = _SourceVersions(0, float("-inf"), 0, float("-inf"))
+        self._sent_s = float("-inf")
+        self._loads_sent_s = float("-inf")
         self._next_load = 0
-        self._hand_overs = 0
+        self._handovers_left = 0
         """How often the others are still told that this instance is home no more."""
-        self._urged = trio.Event()
+        self._urgent_sent = trio.Event()
         """Set while urgent news wait to be sent once more."""
-        self._told_zones: frozenset[ZoneName] = frozenset()
+        self._received_zones: frozenset[ZoneName] = frozenset()
         """The evacuated zones as the home's rows have them."""
-        self._told_epoch = 0
+        self._received_epoch = 0
         """The epoch of the home whose rows these were."""
-        self._missed_s: float | None = None
+        self._gap_requested_s: float | None = None
         """When what was lost was last asked for; None if nothing is missing."""
         self.load_rows: Callable[[], list] = list
         """Gives the rows of the loads of all engines."""
@@ -107,41 +107,41 @@
         """Tell and take until cancelled."""
         self._port.held_updates = lambda: self._keeper.held
         self._port.misses_updates = lambda: self._keeper.missed
-        self._port.on_report_sent(self._tell)
-        self._port.on_report_received(self._take_report)
-        self._port.handle(FleetNews, self._take)
+        self._port.on_report_sent(self._send_updates)
+        self._port.on_report_received(self._on_report)
+        self._port.handle(FleetNews, self._on_update)
         task_status.started()
-        await self._repeat()
+        await self._repeat_urgent()
 
-    def _tell(self) -> None:
+    def _send_updates(self) -> None:
         """Tell what changed, or each period that nothing did; loads less often."""
         now_s = trio.current_time()
         if not self._port.is_home():
             self._hand_over(now_s)
             return
-        teller = self._keeper.lead()
+        publisher = self._keeper.lead()
         others = self._port.fleet.others_heard(now_s)
-        teller.forget({known.instance.id for known in others})
-        before = teller.rows.version
-        changed = self._update(others)
-        if changed or now_s - self._told_s >= REPORT_PERIOD_S / 2:
-            self._told_s = now_s
-            self._send_all(now_s, others)
+        publisher.forget({known.instance.id for known in others})
+        before = publisher.rows.version
+        changed = self._refresh_rows(others)
+        if changed or now_s - self._sent_s >= REPORT_PERIOD_S / 2:
+            self._sent_s = now_s
+            self._send_lacking(now_s, others)
         if changed and self._is_urgent(before):
-            teller.urge(before)
-            self._urged.set()
-        if now_s - self._loads_s >= LOADS_PERIOD_S:
-            self._loads_s = now_s
-            self._tell_loads(others)
+            publisher.urge(before)
+            self._urgent_sent.set()
+        if now_s - self._loads_sent_s >= LOADS_PERIOD_S:
+            self._loads_sent_s = now_s
+            self._send_loads(others)
 
-    def _update(self, others: list[KnownInstance]) -> bool:
+    def _refresh_rows(self, others: list[KnownInstance]) -> bool:
         """Bring the rows up to date, and how far they go; tell whether any row changed.
 
         What is read between two tellings is in neither. Told with a later revision than theirs, the
         rows of a home that has just begun would say that all runners are missing.
         """
         runners, evacuations = self._port.runners, self._port.evacuations
-        self._as_of = _AsOf(
+        self._sources = _SourceVersions(
             runners.revision, runners.read_s, evacuations.revision, evacuations.read_s
         )
         return self._keeper.lead().update(self._rows(others))
@@ -155,19 +155,21 @@
             return True
         return any(one.row is not None for one in changes if one.key[0] in (_ZONE, _CRASH))
 
-    async def _repeat(self) -> None:
+    async def _repeat_urgent(self) -> None:
         """Send urgent news once more to whoever has not reported to hold them."""
         while True:
-            await self._urged.wait()
+            await self._urgent_sent.wait()
             await trio.sleep(REPEAT_AFTER_S)
-            self._urged = trio.Event()
+            self._urgent_sent = trio.Event()
             now_s = trio.current_time()
-            teller = self._keeper.teller
-            if teller is None or not self._port.is_home():
+            publisher = self._keeper.teller
+            if publisher is None or not self._port.is_home():
                 continue
             others = self._port.fleet.others_heard(now_s)
-            self._send_parts(now_s, [(one, teller.repeats_for(one.instance.id)) for one in others])
-            teller.repeated()
+            self._send_parts(
+                now_s, [(one, publisher.repeats_for(one.instance.id)) for one in others]
+            )
+            publisher.repeated()
 
     def _hand_over(self, now_s: float) -> None:
         """Point the others to the home that follows this one, a few times.
@@ -177,10 +179,10 @@
         """
         if self._keeper.teller is not None:
             self._keeper.follow()
-            self._hand_overs = HANDOVER_REPEATS
-        if not self._hand_overs:
+            self._handovers_left = HANDOVER_REPEATS
+        if not self._handovers_left:
             return
-        self._hand_overs -= 1
+        self._handovers_left -= 1
         fleet = self._port.fleet
         home = fleet.record(fleet.home(now_s))
         rows = [instance_row(one) for one in (fleet.own, home) if one is not None]
@@ -192,7 +194,7 @@
         """Give all rows; what has to be known soonest comes first when all of it is new."""
         runners = self._port.runners
         rows = {
-            f"{_RUNNER}{runner.id}": [*runner_row(runner), self._marks(runner.id)]
+            f"{_RUNNER}{runner.id}": [*runner_row(runner), self._flags(runner.id)]
             for runner in runners.by_id.values()
         }
         rows |= {f"{_ZONE}{zone}": [] for zone in self._port.evacuations.zones}
@@ -206,45 +208,47 @@
             rows[f"{_INSTANCE}{name}"] = told_instance_row(known, watches=name in watchers)
         return rows
 
-    def _marks(self, runner: RunnerId) -> int:
-        silent = _SILENT if runner in self._port.runners.silent else 0
-        return silent | (_SUSPECT if runner in self._port.runners.suspects else 0)
+    def _flags(self, runner: RunnerId) -> int:
+        unresponsive = _UNRESPONSIVE if runner in self._port.runners.silent else 0
+        return unresponsive | (_SUSPECT if runner in self._port.runners.suspects else 0)
 
-    def _send_all(self, now_s: float, others: list[KnownInstance]) -> None:
+    def _send_lacking(self, now_s: float, others: list[KnownInstance]) -> None:
         """Send to each what it lacks."""
-        teller = self._keeper.lead()
-        self._send_parts(now_s, [(one, teller.parts_for(now_s, one.instance.id)) for one in others])
+        publisher = self._keeper.lead()
+        self._send_parts(
+            now_s, [(one, publisher.parts_for(now_s, one.instance.id)) for one in others]
+        )
 
     def _send_parts(
         self, now_s: float, parts_by_instance: list[tuple[KnownInstance, list[NewsPart]]]
     ) -> None:
         """Send parts; what several instances lack alike is put together once."""
-        shape = self._news(now_s)
+        template = self._update_template(now_s)
         encoded_by_part: dict[NewsPart, bytes] = {}
         for known, parts in parts_by_instance:
             for part in parts:
                 data = encoded_by_part.get(part)
                 if data is None:
-                    data = encoded_by_part[part] = encode(part.fill(shape))
+                    data = encoded_by_part[part] = encode(part.fill(template))
                 self._port.send_encoded(known.instance.peer_address, data)
 
-    def _news(self, now_s: float) -> FleetNews:
+    def _update_template(self, now_s: float) -> FleetNews:
         """Give the news without their rows."""
-        teller = self._keeper.lead()
+        publisher = self._keeper.lead()
         version, holders = self._newest_configuration(now_s)
         return FleetNews(
             home=instance_row(self._port.fleet.own),
-            epoch=teller.epoch,
-            continued_epoch=teller.continued.epoch,
-            continued_version=teller.continued.version,
-            base=teller.rows.version,
-            upto=teller.rows.version,
-            latest=teller.rows.version,
+            epoch=publisher.epoch,
+            continued_epoch=publisher.continued.epoch,
+            continued_version=publisher.continued.version,
+            base=publisher.rows.version,
+            upto=publisher.rows.version,
+            latest=publisher.rows.version,
             rows=b"",
-            runners_revision=self._as_of.runners_revision,
-            runners_age_ms=_age_ms(now_s - self._as_of.runners_read_s),
-            evacuations_revision=self._as_of.evacuations_revision,
-            evacuations_age_ms=_age_ms(now_s - self._as_of.evacuations_read_s),
+            runners_revision=self._sources.runners_revision,
+            runners_age_ms=_age_ms(now_s - self._sources.runners_read_s),
+            evacuations_revision=self._sources.evacuations_revision,
+            evacuations_age_ms=_age_ms(now_s - self._sources.evacuations_read_s),
             config_version=version,
             config_holders=holders,
         )
@@ -255,76 +259,78 @@
             holders = self.kernel.rng.sample(holders, MAX_HOLDERS)
         return version, holders
 
-    def _tell_loads(self, others: list[KnownInstance]) -> None:
+    def _send_loads(self, others: list[KnownInstance]) -> None:
         rows = self.load_rows()
         if not rows:
             return
         begin = self._next_load % len(rows)
-        some = (rows[begin:] + rows[:begin])[:MAX_LOADS]
-        self._next_load = begin + len(some)
-        data = encode(FleetLoads(self._port.fleet.own.instance.id, some))
+        selected = (rows[begin:] + rows[:begin])[:MAX_LOADS]
+        self._next_load = begin + len(selected)
+        data = encode(FleetLoads(self._port.fleet.own.instance.id, selected))
         for known in others:
             self._port.send_encoded(known.instance.peer_address, data)
 
-    def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
-        teller = self._keeper.teller
-        if teller is None or not self._port.is_home():
+    def _on_report(self, instance: InstanceId, report: InstanceReport) -> None:
+        publisher = self._keeper.teller
+        if publisher is None or not self._port.is_home():
             return
         now_s = trio.current_time()
-        held, missed = _held_of(report.held)
-        teller.note_held(instance, held, missed=missed)
-        if teller.lags(now_s, instance):
+        held, missed = _parse_held(report.held)
+        publisher.note_held(instance, held, missed=missed)
+        if publisher.lags(now_s, instance):
             known = self._port.fleet.record(instance)
             if known is not None:
-                self._send_all(now_s, [known])
+                self._send_lacking(now_s, [known])
 
-    def _take(self, news: Message, sender: tuple[str, int]) -> None:
+    def _on_update(self, update: Message, sender: tuple[str, int]) -> None:
         now_s = trio.current_time()
-        home = instance_of(news.home)
+        home = instance_of(update.home)
         self._port.fleet.met(now_s, home)
         if self._port.fleet.home(now_s) != home.instance.id:
             return
-        holders = [InstanceId(str(one)) for one in news.config_holders]
-        self._port.fleet.told_configuration(news.config_version, holders)
-        taken = self._keeper.follow().take(news)
-        if taken is Taken.GAP:
-            self._miss(now_s, home.instance.id, news)
-        elif taken is Taken.WHOLE:
-            self._missed_s = None
-            self._use(now_s, home.instance.id, news)
-
-    def _miss(self, now_s: float, home: InstanceId, news: FleetNews) -> None:
+        holders = [InstanceId(str(one)) for one in update.config_holders]
+        self._port.fleet.told_configuration(update.config_version, holders)
+        result = self._keeper.follow().take(update)
+        if result is Taken.GAP:
+            self._on_gap(now_s, home.instance.id, update)
+        elif result is Taken.WHOLE:
+            self._gap_requested_s = None
+            self._apply(now_s, home.instance.id, update)
+
+    def _on_gap(self, now_s: float, home: InstanceId, update: FleetNews) -> None:
         """Ask for what was lost, at once the first time; of a burst one part tells enough."""
         self._gaps.inc()
-        if self._missed_s is None:
-            log(Event.NEWS_GAP, home=home, base=news.base, latest=news.latest)
-        if self._missed_s is None or now_s - self._missed_s >= REREQUEST_INTERVAL_S:
-            self._missed_s = now_s
+        if self._gap_requested_s is None:
+            log(Event.NEWS_GAP, home=home, base=update.base, latest=update.latest)
+        if self._gap_requested_s is None or now_s - self._gap_requested_s >= REREQUEST_INTERVAL_S:
+            self._gap_requested_s = now_s
             self._port.report_soon()
 
-    def _use(self, now_s: float, home: InstanceId, news: FleetNews) -> None:
+    def _apply(self, now_s: float, home: InstanceId, update: FleetNews) -> None:
         """Put the rows to use, which are all that the home has told."""
         changed_keys = self._keeper.follow().pop_changed()
         kinds = {key[0] for key in changed_keys}
         if _INSTANCE in kinds:
-            self._port.fleet.told(now_s, home, [instance_of(row) for row in self._of(_INSTANCE)])
+            self._port.fleet.told(
+                now_s, home, [instance_of(row) for row in self._rows_of_kind(_INSTANCE)]
+            )
         else:
             self._port.fleet.still_told(now_s, home)
-        self._use_crashes(now_s, changed_keys)
+        self._apply_crash_records(now_s, changed_keys)
         if _LIMIT in kinds or self._port.limits.limited():
-            self._port.apply_limits(self._told_limits())
-        self._use_evacuations(now_s, news, _ZONE in kinds)
-        read_s = now_s - news.runners_age_ms / 1000
+            self._port.apply_limits(self._received_limits())
+        self._apply_evacuations(now_s, update, _ZONE in kinds)
+        read_s = now_s - update.runners_age_ms / 1000
         table = self._port.runners
         changed = _RUNNER in kinds or table.revision != self._table_revision
         if changed or table.misses_any():
-            self._take_runners(news.runners_revision, read_s)
+            self._apply_runners(update.runners_revision, read_s)
         else:
-            table.still_holds(news.runners_revision, read_s)
-        was_taken = table.revision == news.runners_revision
-        self._table_revision = table.revision if was_taken else None
+            table.still_holds(update.runners_revision, read_s)
+        was_applied = table.revision == update.runners_revision
+        self._table_revision = table.revision if was_applied else None
 
-    def _use_crashes(self, now_s: float, changed_keys: set[str]) -> None:
+    def _apply_crash_records(self, now_s: float, changed_keys: set[str]) -> None:
         """Take the changed records; one that the home has forgotten is forgotten here in time."""
         keys = [key for key in changed_keys if key[0] == _CRASH]
         rows = self._keeper.follow().rows.rows() if keys else {}
@@ -333,51 +339,51 @@
                 content = ContentId(key[1:])
                 self._port.apply_crash_record(now_s, content, record_of(rows[key]))
 
-    def _use_evacuations(self, now_s: float, news: FleetNews, changed: bool) -> None:
+    def _apply_evacuations(self, now_s: float, update: FleetNews, changed: bool) -> None:
         # Under another home the rows may be the same as this instance told when it was home itself.
-        if changed or news.epoch != self._told_epoch:
-            self._told_epoch = news.epoch
+        if changed or update.epoch != self._received_epoch:
+            self._received_epoch = update.epoch
             rows = self._keeper.follow().rows.rows()
-            self._told_zones = frozenset(ZoneName(key[1:]) for key in rows if key[0] == _ZONE)
-        read_s = now_s - news.evacuations_age_ms / 1000
-        self._port.apply_evacuations(self._told_zones, news.evacuations_revision, read_s)
+            self._received_zones = frozenset(ZoneName(key[1:]) for key in rows if key[0] == _ZONE)
+        read_s = now_s - update.evacuations_age_ms / 1000
+        self._port.apply_evacuations(self._received_zones, update.evacuations_revision, read_s)
 
-    def _told_limits(self) -> dict[RunnerId, float]:
+    def _received_limits(self) -> dict[RunnerId, float]:
         rows = self._keeper.follow().rows.rows().items()
-        return {RunnerId(key[1:]): _limit_of(row) for key, row in rows if key[0] == _LIMIT}
+        return {RunnerId(key[1:]): _parse_limit_row(row) for key, row in rows if key[0] == _LIMIT}
 
-    def _of(self, kind: str) -> list[list]:
+    def _rows_of_kind(self, kind: str) -> list[list]:
         return [row for key, row in self._keeper.follow().rows.rows().items() if key[0] == kind]
 
-    def _take_runners(self, revision: int, read_s: float) -> None:
+    def _apply_runners(self, revision: int, read_s: float) -> None:
         table = self._port.runners
-        rows = self._of(_RUNNER)
+        rows = self._rows_of_kind(_RUNNER)
         listed = [runner_of(row[:-1]) for row in rows]
-        marks_by_id = {one.id: _marks_of(row) for one, row in zip(listed, rows, strict=True)}
-        self._port.apply_runner_list(listed, revision, read_s, by_home=True)
-        table.silent = frozenset(one for one, it in marks_by_id.items() if it & _SILENT)
-        table.suspects = frozenset(one for one, it in marks_by_id.items() if it & _SUSPECT)
+        flags_by_id = {one.id: _parse_flags(row) for one, row in zip(listed, rows, strict=True)}
+        self._port.apply_runner_list(listed, revision, read_s, from_home=True)
+        table.silent = frozenset(one for one, it in flags_by_id.items() if it & _UNRESPONSIVE)
+        table.suspects = frozenset(one for one, it in flags_by_id.items() if it & _SUSPECT)
 
 
 def _age_ms(age_s: float) -> int:
     return round(min(age_s, MAX_AGE_S) * 1000)
 
 
-def _marks_of(row: list) -> int:
+def _parse_flags(row: list) -> int:
     """Read the marks at the end of a runner's row. Raises MessageError."""
     if not isinstance(row[-1], int):
         raise MessageError("a runner without marks")
     return row[-1]
 
 
-def _limit_of(row: list) -> float:
+def _parse_limit_row(row: list) -> float:
     """Read the row of a runner's limit. Raises MessageError."""
     if len(row) != 1:
         raise MessageError("a limit that is no rate")
     return checked_limit(row[0])
 
 
-def _held_of(row: list) -> tuple[HeldNews, bool]:
+def _parse_held(row: list) -> tuple[HeldNews, bool]:
     """Read what a report tells of the news that its sender holds. Raises MessageError."""
     try:
         epoch, version, missed = row
--- a/egretstack/services/fleet_port.py
+++ b/egretstack/services/fleet_port.py
@@ -84,27 +84,27 @@
         """Gives the rows of the requests that were answered since."""
         self.report_now = trio.Event()
         self._handler_by_kind: dict[type[Message], Handler] = {
-            InstanceReport: self._take_report,
-            FleetView: self._take_view,
+            InstanceReport: self._on_report,
+            FleetView: self._on_view,
         }
-        self._tellers: list[Callable[[], None]] = []
-        self._crash_takers: list[Callable[[], None]] = []
-        self._gone_takers: list[Callable[[Runner], None]] = []
-        self._report_takers: list[Callable[[InstanceId, InstanceReport], None]] = []
-        self._raw = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._raw.setblocking(False)
+        self._report_sent_listeners: list[Callable[[], None]] = []
+        self._crash_listeners: list[Callable[[], None]] = []
+        self._runner_end_listeners: list[Callable[[Runner], None]] = []
+        self._report_listeners: list[Callable[[InstanceId, InstanceReport], None]] = []
+        self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self._socket.setblocking(False)
 
     def handle(self, kind: type[Message], handler: Handler) -> None:
         """Let `handler` take messages of a kind."""
         self._handler_by_kind[kind] = handler
 
-    def on_report_sent(self, teller: Callable[[], None]) -> None:
+    def on_report_sent(self, listener: Callable[[], None]) -> None:
         """Let `teller` send what it has to tell, each time this instance has reported."""
-        self._tellers.append(teller)
+        self._report_sent_listeners.append(listener)
 
-    def on_report_received(self, taker: Callable[[InstanceId, InstanceReport], None]) -> None:
+    def on_report_received(self, listener: Callable[[InstanceId, InstanceReport], None]) -> None:
         """Let `taker` see what an instance reports."""
-        self._report_takers.append(taker)
+        self._report_listeners.append(listener)
 
     def update_own(self, **changes: object) -> None:
         """Change what this instance tells of itself."""
@@ -136,7 +136,7 @@
         """Send an encoded message, which may go to many."""
         host, _, port = address.rpartition(":")
         try:
-            self._raw.sendto(data, (host, int(port)))
+            self._socket.sendto(data, (host, int(port)))
         except OSError as error:
             log(Event.DATAGRAM_UNSENT, to=address, error=str(error))
 
@@ -147,24 +147,24 @@
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Send and receive."""
         node: NodeSettings = self.kernel.settings
-        with trio.socket.from_stdlib_socket(self._raw) as receiving:
+        with trio.socket.from_stdlib_socket(self._socket) as receiving:
             await receiving.bind((node.ip, node.first_peer_port))
             async with trio.open_nursery() as nursery:
-                self._greet_seeds()
+                self._announce_to_seeds()
                 nursery.start_soon(self._receive, receiving)
-                nursery.start_soon(self._tell)
+                nursery.start_soon(self._report_periodically)
                 task_status.started()
 
     async def farewell(self) -> None:
         """Tell the others that this instance ends."""
-        self._report()
+        self._send_report()
 
     def has_seeds(self) -> bool:
         """Tell whether the settings name other instances."""
         own_ip = self.kernel.settings.ip
         return any(seed.rpartition(":")[0] != own_ip for seed in self.kernel.settings.seeds)
 
-    def _greet_seeds(self) -> None:
+    def _announce_to_seeds(self) -> None:
         """Report to the seeds, again in each period until anybody is heard: they start as late."""
         node: NodeSettings = self.kernel.settings
         for seed in node.seeds:
@@ -175,30 +175,30 @@
     def announce_to_some(self) -> None:
         """Report to a few instances that are not heard; one of them knows the home."""
         unheard = self.fleet.unheard(trio.current_time())
-        some = self.kernel.rng.sample(unheard, min(MAX_ANNOUNCEMENTS, len(unheard)))
-        self._greet_all(some)
+        chosen = self.kernel.rng.sample(unheard, min(MAX_ANNOUNCEMENTS, len(unheard)))
+        self._announce_to(chosen)
 
     def announce_to_all(self) -> None:
         """Report to all instances that are not heard, as the home: they follow another one."""
-        self._greet_all(self.fleet.unheard(trio.current_time()))
+        self._announce_to(self.fleet.unheard(trio.current_time()))
 
-    def _greet_all(self, instances: list[Instance]) -> None:
+    def _announce_to(self, instances: list[Instance]) -> None:
         report = self._own_report()
         for instance in instances:
             self.send(instance.peer_address, report)
 
-    async def _tell(self) -> None:
+    async def _report_periodically(self) -> None:
         while True:
             with trio.move_on_after(REPORT_PERIOD_S):
                 await self.report_now.wait()
             self.report_now = trio.Event()
-            self._report()
+            self._send_report()
             if len(self.fleet.live(trio.current_time())) == 1:
-                self._greet_seeds()
-            for teller in self._tellers:
-                teller()
+                self._announce_to_seeds()
+            for listener in self._report_sent_listeners:
+                listener()
 
-    def _report(self) -> None:
+    def _send_report(self) -> None:
         report = self._own_report()
         for target in self.fleet.report_targets(trio.current_time()):
             self.send(target.peer_address, report)
@@ -234,18 +234,18 @@
             except (ValueError, msgpack.UnpackException, MessageError) as error:
                 log(Event.PEER_REFUSED, sender=sender[0], error=str(error))
 
-    def _take_report(self, report: InstanceReport, sender: tuple[str, int]) -> None:
+    def _on_report(self, report: InstanceReport, sender: tuple[str, int]) -> None:
         known = instance_of(report.sender)
         now_s = trio.current_time()
         self.fleet.heard(now_s, known)
-        for taker in self._report_takers:
-            taker(known.instance.id, report)
+        for listener in self._report_listeners:
+            listener(known.instance.id, report)
         home = self.fleet.home(now_s)
         if home not in (report.home, self.fleet.own.instance.id):
             rows = [instance_row(one) for one in self.fleet.live(now_s) if one.instance.id == home]
             self.send(known.instance.peer_address, FleetView(rows))
 
-    def _take_view(self, view: FleetView, sender: tuple[str, int]) -> None:
+    def _on_view(self, view: FleetView, sender: tuple[str, int]) -> None:
         now_s = trio.current_time()
         before = self.fleet.home(now_s)
         self.fleet.pointed(now_s, rows_of(view.instances, instance_of))
@@ -253,14 +253,14 @@
             self.report_soon()
 
     def apply_runner_list(
-        self, runners: list, revision: int, read_s: float, *, by_home: bool = False
+        self, runners: list, revision: int, read_s: float, *, from_home: bool = False
     ) -> None:
         """Take a reading of the list of runners, by this instance or by the home."""
         now_s = trio.current_time()
-        stopped = self.runners.take(now_s, runners, revision, read_s, by_home=by_home)
+        stopped = self.runners.take(now_s, runners, revision, read_s, by_home=from_home)
         for runner in stopped:
             log(Event.RUNNER_LEAVES, runner=runner.id, service=runner.service, revision=revision)
-        self._tell_gone(stopped)
+        self._notify_ended(stopped)
         if stopped and self.is_home():
             self.report_soon()
 
@@ -286,20 +286,20 @@
     def apply_limits(self, per_s_by_id: Mapping[RunnerId, float]) -> None:
         """Take all limits of runners that the home knows of."""
         for runner in self.limits.told_all(trio.current_time(), per_s_by_id):
-            self._limit_changed(runner)
+            self._on_limit_changed(runner)
 
     def record_runner_limit(self, runner: RunnerId, per_s: float | None, sent_s: float) -> None:
         """Take what an answer to a request sent at `sent_s` says of a runner's limit."""
         if self.limits.heard(trio.current_time(), runner, per_s, sent_s):
-            self._limit_changed(runner)
+            self._on_limit_changed(runner)
 
     def record_peer_limit(self, runner: RunnerId, per_s: float | None, age_s: float) -> None:
         """Take another instance's word of what a runner said of its limit."""
         now_s = trio.current_time()
         if self.limits.told(now_s, runner, per_s, now_s - age_s):
-            self._limit_changed(runner)
+            self._on_limit_changed(runner)
 
-    def _limit_changed(self, runner: RunnerId) -> None:
+    def _on_limit_changed(self, runner: RunnerId) -> None:
         per_s = self.limits.per_s(runner)
         if per_s is None:
             log(Event.RUNNER_UNLIMITED, runner=runner)
@@ -311,7 +311,7 @@
         """Take what the home or the store knows of a request under which runners ended."""
         refused = self.crashes.refuses(content)
         if self.crashes.take(now_s, content, record):
-            self._crashes_changed(content, was_refused=refused)
+            self._on_crash_record_changed(content, was_refused=refused)
 
     def record_strike(self, now_s: float, content: ContentId, strike: Strike) -> bool:
         """Note that a runner ended while it ran a request of this instance, or of another one.
@@ -321,45 +321,45 @@
         refused = self.crashes.refuses(content)
         changed = self.crashes.strike(now_s, content, strike)
         if changed:
-            self._crashes_changed(content, was_refused=refused)
+            self._on_crash_record_changed(content, was_refused=refused)
         return changed
 
     def apply_clear(self, now_s: float, content: ContentId, cleared_round: int) -> None:
         """Take it that a runner answered a request of another instance."""
         refused = self.crashes.refuses(content)
         if self.crashes.take_clear(now_s, content, cleared_round):
-            self._crashes_changed(content, was_refused=refused)
+            self._on_crash_record_changed(content, was_refused=refused)
 
     def record_clear(self, now_s: float, content: ContentId) -> int | None:
         """Note that a request was answered, or let free; give the round that begins, if any."""
         refused = self.crashes.refuses(content)
         cleared_round = self.crashes.clear(now_s, content)
         if cleared_round is not None:
-            self._crashes_changed(content, was_refused=refused)
+            self._on_crash_record_changed(content, was_refused=refused)
         return cleared_round
 
-    def on_crash_record_change(self, taker: Callable[[], None]) -> None:
+    def on_crash_record_change(self, listener: Callable[[], None]) -> None:
         """Let `taker` know when a record of a request under which runners ended has changed."""
-        self._crash_takers.append(taker)
+        self._crash_listeners.append(listener)
 
-    def _crashes_changed(self, content: ContentId, *, was_refused: bool) -> None:
+    def _on_crash_record_changed(self, content: ContentId, *, was_refused: bool) -> None:
         refuses = self.crashes.refuses(content)
         if refuses != was_refused:
             event = Event.CONTENT_REFUSED if refuses else Event.CONTENT_CLEARED
             record = self.crashes.record(content)
             log(event, content=content, runners=",".join(record.weight_by_runner))
-        for taker in self._crash_takers:
-            taker()
+        for listener in self._crash_listeners:
+            listener()
         if self.is_home():
             self.report_soon()
 
-    def record_runner_start(self, runner: RunnerId, born_ms: int) -> None:
+    def record_runner_start(self, runner: RunnerId, started_ms: int) -> None:
         """Take a runner's own word of when it started."""
-        gone = self.runners.started(runner, born_ms)
-        if gone is None:
+        ended = self.runners.started(runner, started_ms)
+        if ended is None:
             return
-        log(Event.RUNNER_STARTED_AGAIN, runner=runner, born_ms=born_ms)
-        self._tell_gone([gone])
+        log(Event.RUNNER_STARTED_AGAIN, runner=runner, born_ms=started_ms)
+        self._notify_ended([ended])
         self.report_soon()
 
     def confirm_runner(self, runner: RunnerId) -> None:
@@ -368,15 +368,15 @@
             log(Event.RUNNER_BACK, runner=runner, revision=self.runners.revision)
             self.report_soon()
 
-    def on_runner_ended(self, taker: Callable[[Runner], None]) -> None:
+    def on_runner_ended(self, listener: Callable[[Runner], None]) -> None:
         """Let `taker` see each start of a runner that has surely ended."""
-        self._gone_takers.append(taker)
+        self._runner_end_listeners.append(listener)
 
-    def _tell_gone(self, stopped: Iterable[Runner]) -> None:
+    def _notify_ended(self, stopped: Iterable[Runner]) -> None:
         for runner in stopped:
             if runner.state is RunnerState.GONE:
-                for taker in self._gone_takers:
-                    taker(runner)
+                for listener in self._runner_end_listeners:
+                    listener(runner)
 
     def record_leaving(self, runner: RunnerId) -> None:
         """Take a runner's own word that it leaves."""
--- a/egretstack/services/front_port.py
+++ b/egretstack/services/front_port.py
@@ -81,8 +81,8 @@
         self._leaving = True
         self._relaying.begin_leaving()
         began_s = trio.current_time()
-        longest_s = node.bounds.grace_s - STOP_MARGIN_S
-        while trio.current_time() - began_s < longest_s:
+        max_s = node.bounds.grace_s - STOP_MARGIN_S
+        while trio.current_time() - began_s < max_s:
             await trio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     async def _serve(self, stream: trio.SocketStream) -> None:
@@ -127,12 +127,14 @@
     ) -> None:
         request = decode_request(head, body)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch, connection, request, nursery.cancel_scope)
+            nursery.start_soon(
+                self._cancel_on_disconnect, connection, request, nursery.cancel_scope
+            )
             await self._relay(connection, request, began_s)
             nursery.cancel_scope.cancel()
 
     @staticmethod
-    async def _watch(
+    async def _cancel_on_disconnect(
         connection: ClientConnection, request: ClientRequest, scope: trio.CancelScope
     ) -> None:
         await connection.wait_until_gone()
@@ -233,22 +235,22 @@
         """Send the head."""
         headers = (*head.headers, *self._closing)
         start = ResponseHead(head.status, head.reason, headers)
-        await self._unless_gone(self._connection.start_stream(start))
+        await self._send_if_connected(self._connection.start_stream(start))
 
     async def send(self, data: bytes) -> None:
         """Send whole events."""
-        await self._unless_gone(self._connection.send_part(data))
+        await self._send_if_connected(self._connection.send_part(data))
 
     async def finish(self) -> None:
         """Send the proper end."""
-        await self._unless_gone(self._connection.finish_stream())
+        await self._send_if_connected(self._connection.finish_stream())
 
     def abort(self) -> None:
         """Break the answer off so that it cannot look complete."""
         self._connection.abort()
 
     @staticmethod
-    async def _unless_gone(sending: Awaitable[None]) -> None:
+    async def _send_if_connected(sending: Awaitable[None]) -> None:
         try:
             await sending
         except ClientGone:
--- a/egretstack/services/instance_listing.py
+++ b/egretstack/services/instance_listing.py
@@ -37,7 +37,7 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self._port = kernel.get(FleetPort)
-        self._reading = kernel.get(StoreReading)
+        self._store_reading = kernel.get(StoreReading)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Register and list until cancelled."""
@@ -46,11 +46,13 @@
         pause_s = FIRST_LISTING_S
         while True:
             try:
-                await self._until_unled()
+                await self._wait_without_home()
                 if not registered:
                     await self._register()
                     registered = True
-                listing = await self._reading.store.list(ObjectKind.INSTANCE, allow_stale=True)
+                listing = await self._store_reading.store.list(
+                    ObjectKind.INSTANCE, allow_stale=True
+                )
                 listed = [
                     one for stored in listing.objects if (one := _parse_listed(stored)) is not None
                 ]
@@ -64,10 +66,10 @@
                 await trio.sleep(pause_s)
                 pause_s = min(2 * pause_s, LAST_LISTING_S)
             except StoreAway as error:
-                self._reading.record_unavailable(error)
-                await trio.sleep(self._away_pause_s())
+                self._store_reading.record_unavailable(error)
+                await trio.sleep(self._unavailable_pause_s())
 
-    async def _until_unled(self) -> None:
+    async def _wait_without_home(self) -> None:
         """Wait until no other instance was heard to be the home for a while."""
         if not self._port.has_seeds() and not self._port.fleet.known():
             return  # The first of a fleet waits for nobody.
@@ -77,7 +79,7 @@
             if self._port.fleet.is_led(trio.current_time()):
                 unled_since_s = trio.current_time()
 
-    def _away_pause_s(self) -> float:
+    def _unavailable_pause_s(self) -> float:
         """Give the pause after a list of instances that the store did not give.
 
         Once others are heard the list tells nothing new, and each instance that asks on makes 2.5
@@ -95,9 +97,9 @@
             "peer": own.peer_address,
             "strength": own.strength,
         }
-        if not await self._reading.store.replace(ObjectKind.INSTANCE, own.id, spec):
+        if not await self._store_reading.store.replace(ObjectKind.INSTANCE, own.id, spec):
             try:
-                await self._reading.store.create(ObjectKind.INSTANCE, own.id, spec)
+                await self._store_reading.store.create(ObjectKind.INSTANCE, own.id, spec)
             except RevisionConflict:
                 log(Event.INSTANCE_REGISTERED, already=True)
                 return
--- a/egretstack/services/instances.py
+++ b/egretstack/services/instances.py
@@ -11,7 +11,7 @@
 from egretstack.objectapi import ENTRY_SERVICE, Member, MemberState, PlatformAway
 from egretstack.services.platform_access import PlatformAccess
 
-Reading = Callable[[list[Member]], Awaitable[None]]
+ReadingHandler = Callable[[list[Member]], Awaitable[None]]
 
 
 class Instances(Service):
@@ -28,9 +28,9 @@
         super().__init__(kernel)
         self._members: list[Member] = []
         self._listeners: list[Callable[[], None]] = []
-        self._reading: Reading | None = None
-        self._wanted = trio.Event()
-        self._away = False
+        self._reading: ReadingHandler | None = None
+        self._read_requested = trio.Event()
+        self._unavailable = False
         self.last_read: list[Member] | None = None
 
     def members(self, service: ServiceName, state: MemberState | None = None) -> list[Member]:
@@ -49,11 +49,11 @@
         """Call `listener` after each change of the list."""
         self._listeners.append(listener)
 
-    async def on_reading(self, reading: Reading) -> None:
+    async def on_reading(self, handler: ReadingHandler) -> None:
         """Hand each reading to `reading`, which answers with `put`; the last one at once."""
-        self._reading = reading
+        self._reading = handler
         if self.last_read is not None:
-            await reading(self.last_read)
+            await handler(self.last_read)
 
     def set_members(self, members: list[Member]) -> None:
         """Hold these members, and tell of a change."""
@@ -65,35 +65,35 @@
 
     def read_soon(self) -> None:
         """Read the list ahead of the plan."""
-        self._wanted.set()
+        self._read_requested.set()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Read the list in this process's turns."""
         await self._read()
         task_status.started()
         while True:
-            self._wanted = trio.Event()
+            self._read_requested = trio.Event()
             with trio.move_on_after(self._plan().wait_s(self.kernel.epoch.now())):
-                await self._wanted.wait()
+                await self._read_requested.wait()
             await self._read()
 
     def _plan(self) -> ReadingPlan:
-        least_s = self.kernel.settings.number("platform", "list_period_s")
+        min_period_s = self.kernel.settings.number("platform", "list_period_s")
         own = self.kernel.settings.text("instance", "id")
         readers = sorted({member.id for member in self.members(ENTRY_SERVICE)} | {own})
-        return ReadingPlan.make(least_s, len(self._members), readers.index(own), len(readers))
+        return ReadingPlan.make(min_period_s, len(self._members), readers.index(own), len(readers))
 
     async def _read(self) -> None:
         try:
             members = await self.kernel.get(PlatformAccess).instance_list.members()
         except PlatformAway as error:
-            if not self._away:
+            if not self._unavailable:
                 log(Event.PLATFORM_AWAY, what="instance list", error=str(error))
-            self._away = True
+            self._unavailable = True
             return
-        if self._away:
+        if self._unavailable:
             log(Event.PLATFORM_BACK, what="instance list")
-        self._away = False
+        self._unavailable = False
         self.last_read = members
         if self._reading is None:
             self.set_members(members)
--- a/egretstack/services/ledger_store.py
+++ b/egretstack/services/ledger_store.py
@@ -70,7 +70,7 @@
         super().__init__(kernel)
         self._boot = secrets.token_hex(8)
         self._owner = InstanceId(kernel.settings.text("instance", "id"))
-        self._book = AttemptBook(self._boot, MAX_ATTEMPTS)
+        self._attempts = AttemptBook(self._boot, MAX_ATTEMPTS)
         self._nursery: trio.Nursery
         self._store: ShardStore
 
@@ -91,34 +91,36 @@
             while not self._store.idle:
                 await trio.sleep(0.1)
 
-    async def begin(self, ask: IntentRequest) -> Intent | Row:
+    async def begin(self, request: IntentRequest) -> Intent | Row:
         """Write an intent, or give the row that the key has already.
 
         Raises EgretError PLATFORM_AWAY; the call was then not sent and never will be.
         """
-        number = shard_number(ask.key)
-        if self._book.full or self._store.refuses(number):
-            raise _away("the store did not answer a moment ago")
+        number = shard_number(request.key)
+        if self._attempts.full or self._store.refuses(number):
+            raise _unavailable("the store did not answer a moment ago")
         began_s = trio.current_time()
-        row = self._new_row(ask)
-        operation = Operation(Wanted.BEGIN, ask.key, row, began_s + BEGIN_TIMEOUT_S, ask.over)
-        self._book.begin(row.attempt)
-        if await self._ask_home(number, operation):
+        row = self._new_row(request)
+        operation = Operation(
+            Wanted.BEGIN, request.key, row, began_s + BEGIN_TIMEOUT_S, request.over
+        )
+        self._attempts.begin(row.attempt)
+        if await self._forward_to_home(number, operation):
             outcome = operation.outcome
         else:
             self._store.submit(number, operation)
             outcome = await self._store.wait(number, operation)
         if outcome is Outcome.WRITTEN:
-            return Intent(ask.key, operation.row, began_s)
+            return Intent(request.key, operation.row, began_s)
         if outcome is Outcome.ABANDONED:
             log(Event.INTENT_ABANDONED, attempt=row.attempt)
-            self._book.abandon(row.attempt)
+            self._attempts.abandon(row.attempt)
             self._nursery.start_soon(self._forget_after, number, operation.retraction)
-            raise _away("the intent may be in the store; it was given up and is never sent")
-        self._book.forget(row.attempt)
+            raise _unavailable("the intent may be in the store; it was given up and is never sent")
+        self._attempts.forget(row.attempt)
         if outcome is Outcome.FOUND:
             return operation.found
-        raise _away("the intent was not written")
+        raise _unavailable("the intent was not written")
 
     def check_send(self, intent: Intent) -> None:
         """Raise EgretError NOT_RUN if the intent is too old to be sent.
@@ -127,47 +129,47 @@
         forgotten meanwhile and used again, so what it would send now could run a second time.
         """
         age_s = trio.current_time() - intent.began_s
-        if age_s > MAX_SEND_AGE_S or not self._book.may_send(intent.row.attempt):
+        if age_s > MAX_SEND_AGE_S or not self._attempts.may_send(intent.row.attempt):
             log(Event.INTENT_TOO_OLD, attempt=intent.row.attempt, age_s=round(age_s, 3))
             proof = NotRunProof(f"the intent was {age_s:.1f} s old, so the call was not sent")
             raise EgretError(ErrorKind.NOT_RUN, proof.reason, proof=proof)
 
     async def release(self, intent: Intent) -> None:
         """Free the key of an intent that was not sent and, from this moment, never will be."""
-        self._book.abandon(intent.row.attempt)
+        self._attempts.abandon(intent.row.attempt)
         until_s = min(intent.row.until_s, self.kernel.epoch.now() + NOT_RUN_RETENTION_S)
         row = replace(intent.row.ended(CallState.NOT_RUN), until_s=until_s)
         await self._finish(intent, row)
 
     async def finish(self, intent: Intent, answer: KeptAnswer | None) -> bool:
         """Write the outcome, None for unknown; False if another attempt has taken the key over."""
-        self._book.end(intent.row.attempt, answer is not None)
+        self._attempts.end(intent.row.attempt, answer is not None)
         state = CallState.UNKNOWN if answer is None else CallState.DONE
         return await self._finish(intent, intent.row.ended(state, answer))
 
     async def stage(self, row: Row) -> Stage:
         """Ask the owner of an attempt how far it has come."""
         if row.owner == self._owner:
-            return self._book.stage(row.boot, row.attempt)
+            return self._attempts.stage(row.boot, row.attempt)
         members = self.kernel.get(Instances).members(ENTRY_SERVICE)
         owner = next((one for one in members if one.id == row.owner), None)
         if owner is None or _PEER not in owner.ports:
             # The list lags, and a live instance may be missing from it: no proof of anything.
             return Stage.SILENT
-        ask = AttemptAsk(row.boot, row.attempt)
+        query = AttemptAsk(row.boot, row.attempt)
         try:
-            told = await self.kernel.get(PeerPort).request(
-                row.owner, owner.host, owner.ports[_PEER], ask
+            answer = await self.kernel.get(PeerPort).request(
+                row.owner, owner.host, owner.ports[_PEER], query
             )
-            return Stage(told.stage)
+            return Stage(answer.stage)
         except (PeerGone, PeerRefused, ValueError, AttributeError):
             return Stage.SILENT
 
     async def _finish(self, intent: Intent, row: Row) -> bool:
         number = shard_number(intent.key)
         operation = Operation(Wanted.FINISH, intent.key, row, inf)
-        if await self._ask_home(number, operation):
-            self._book.forget(row.attempt)
+        if await self._forward_to_home(number, operation):
+            self._attempts.forget(row.attempt)
             return operation.outcome is not Outcome.LOST
         self._store.submit(number, operation)
         self._nursery.start_soon(self._forget_after, number, operation)
@@ -176,7 +178,7 @@
                 await trio.sleep(0.005)
         return operation.outcome is not Outcome.LOST
 
-    async def _ask_home(self, number: int, operation: Operation) -> bool:
+    async def _forward_to_home(self, number: int, operation: Operation) -> bool:
         """Let the shard's home carry an operation out; False where it did not say that it has.
 
         It may do so late all the same. That does no harm next to one's own write: both carry the
@@ -189,15 +191,15 @@
             return False
         operation.forwarded = True
         until_s = self.kernel.epoch.now() + HOME_TIMEOUT_S
-        ask = ask_of(number, operation, until_s)
+        query = ask_of(number, operation, until_s)
         member = member_by_id[home]
         with trio.move_on_after(HOME_TIMEOUT_S):
             try:
                 port = self.kernel.get(PeerPort)
-                told = await port.request(home, member.host, member.ports[_PEER], ask)
+                answer = await port.request(home, member.host, member.ports[_PEER], query)
             except (PeerGone, PeerRefused):
                 return False
-            return isinstance(told, ShardTell) and take_tell(told, operation)
+            return isinstance(answer, ShardTell) and take_tell(answer, operation)
         return False
 
     async def _write_for_peer(self, message: Message) -> Message:
@@ -211,25 +213,25 @@
 
     async def _forget_after(self, number: int, operation: Operation) -> None:
         await self._store.wait(number, operation)
-        self._book.forget(operation.row.attempt)
+        self._attempts.forget(operation.row.attempt)
 
     async def _answer(self, message: Message) -> Message:
-        return AttemptTell(self._book.stage(message.boot, AttemptId(message.attempt)).value)
+        return AttemptTell(self._attempts.stage(message.boot, AttemptId(message.attempt)).value)
 
-    def _new_row(self, ask: IntentRequest) -> Row:
+    def _new_row(self, request: IntentRequest) -> Row:
         now_s = round(self.kernel.epoch.now(), 3)
         return Row(
             AttemptId(secrets.token_hex(12)),
             self._owner,
             self._boot,
-            ask.fingerprint,
+            request.fingerprint,
             CallState.INTENT,
             int(now_s * FENCING_NUMBERS_PER_S),
-            now_s + ask.timeout_s + MAX_SEND_AGE_S + DEADLINE_MARGIN_S,
-            now_s + ask.retention_s,
+            now_s + request.timeout_s + MAX_SEND_AGE_S + DEADLINE_MARGIN_S,
+            now_s + request.retention_s,
         )
 
 
-def _away(cause: str) -> EgretError:
+def _unavailable(cause: str) -> EgretError:
     proof = NotRunProof("the call was not sent and never will be")
     return EgretError(ErrorKind.PLATFORM_AWAY, cause, retry_after_s=PLATFORM_RETRY_S, proof=proof)
--- a/egretstack/services/length_sharing.py
+++ b/egretstack/services/length_sharing.py
@@ -34,7 +34,7 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self._own = InstanceId(kernel.settings.text("instance", "id"))
-        self._turn = 0
+        self._next_source = 0
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Answer peers, and ask one of them each period."""
@@ -44,13 +44,13 @@
             await trio.sleep(PERIOD_S)
             sources = self._sources()
             if sources:
-                self._turn += 1
-                await self._ask(sources[self._turn % len(sources)])
+                self._next_source += 1
+                await self._request_lengths(sources[self._next_source % len(sources)])
 
     async def _answer(self, _: Message) -> Message:
         return LengthsAnswer(pack_summary(self.kernel.get(Dispatching).lengths()))
 
-    async def _ask(self, source: Member) -> None:
+    async def _request_lengths(self, source: Member) -> None:
         peer = InstanceId(source.id)
         port = source.ports[_PORT]
         try:
--- a/egretstack/services/limits.py
+++ b/egretstack/services/limits.py
@@ -25,7 +25,7 @@
 from egretstack.services.peer_port import PeerPort
 
 PEER_PORT = "peer"
-_SERIALS_A_SECOND = 1000
+_SERIALS_PER_SECOND = 1000
 
 
 class Limits(Service):
@@ -40,7 +40,7 @@
         now_s = clock.now()
         self._homes = Homes(now_s)
         # A process that follows another on this instance starts above all its serials.
-        serial = int(kernel.epoch.now() * _SERIALS_A_SECOND)
+        serial = int(kernel.epoch.now() * _SERIALS_PER_SECOND)
         self.entry = EntrySide(self._own, self._homes, now_s, serial)
         self.home = HomeSide(self._own, self._homes, now_s)
         self._wake = trio.Event()
@@ -51,16 +51,16 @@
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Answer entries, and send the asks that are due."""
         self.kernel.get(PeerPort).register_peer_handler(LimitsAsk, self._answer)
-        self.kernel.get(Membership).on_change(self._see)
-        self._see()
+        self.kernel.get(Membership).on_change(self._update_view)
+        self._update_view()
         async with trio.open_nursery() as nursery:
             task_status.started()
             while True:
-                self._beat(nursery)
+                self._send_due(nursery)
                 with trio.move_on_after(BEAT_S):
                     await self._wake.wait()
                 self._wake = trio.Event()
-                await self._let_woken_run()
+                await self._run_woken()
 
     async def ready(self, contract: Contract) -> None:
         """Wait, at most READY_WAIT_S, while the account's home may let in one more request.
@@ -102,38 +102,38 @@
         self._answered = trio.Event()
         self._wake.set()
 
-    async def _let_woken_run(self) -> None:
+    async def _run_woken(self) -> None:
         # Requests that an answer has just let in run before the next ask; counted as waiting once
         # more, they would take a second token, and others would be refused for it. Tasks that are
         # ready run in any order, so one checkpoint is not enough.
         while self._woken:
             await trio.lowlevel.checkpoint()
 
-    def _beat(self, nursery: trio.Nursery) -> None:
+    def _send_due(self, nursery: trio.Nursery) -> None:
         if self.home.beat(clock.now()):
             log(Event.LIMITS_HOME_THAWED)
-        for ask in self.entry.due(clock.now()):
-            nursery.start_soon(self._ask, ask)
+        for query in self.entry.due(clock.now()):
+            nursery.start_soon(self._query, query)
 
-    async def _ask(self, ask: HomeAsk) -> None:
+    async def _query(self, query: HomeAsk) -> None:
         try:
-            answer = await self._reach(ask)
-            self.entry.answered(clock.now(), ask, answer)
+            answer = await self._query_home(query)
+            self.entry.answered(clock.now(), query, answer)
         except (PeerGone, PeerRefused, MessageError) as error:
-            log(Event.LIMITS_HOME_AWAY, home=ask.home, error=str(error))
-            self.entry.failed(clock.now(), ask)
+            log(Event.LIMITS_HOME_AWAY, home=query.home, error=str(error))
+            self.entry.failed(clock.now(), query)
         self._wake_waiters()
 
-    async def _reach(self, ask: HomeAsk) -> LimitsAnswer:
-        if ask.home == self._own:
-            return self._decide(self._own, ask.message)
-        member = self._live().get(ask.home)
+    async def _query_home(self, query: HomeAsk) -> LimitsAnswer:
+        if query.home == self._own:
+            return self._decide(self._own, query.message)
+        member = self._live().get(query.home)
         if member is None or PEER_PORT not in member.ports:
             raise PeerGone("not listed")
         port = member.ports[PEER_PORT]
         with trio.move_on_after(ASK_TIMEOUT_S):
             answer = await self.kernel.get(PeerPort).request(
-                ask.home, member.host, port, ask.message
+                query.home, member.host, port, query.message
             )
             if isinstance(answer, LimitsAnswer):
                 return answer
@@ -147,11 +147,11 @@
             log(Event.PEER_REFUSED, error=str(error))
             return Nothing()
 
-    def _decide(self, sender: InstanceId, ask: LimitsAsk) -> LimitsAnswer:
+    def _decide(self, sender: InstanceId, query: LimitsAsk) -> LimitsAnswer:
         contracts = self.kernel.get(Configuration).state.contract_by_account
-        return self.home.answer(clock.now(), sender, ask, contracts)
+        return self.home.answer(clock.now(), sender, query, contracts)
 
-    def _see(self) -> None:
+    def _update_view(self) -> None:
         zone_by_id = {instance: member.zone for instance, member in self._live().items()}
         self._homes.see(clock.now(), zone_by_id)
         self._wake.set()
--- a/egretstack/services/membership.py
+++ b/egretstack/services/membership.py
@@ -55,28 +55,28 @@
             _own_member(kernel), trio.current_time(), kernel.epoch.now(), self._rng
         )
         self._listing = trio.Lock()
-        self._told_twins = 0
-        self._told_changes = -1
-        self._told_live: tuple[InstanceId, ...] = ()
-        self._told_states: dict[InstanceId, InstanceState] = {}
+        self._logged_duplicates = 0
+        self._published_changes = -1
+        self._published_live: tuple[InstanceId, ...] = ()
+        self._logged_states: dict[InstanceId, InstanceState] = {}
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Send heartbeats, answer them, and follow the list."""
-        await self.kernel.get(Instances).on_reading(self._take_reading)
+        await self.kernel.get(Instances).on_reading(self._on_reading)
         port = self.kernel.get(PeerPort)
         port.register_peer_handler(Heartbeat, self._answer)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._leave_when_draining)
             task_status.started()
             while True:
-                self._beat(nursery)
+                self._send_due(nursery)
                 await trio.sleep(TICK_S)
 
     async def farewell(self) -> None:
         """Let the neighbours know that this instance is gone, so that none has to find it out."""
         self._state.stop()
         async with trio.open_nursery() as nursery:
-            self._beat(nursery)
+            self._send_due(nursery)
 
     def live_instances(self) -> tuple[InstanceId, ...]:
         """Give the ids of instances that take work, sorted; this one too unless it leaves.
@@ -132,36 +132,36 @@
         self._state.notice(trio.current_time(), runner, leaving, for_good)
         self._publish()
 
-    def _beat(self, nursery: trio.Nursery) -> None:
-        for ask in self._state.tick(trio.current_time()):
-            nursery.start_soon(self._ask, ask)
-        if self._told_twins != self._state.twin_alarms:
-            self._told_twins = self._state.twin_alarms
+    def _send_due(self, nursery: trio.Nursery) -> None:
+        for heartbeat in self._state.tick(trio.current_time()):
+            nursery.start_soon(self._send_heartbeat, heartbeat)
+        if self._logged_duplicates != self._state.twin_alarms:
+            self._logged_duplicates = self._state.twin_alarms
             log(Event.INSTANCE_ID_TWICE, instance=self.own)
         if self._state.wants_list(trio.current_time()):
             self.kernel.get(Instances).read_soon()
         self._publish()
 
-    async def _ask(self, ask: Ask) -> None:
-        peer = InstanceId(ask.peer.id)
+    async def _send_heartbeat(self, heartbeat: Ask) -> None:
+        peer = InstanceId(heartbeat.peer.id)
         try:
-            answer = await self._send(ask)
+            answer = await self._send(heartbeat)
             self._state.answered(trio.current_time(), peer, answer)
         except (PeerGone, PeerRefused, RowError):
             self._state.missed(trio.current_time(), peer)
             return
-        self._hear_revision(peer, answer.revision)
+        self._record_revision(peer, answer.revision)
         self._publish()
 
-    async def _send(self, ask: Ask) -> HeartbeatAnswer:
-        port = ask.peer.ports.get(_port_name(self.kernel))
+    async def _send(self, heartbeat: Ask) -> HeartbeatAnswer:
+        port = heartbeat.peer.ports.get(_port_name(self.kernel))
         if port is None:
             raise PeerGone("no peer port is listed")
         answer = await self.kernel.get(PeerPort).request(
-            InstanceId(ask.peer.id),
-            ask.peer.host,
+            InstanceId(heartbeat.peer.id),
+            heartbeat.peer.host,
             port,
-            ask.message,
+            heartbeat.message,
             ANSWER_TIMEOUT_S,
             Lane.HEARTBEAT,
         )
@@ -174,18 +174,18 @@
             answer = self._state.asked(trio.current_time(), sender, message)
         except RowError as error:
             raise PeerRefused(f"a row that cannot be read: {error}") from error
-        self._hear_revision(sender, message.revision)
+        self._record_revision(sender, message.revision)
         self._publish()
         return answer
 
-    def _hear_revision(self, peer: InstanceId, revision: int) -> None:
+    def _record_revision(self, peer: InstanceId, revision: int) -> None:
         if self._revision_by_peer.get(peer) == revision:
             return
         self._revision_by_peer[peer] = revision
         for listener in self._revision_listeners:
             listener(peer, Revision(revision))
 
-    async def _take_reading(self, members: list[Member]) -> None:
+    async def _on_reading(self, members: list[Member]) -> None:
         async with self._listing:
             for _ in self._state.listing(trio.current_time(), members):
                 await trio.lowlevel.checkpoint()
@@ -198,24 +198,24 @@
 
     def _publish(self) -> None:
         """Tell listeners of what has changed since they were told last."""
-        if self._told_changes != self._state.changes:
-            self._told_changes = self._state.changes
+        if self._published_changes != self._state.changes:
+            self._published_changes = self._state.changes
             self.kernel.get(Instances).set_members(self._state.members())
             self._log_states()
         live = self.live_instances()
-        if live == self._told_live:
+        if live == self._published_live:
             return
-        self._told_live = live
+        self._published_live = live
         for listener in self._listeners:
             listener()
 
     def _log_states(self) -> None:
         views = self._state.views()
         for name, view in views.items():
-            before = self._told_states.get(name, InstanceState.LIVE)
+            before = self._logged_states.get(name, InstanceState.LIVE)
             if before is not view.state:
                 log(_EVENT_BY_STATE[view.state], instance=name)
-        self._told_states = {name: view.state for name, view in views.items()}
+        self._logged_states = {name: view.state for name, view in views.items()}
         for name in self._revision_by_peer.keys() - views.keys():
             del self._revision_by_peer[name]
 
--- a/egretstack/services/peer_port.py
+++ b/egretstack/services/peer_port.py
@@ -49,7 +49,7 @@
     used_s: float
 
 
-_Place = tuple[str, int, Lane]
+_LinkKey = tuple[str, int, Lane]
 
 
 class PeerPort(Service):
@@ -60,23 +60,23 @@
 
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
-        self._answerer_by_kind: dict[type[Message], PeerHandler] = {}
-        self._link_by_place: dict[_Place, _OpenLink] = {}
-        self._lock_by_place: dict[_Place, trio.Lock] = {}
+        self._handler_by_kind: dict[type[Message], PeerHandler] = {}
+        self._link_by_key: dict[_LinkKey, _OpenLink] = {}
+        self._lock_by_key: dict[_LinkKey, trio.Lock] = {}
         self._accepted = 0
         self._accepted_by_peer: Counter[InstanceId] = Counter()
 
-    def register_handler(self, kind: type[Message], answerer: Handler) -> None:
+    def register_handler(self, kind: type[Message], handler: Handler) -> None:
         """Let `answerer` answer messages of a kind."""
 
         async def without_sender(_: InstanceId, message: Message) -> Message:
-            return await answerer(message)
+            return await handler(message)
 
-        self._answerer_by_kind[kind] = without_sender
+        self._handler_by_kind[kind] = without_sender
 
-    def register_peer_handler(self, kind: type[Message], answerer: PeerHandler) -> None:
+    def register_peer_handler(self, kind: type[Message], handler: PeerHandler) -> None:
         """Let `answerer` answer messages of a kind, given the sender's proven name too."""
-        self._answerer_by_kind[kind] = answerer
+        self._handler_by_kind[kind] = handler
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Serve peers."""
@@ -97,18 +97,18 @@
         lane: Lane = Lane.ORDINARY,
     ) -> Message:
         """Ask a peer. Raises PeerGone (also where no answer came in time), PeerRefused."""
-        place = (host, port, lane)
-        lock = self._lock_by_place.setdefault(place, trio.Lock())
+        key = (host, port, lane)
+        lock = self._lock_by_key.setdefault(key, trio.Lock())
         try:
             with trio.move_on_after(timeout_s):
                 async with lock:
-                    return await self._ask(peer, place, message)
+                    return await self._request(peer, key, message)
         finally:
-            self._forget_unused(place, lock)
+            self._forget_unused(key, lock)
         raise PeerGone("no answer in time")
 
-    async def _ask(self, peer: InstanceId, place: _Place, message: Message) -> Message:
-        link = await self._take_link(place)
+    async def _request(self, peer: InstanceId, key: _LinkKey, message: Message) -> Message:
+        link = await self._acquire_link(key)
         try:
             if link.peer != peer:
                 raise PeerRefused(f"{link.peer} answers in place of {peer}")
@@ -118,33 +118,33 @@
             # one that went silent for good is never used again: the next question opens another.
             await trio.aclose_forcefully(link)
             raise
-        await self._keep_link(place, link)
+        await self._keep_link(key, link)
         return answer
 
-    async def _take_link(self, place: _Place) -> PeerLink:
-        kept = self._link_by_place.pop(place, None)
+    async def _acquire_link(self, key: _LinkKey) -> PeerLink:
+        kept = self._link_by_key.pop(key, None)
         if kept is not None and trio.current_time() - kept.used_s < REUSE_S:
             return kept.link
         if kept is not None:
             await trio.aclose_forcefully(kept.link)
-        host, port, _ = place
+        host, port, _ = key
         access = self.kernel.get(PlatformAccess)
         opener = partial(access.open_stream, host, port)
         return await connect_peer(opener, access.peer_keys, self._own())
 
-    async def _keep_link(self, place: _Place, link: PeerLink) -> None:
-        former = self._link_by_place.pop(place, None)
+    async def _keep_link(self, key: _LinkKey, link: PeerLink) -> None:
+        former = self._link_by_key.pop(key, None)
         if former is not None:
             await trio.aclose_forcefully(former.link)
-        self._link_by_place[place] = _OpenLink(link, trio.current_time())
-        while len(self._link_by_place) > MAX_OPEN_LINKS:
-            oldest = next(iter(self._link_by_place))
-            await trio.aclose_forcefully(self._link_by_place.pop(oldest).link)
+        self._link_by_key[key] = _OpenLink(link, trio.current_time())
+        while len(self._link_by_key) > MAX_OPEN_LINKS:
+            oldest = next(iter(self._link_by_key))
+            await trio.aclose_forcefully(self._link_by_key.pop(oldest).link)
 
-    def _forget_unused(self, place: _Place, lock: trio.Lock) -> None:
+    def _forget_unused(self, key: _LinkKey, lock: trio.Lock) -> None:
         """Keep no lock of a peer that is gone: addresses change with every replacement."""
-        if place not in self._link_by_place and not lock.locked():
-            self._lock_by_place.pop(place, None)
+        if key not in self._link_by_key and not lock.locked():
+            self._lock_by_key.pop(key, None)
 
     async def _serve(self, stream: trio.abc.Stream) -> None:
         if self._accepted >= MAX_LINKS:
@@ -181,10 +181,10 @@
             message = await link.receive()
         if idle.cancelled_caught:
             raise PeerGone("idle")
-        answerer = self._answerer_by_kind.get(type(message))
-        if answerer is None:
+        handler = self._handler_by_kind.get(type(message))
+        if handler is None:
             raise PeerRefused(f"no answer to {type(message).__name__} here")
-        await link.send(await answerer(link.peer, message))
+        await link.send(await handler(link.peer, message))
 
     def _own(self) -> InstanceId:
         return InstanceId(self.kernel.settings.text("instance", "id"))
--- a/egretstack/services/placing_home.py
+++ b/egretstack/services/placing_home.py
@@ -75,25 +75,25 @@
         """Gives the runs of this instance."""
         self.on_local_answer: Callable[[Message], None] = lambda message: None
         """Takes answers to this instance's own questions."""
-        self._turns = MoveTurns()
-        self._asker_by_attempt: dict[str, InstanceId] = {}
+        self._permits = MoveTurns()
+        self._requester_by_attempt: dict[str, InstanceId] = {}
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Answer peers until cancelled."""
         self._port.run_rows = lambda: [run_row(run) for run in self.own_runs()]
         self.kernel.get(FleetUpdatesService).load_rows = self._load_rows
-        self._port.handle(FleetLoads, self._take_loads)
-        self._port.on_report_received(self._take_report)
-        self._port.handle(PlaceAsk, self._answer_peer)
-        self._port.handle(PlaceDrop, self._answer_peer)
-        self._port.handle(BackupAsk, self._answer_peer)
-        self._port.handle(MoveAsk, self._answer_peer)
-        self._port.handle(MoveDone, self._answer_peer)
-        self.kernel.get(EngineReports).on_report(self._take_measure)
+        self._port.handle(FleetLoads, self._on_loads)
+        self._port.on_report_received(self._on_report)
+        self._port.handle(PlaceAsk, self._on_peer_request)
+        self._port.handle(PlaceDrop, self._on_peer_request)
+        self._port.handle(BackupAsk, self._on_peer_request)
+        self._port.handle(MoveAsk, self._on_peer_request)
+        self._port.handle(MoveDone, self._on_peer_request)
+        self.kernel.get(EngineReports).on_report(self._on_engine_report)
         task_status.started()
         while True:
             if self._port.is_home():
-                self._settle()
+                self._place_waiting()
                 await trio.sleep(WAIT_LIST_POLL_INTERVAL_S)
             else:
                 await trio.sleep(IDLE_POLL_INTERVAL_S)
@@ -111,118 +111,122 @@
         elif isinstance(message, BackupAsk):
             self._choose_backup(message)
         elif isinstance(message, MoveAsk):
-            self._take_turn_ask(message)
+            self._on_move_request(message)
         elif isinstance(message, MoveDone):
-            self._end_turn(message.attempt, RunnerId(message.source))
+            self._end_permit(message.attempt, RunnerId(message.source))
 
     def refresh_own_runs(self) -> None:
         """Bring the runs of this instance in the book up to date."""
         self.placer.book.reported(self.kernel.settings.instance, list(self.own_runs()))
 
-    def _answer_peer(self, message: Message, sender: tuple[str, int]) -> None:
+    def _on_peer_request(self, message: Message, sender: tuple[str, int]) -> None:
         self.handle_request(message)
 
-    def _place(self, ask: PlaceAsk) -> None:
-        work = work_of(ask.work)
-        asker = InstanceId(ask.sender)
-        engine = self._store.engine(work.service)
-        if engine is None or not self._can_answer(asker):
+    def _place(self, query: PlaceAsk) -> None:
+        request = work_of(query.work)
+        requester = InstanceId(query.sender)
+        engine = self._store.engine(request.service)
+        if engine is None or not self._can_answer(requester):
             return  # The asker places by its own view.
-        self._asker_by_attempt[work.attempt] = asker
-        self.placer.wait(trio.current_time(), work, engine)
-        if work.attempt in self._settle():
+        self._requester_by_attempt[request.attempt] = requester
+        self.placer.wait(trio.current_time(), request, engine)
+        if request.attempt in self._place_waiting():
             return
-        free_s = self.placer.free_after_s(trio.current_time(), work, SendPart.HOME)
-        if free_s > work.wait_s:
-            self._drop(PlaceDrop(work.attempt))
-            self._answer(asker, PlaceAnswer(work.attempt, "", "", _retry_ms(free_s), [], True))
+        free_s = self.placer.free_after_s(trio.current_time(), request, SendPart.HOME)
+        if free_s > request.wait_s:
+            self._drop(PlaceDrop(request.attempt))
+            self._answer(
+                requester, PlaceAnswer(request.attempt, "", "", _retry_ms(free_s), [], True)
+            )
             return
-        room_s = self.placer.room_after_s(trio.current_time(), work)
-        self._answer(asker, PlaceAnswer(work.attempt, "", "", _retry_ms(room_s), [], False))
+        capacity_s = self.placer.room_after_s(trio.current_time(), request)
+        self._answer(
+            requester, PlaceAnswer(request.attempt, "", "", _retry_ms(capacity_s), [], False)
+        )
 
-    def _settle(self) -> set[str]:
+    def _place_waiting(self) -> set[str]:
         """Place what waits and tell those who asked; give the attempts that have a place now."""
         self.refresh_own_runs()
         placed = self.placer.settle(trio.current_time())
         for one in placed:
-            asker = self._asker_by_attempt.pop(one.attempt, None)
-            if asker is not None:
-                self._answer(asker, self._place_answer(one.attempt, one.placement))
+            requester = self._requester_by_attempt.pop(one.attempt, None)
+            if requester is not None:
+                self._answer(requester, self._place_answer(one.attempt, one.placement))
         return {one.attempt for one in placed}
 
-    def _place_answer(self, attempt: str, place: Placement) -> PlaceAnswer:
-        named = [one for one in (place.runner, place.backup) if one is not None]
+    def _place_answer(self, attempt: str, placement: Placement) -> PlaceAnswer:
+        named = [one for one in (placement.runner, placement.backup) if one is not None]
         rows = [runner_row(self._port.runners.by_id[one]) for one in named]
-        return PlaceAnswer(attempt, place.runner, place.backup or "", 0, rows, False)
+        return PlaceAnswer(attempt, placement.runner, placement.backup or "", 0, rows, False)
 
     def _drop(self, drop: PlaceDrop) -> None:
         self.placer.ended(drop.attempt)
-        self._asker_by_attempt.pop(drop.attempt, None)
+        self._requester_by_attempt.pop(drop.attempt, None)
 
-    def _choose_backup(self, ask: BackupAsk) -> None:
-        asker = InstanceId(ask.sender)
+    def _choose_backup(self, query: BackupAsk) -> None:
+        requester = InstanceId(query.sender)
         self.refresh_own_runs()
-        run = self.placer.book.run(ask.attempt)
+        run = self.placer.book.run(query.attempt)
         engine = None if run is None else self._store.engine(run.work.service)
-        if engine is None or not self._can_answer(asker):
+        if engine is None or not self._can_answer(requester):
             return  # The asker goes on without a copy.
-        runner = RunnerId(ask.runner)
-        source = RunnerId(ask.source)
-        backup = self.placer.move_run(trio.current_time(), ask.attempt, runner, engine, source)
-        self._answer(asker, BackupAnswer(ask.attempt, backup or ""))
+        runner = RunnerId(query.runner)
+        source = RunnerId(query.source)
+        backup = self.placer.move_run(trio.current_time(), query.attempt, runner, engine, source)
+        self._answer(requester, BackupAnswer(query.attempt, backup or ""))
 
-    def _take_turn_ask(self, ask: MoveAsk) -> None:
-        asker = InstanceId(ask.sender)
+    def _on_move_request(self, query: MoveAsk) -> None:
+        requester = InstanceId(query.sender)
         self.refresh_own_runs()
-        if not self._can_answer(asker) or self.placer.book.run(ask.attempt) is None:
+        if not self._can_answer(requester) or self.placer.book.run(query.attempt) is None:
             return  # Asked again soon; the run's report may have been lost.
-        self._asker_by_attempt[ask.attempt] = asker
-        source = RunnerId(ask.source)
-        self._turns.free_ended(source, lambda attempt: self.placer.book.run(attempt) is None)
-        refused = frozenset(RunnerId(str(one)) for one in ask.refused)
-        before = self._turns.holder(source)
-        self._turns.ask(trio.current_time(), source, ask.attempt, ask.order, refused)
-        holder = self._turns.holder(source)
-        if holder is not None and (holder == ask.attempt or holder != before):
-            self._give_turn(holder, source)
-
-    def _give_turn(self, attempt: str, source: RunnerId) -> None:
+        self._requester_by_attempt[query.attempt] = requester
+        source = RunnerId(query.source)
+        self._permits.free_ended(source, lambda attempt: self.placer.book.run(attempt) is None)
+        refused = frozenset(RunnerId(str(one)) for one in query.refused)
+        before = self._permits.holder(source)
+        self._permits.ask(trio.current_time(), source, query.attempt, query.order, refused)
+        holder = self._permits.holder(source)
+        if holder is not None and (holder == query.attempt or holder != before):
+            self._grant_permit(holder, source)
+
+    def _grant_permit(self, attempt: str, source: RunnerId) -> None:
         """Tell the instance of a run where to copy it; the next one's turn if there is no room.
 
         The first in order may be too large for the room there is. Its turn has to pass on at once,
         since it asks again before the others do.
         """
         following: str | None = attempt
-        while following is not None and not self._tell_turn(following, source):
-            self._turns.done(source, following)
-            following = self._turns.grant(trio.current_time(), source)
+        while following is not None and not self._send_permit(following, source):
+            self._permits.done(source, following)
+            following = self._permits.grant(trio.current_time(), source)
 
-    def _tell_turn(self, attempt: str, source: RunnerId) -> bool:
+    def _send_permit(self, attempt: str, source: RunnerId) -> bool:
         run = self.placer.book.run(attempt)
         engine = None if run is None else self._store.engine(run.work.service)
-        asker = self._asker_by_attempt.get(attempt)
-        if engine is None or asker is None:
+        requester = self._requester_by_attempt.get(attempt)
+        if engine is None or requester is None:
             return False
-        refused = self._turns.refused(source, attempt)
+        refused = self._permits.refused(source, attempt)
         destination = self.placer.begin_copy(trio.current_time(), run, engine, refused)
         if destination is None:
             return False
-        self._answer(asker, MoveTurn(attempt, source, destination))
+        self._answer(requester, MoveTurn(attempt, source, destination))
         return True
 
-    def _end_turn(self, attempt: str, source: RunnerId) -> None:
-        self._turns.done(source, attempt)
-        self._asker_by_attempt.pop(attempt, None)
-        following = self._turns.grant(trio.current_time(), source)
+    def _end_permit(self, attempt: str, source: RunnerId) -> None:
+        self._permits.done(source, attempt)
+        self._requester_by_attempt.pop(attempt, None)
+        following = self._permits.grant(trio.current_time(), source)
         if following is not None:
-            self._give_turn(following, source)
+            self._grant_permit(following, source)
 
-    def _can_answer(self, asker: InstanceId) -> bool:
+    def _can_answer(self, requester: InstanceId) -> bool:
         own = self.kernel.settings.instance
-        return asker == own or self._port.address_of(asker) is not None
+        return requester == own or self._port.address_of(requester) is not None
 
-    def _answer(self, asker: InstanceId, message: Message) -> None:
-        address = self._port.address_of(asker)
+    def _answer(self, requester: InstanceId, message: Message) -> None:
+        address = self._port.address_of(requester)
         if address is None:
             self.on_local_answer(message)
         else:
@@ -234,17 +238,17 @@
         self.placer.gone(known.instance.id for known in self._port.fleet.live(now_s))
         return self.placer.book.load_rows(now_s)
 
-    def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
+    def _on_report(self, instance: InstanceId, report: InstanceReport) -> None:
         self.placer.book.reported(instance, [run_of(row) for row in report.runs])
 
-    def _take_measure(self, runner: RunnerId, report: RunnerReport) -> None:
+    def _on_engine_report(self, runner: RunnerId, report: RunnerReport) -> None:
         self.refresh_own_runs()
         self.placer.book.measured(trio.current_time(), runner, report.kv_used_tokens)
 
-    def _take_loads(self, told: FleetLoads, sender: tuple[str, int]) -> None:
+    def _on_loads(self, loads: FleetLoads, sender: tuple[str, int]) -> None:
         now_s = trio.current_time()
-        if told.home == self._port.fleet.home(now_s):
-            self.placer.book.told(now_s, told.loads)
+        if loads.home == self._port.fleet.home(now_s):
+            self.placer.book.told(now_s, loads.loads)
 
 
 def _retry_ms(wait_s: float) -> int:
--- a/egretstack/services/platform_access.py
+++ b/egretstack/services/platform_access.py
@@ -44,7 +44,7 @@
 SEND_BUFFER_BYTES = 131_072
 MAX_KEY_FILE_BYTES = 65_536
 _NO_LIMITS = httpx.Limits(max_connections=None, max_keepalive_connections=200)
-_NO_IDLE = httpx.Limits(max_connections=None, max_keepalive_connections=0)
+_NO_KEEPALIVE = httpx.Limits(max_connections=None, max_keepalive_connections=0)
 
 
 @cache
@@ -69,7 +69,7 @@
         namespace = settings.text("platform", "namespace")
         timeout = httpx.Timeout(settings.number("platform", "timeout_s"), connect=CONNECT_TIMEOUT_S)
         self._client = _http_client(timeout, _NO_LIMITS)
-        self._fresh = _http_client(timeout, _NO_IDLE)
+        self._unpooled_client = _http_client(timeout, _NO_KEEPALIVE)
         self.instance_list: InstanceList = HttpInstanceList(self._client, base, namespace)
         self.metrics = Metrics(settings.text("instance", "id"), kernel.epoch.now)
         self.object_api = self.budgeted(HttpObjectApi(self._client, base, namespace))
@@ -85,14 +85,14 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Keep the clients open."""
-        async with self._client, self._fresh:
+        async with self._client, self._unpooled_client:
             task_status.started()
             await trio.sleep_forever()
 
     def engine(self, member: Member) -> EngineClient:
         """Make the client of an engine."""
         silence_s = self.kernel.settings.number("engines", "silence_s")
-        return HttpEngine(self._client, self._fresh, member.url(), silence_s)
+        return HttpEngine(self._client, self._unpooled_client, member.url(), silence_s)
 
     def plain(self, member: Member) -> PlainService:
         """Make the client of a plain service's runner."""
--- a/egretstack/services/relaying.py
+++ b/egretstack/services/relaying.py
@@ -84,12 +84,12 @@
         try:
             while True:
                 now_s = trio.current_time()
-                self._count_instances(now_s)
+                self._update_instance_count(now_s)
                 await trio.sleep_until(now_s + INSTANCES_CHECK_INTERVAL_S)
         finally:
             self.tools.pool.close()
 
-    def _count_instances(self, now_s: float) -> None:
+    def _update_instance_count(self, now_s: float) -> None:
         """Bring up to date among how many instances what the fleet may do is split."""
         others = self._port.fleet.known()
         self.tools.budget.instances = len(others) + 1
@@ -158,14 +158,16 @@
             return
         passed_s = trio.current_time() - self._leaving_since_s
         left_s = self._node.bounds.grace_s - STOP_MARGIN_S - passed_s
-        if self._needs_s(task, left_s) >= left_s:
+        if self._required_s(task, left_s) >= left_s:
             raise RequestFailed(
                 ErrorKind.DRAINING, "this instance leaves", retry_after_s=LEAVING_RETRY_S
             )
 
     @staticmethod
-    def _needs_s(task: Task, left_s: float) -> float:
+    def _required_s(task: Task, left_s: float) -> float:
         if task.route.kind is not RouteKind.STREAM:
             return LAST_CALL_S
-        wants = task.request.generation
-        return STREAM_START_S + (wants.max_output_tokens * TOKEN_TIME_S if wants else left_s)
+        generation = task.request.generation
+        return STREAM_START_S + (
+            generation.max_output_tokens * TOKEN_TIME_S if generation else left_s
+        )
--- a/egretstack/services/runner_list.py
+++ b/egretstack/services/runner_list.py
@@ -58,28 +58,28 @@
             now_s = trio.current_time()
             home_since_s = now_s if home_since_s is None else home_since_s
             settled = now_s - home_since_s > NEW_HOME_SETTLE_S
-            if settled and self._port.runners.by_id and not self._is_told():
-                self._reading.record_late()
+            if settled and self._port.runners.by_id and not self._is_current():
+                self._store_reading.record_late()
 
-    def _is_told(self) -> bool:
-        old_s = self.kernel.settings.bounds.runner_drain_s * OWN_READING_SHARE
-        return self._port.runners.age_s(trio.current_time()) < old_s
+    def _is_current(self) -> bool:
+        max_age_s = self.kernel.settings.bounds.runner_drain_s * OWN_READING_SHARE
+        return self._port.runners.age_s(trio.current_time()) < max_age_s
 
     async def _read(self) -> None:
         if self._revision is None:
-            listing = await self._reading.store.list(ObjectKind.RUNNER)
+            listing = await self._store_reading.store.list(ObjectKind.RUNNER)
             self._entries.clear()
-            self._take_entries([Change(one, False) for one in listing.objects], listing.unnamed)
+            self._apply_entries([Change(one, False) for one in listing.objects], listing.unnamed)
             self._revision = listing.revision
         else:
-            changes = await self._reading.store.watch(
+            changes = await self._store_reading.store.watch(
                 ObjectKind.RUNNER, self._revision, RUNNER_WATCH_S
             )
-            self._take_entries(changes.changes, changes.unnamed)
+            self._apply_entries(changes.changes, changes.unnamed)
             self._revision = changes.revision
         self._port.apply_runner_list(self._entries.runners(), self._revision, trio.current_time())
 
-    def _take_entries(self, changes: Iterable[Change], unnamed: int) -> None:
+    def _apply_entries(self, changes: Iterable[Change], unnamed: int) -> None:
         bad = self._entries.take(changes)
         for entry in bad[:MAX_BAD_LOGGED]:
             log(Event.RUNNER_UNREADABLE, runner=entry.name[:MAX_NAME_LOGGED], error=entry.error)
--- a/egretstack/services/runner_returns.py
+++ b/egretstack/services/runner_returns.py
@@ -34,8 +34,8 @@
         super().__init__(kernel)
         self._port = kernel.get(FleetPort)
         self._store = kernel.get(StoreReading)
-        self._rests = kernel.get(PlacingHome).backoffs
-        self._told_not_back: set[RunnerId] = set()
+        self._backoffs = kernel.get(PlacingHome).backoffs
+        self._logged_not_back: set[RunnerId] = set()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Ask while this instance is the home."""
@@ -45,29 +45,29 @@
             if not self._port.is_home():
                 continue
             evacuated = self._port.runners.evacuated
-            resting = self._rests.resting(trio.current_time())
+            backed_off = self._backoffs.resting(trio.current_time())
             returned = [
                 one
                 for one in self._port.runners.returned()
-                if one.zone not in evacuated and one.id not in resting
+                if one.zone not in evacuated and one.id not in backed_off
             ]
-            self._told_not_back &= {runner.id for runner in returned}
+            self._logged_not_back &= {runner.id for runner in returned}
             async with trio.open_nursery() as nursery:
                 for runner in returned:
-                    nursery.start_soon(self._ask, runner)
+                    nursery.start_soon(self._check, runner)
 
-    async def _ask(self, runner: Runner) -> None:
+    async def _check(self, runner: Runner) -> None:
         plan = self._store.service(runner.service)
         if plan is None:
             return
         health = await self._health(runner, plan.health_path)
-        said = None if health is None else health.name
-        if said == runner.incarnation.name:
+        answered = None if health is None else health.name
+        if answered == runner.incarnation.name:
             self._port.runners.became_cold(trio.current_time(), runner.id, health.cold_s)
             self._port.confirm_runner(runner.id)
-        elif runner.id not in self._told_not_back:
-            self._told_not_back.add(runner.id)
-            log(Event.RUNNER_NOT_BACK, runner=runner.id, answered=said)
+        elif runner.id not in self._logged_not_back:
+            self._logged_not_back.add(runner.id)
+            log(Event.RUNNER_NOT_BACK, runner=runner.id, answered=answered)
 
     async def _health(self, runner: Runner, path: str) -> RunnerHealth | None:
         """Give what a healthy runner at a runner's address says; None if none answers."""
--- a/egretstack/services/runner_strikes.py
+++ b/egretstack/services/runner_strikes.py
@@ -31,28 +31,28 @@
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Report and judge until cancelled."""
         self._port.answer_count_rows = self._rows
-        self._port.on_report_received(self._take_report)
+        self._port.on_report_received(self._on_report)
         self.kernel.get(Relaying).tools.on_break = self._port.report_soon
         task_status.started()
         while True:
             await trio.sleep(CHECK_INTERVAL_S if self._port.is_home() else IDLE_POLL_INTERVAL_S)
             if self._port.is_home():
-                self._judge()
+                self._update_suspects()
 
     def _rows(self) -> list:
         return [count_row(one) for one in self._balancer.recent.counts(trio.current_time())]
 
-    def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
+    def _on_report(self, instance: InstanceId, report: InstanceReport) -> None:
         counts = rows_of(report.answers, count_of)
         self._strikes.reported(trio.current_time(), instance, counts)
         if self._port.is_home() and any(one.broke for one in counts):
-            self._judge()
+            self._update_suspects()
 
     def _engines(self) -> set[RunnerId]:
         runners = self._port.runners.by_id.values()
         return {runner.id for runner in runners if self._store.engine(runner.service)}
 
-    def _judge(self) -> None:
+    def _update_suspects(self) -> None:
         now_s = trio.current_time()
         own = self.kernel.settings.instance
         self._strikes.reported(now_s, own, self._balancer.recent.counts(now_s))
--- a/egretstack/services/runner_words.py
+++ b/egretstack/services/runner_words.py
@@ -25,8 +25,8 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self._port = kernel.get(FleetPort)
-        self._rests = kernel.get(PlacingHome).backoffs
-        self._bounds = kernel.get(PlacingHome).send_bounds
+        self._backoffs = kernel.get(PlacingHome).backoffs
+        self._send_bounds = kernel.get(PlacingHome).send_bounds
         gauge = kernel.get(RelayMetrics).gauge(
             "egret_relay_limited_runners", "Runners that name how many requests a second they take."
         )
@@ -34,27 +34,27 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Forget runners that are gone, until cancelled."""
-        self._port.on_report_received(self._take_report)
+        self._port.on_report_received(self._on_report)
         task_status.started()
         while True:
             await trio.sleep(FORGET_PERIOD_S)
             self._port.limits.forget(self._port.runners.by_id)
-            self._bounds.forget_gone()
+            self._send_bounds.forget_gone()
 
     def heard(self, runner: RunnerId, answer: RunnerAnswer, sent_s: float) -> None:
         """Take what a runner says beside its answer to a request that was sent at `sent_s`."""
         if answer.misdirected:
             return  # Another runner's word.
         self._port.record_runner_limit(runner, answer.limit_per_s, sent_s)
-        is_news = answer.leaving and not self._port.runners.is_leaving(runner)
-        if is_news or answer.rest_s is not None:
+        is_new = answer.leaving and not self._port.runners.is_leaving(runner)
+        if is_new or answer.rest_s is not None:
             log(Event.RUNNER_WORD, runner=runner, leaving=answer.leaving, rest_s=answer.rest_s)
         if answer.leaving:
             self._port.record_leaving(runner)
         if answer.rest_s is not None:
-            self._rests.asked(trio.current_time(), runner, answer.rest_s)
+            self._backoffs.asked(trio.current_time(), runner, answer.rest_s)
 
-    def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
+    def _on_report(self, instance: InstanceId, report: InstanceReport) -> None:
         try:
             limits = rows_of(report.limits, limit_of)
             leaving = rows_of(report.leaving, lambda row: RunnerId(str(row)))
--- a/egretstack/services/runners.py
+++ b/egretstack/services/runners.py
@@ -50,13 +50,13 @@
         self._unlisted_s: dict[RunnerId, float] = {}
         self._renewed_s: dict[RunnerId, float] = {}
         self._listeners: list[Callable[[PolicyEvent], None]] = []
-        self._turns = ReportTurns(
+        self._schedule = ReportTurns(
             settings.number("engines", "report_readings_per_s"),
             settings.number("engines", "report_period_s"),
             self._rng,
         )
         self._busy: set[RunnerId] = set()
-        self._turns_changed = trio.Event()
+        self._schedule_changed = trio.Event()
 
     def on_event(self, listener: Callable[[PolicyEvent], None]) -> None:
         """Tell `listener` of every runner that comes, reports or leaves.
@@ -80,13 +80,13 @@
         """Ask the chooser again."""
         known = self._watch.known()
         chosen = sorted(self._chooser.choose(known) & {info.id for info in known})[:MAX_REPORTS]
-        self._turns.choose(chosen)
-        self._turns_changed.set()
+        self._schedule.choose(chosen)
+        self._schedule_changed.set()
 
     def check_soon(self, runner_id: RunnerId) -> None:
         """Read a runner's report out of turn, after a refused connection or a broken stream."""
-        self._turns.doubt(runner_id)
-        self._turns_changed.set()
+        self._schedule.doubt(runner_id)
+        self._schedule_changed.set()
 
     def engine(self, runner_id: RunnerId) -> EngineClient | None:
         """Give the client of an engine, also of a leaving one."""
@@ -120,7 +120,7 @@
                 self._keep_client(member)
                 live_by_info[_info(member, spec)] = member.state is MemberState.LIVE
         self._drop_clients({info.id for info in live_by_info})
-        self._tell_all(self._watch.listed(live_by_info))
+        self._publish_all(self._watch.listed(live_by_info))
         self.reconsider()
 
     def _keep_client(self, member: Member) -> None:
@@ -145,30 +145,30 @@
     async def _read_in_turn(self) -> None:
         async with trio.open_nursery() as nursery:
             while True:
-                self._turns_changed = trio.Event()
+                self._schedule_changed = trio.Event()
                 now_s = trio.current_time()
-                runner_id = self._turns.take(now_s, self._busy)
+                runner_id = self._schedule.take(now_s, self._busy)
                 if runner_id is not None:
                     self._busy.add(runner_id)
                     nursery.start_soon(self._read_report, runner_id)
                     continue
-                with trio.move_on_after(self._turns.wait_s(now_s, self._busy)):
-                    await self._turns_changed.wait()
+                with trio.move_on_after(self._schedule.wait_s(now_s, self._busy)):
+                    await self._schedule_changed.wait()
 
     async def _read_report(self, runner_id: RunnerId) -> None:
         try:
             report = await self._load(runner_id)
         finally:
             self._busy.discard(runner_id)
-            self._turns_changed.set()
+            self._schedule_changed.set()
         if report is None:
-            self._turns.failed(trio.current_time(), runner_id)
-            self._note_silence(runner_id)
+            self._schedule.failed(trio.current_time(), runner_id)
+            self._record_failure(runner_id)
             return
-        self._turns.succeeded(runner_id)
-        self._tell_all(self._watch.reported(runner_id, report.leaving))
-        self._spread(runner_id, report.leaving)
-        self._tell(_reported(runner_id, report))
+        self._schedule.succeeded(runner_id)
+        self._publish_all(self._watch.reported(runner_id, report.leaving))
+        self._spread_notice(runner_id, report.leaving)
+        self._publish(_reported(runner_id, report))
 
     async def _load(self, runner_id: RunnerId) -> LoadReport | None:
         engine = self._engine_by_id.get(runner_id)
@@ -181,13 +181,13 @@
                 return None
         return None
 
-    def _note_silence(self, runner_id: RunnerId) -> None:
-        was_silent = self._watch.is_silent(runner_id)
-        self._tell_all(self._watch.failed(trio.current_time(), runner_id))
-        if self._watch.is_silent(runner_id) and not was_silent:
+    def _record_failure(self, runner_id: RunnerId) -> None:
+        was_unresponsive = self._watch.is_silent(runner_id)
+        self._publish_all(self._watch.failed(trio.current_time(), runner_id))
+        if self._watch.is_silent(runner_id) and not was_unresponsive:
             log(Event.RUNNER_SILENT, runner=runner_id)
 
-    def _spread(self, runner_id: RunnerId, leaving: bool) -> None:
+    def _spread_notice(self, runner_id: RunnerId, leaving: bool) -> None:
         """Let instances that do not read this runner's reports know what it says."""
         now_s = trio.current_time()
         renewed_s = self._renewed_s.get(runner_id)
@@ -198,15 +198,15 @@
             del self._renewed_s[runner_id]
             self.kernel.get(Membership).publish_runner_notice(runner_id, False, for_good=False)
 
-    def _tell_all(self, events: list[PolicyEvent]) -> None:
+    def _publish_all(self, events: list[PolicyEvent]) -> None:
         for event in events:
             if isinstance(event, RunnerSeen):
                 log(Event.RUNNER_JOINED, runner=event.runner.id, service=event.runner.service)
             elif isinstance(event, RunnerLeft):
                 log(Event.RUNNER_LEFT, runner=event.runner_id)
-            self._tell(event)
+            self._publish(event)
 
-    def _tell(self, event: PolicyEvent) -> None:
+    def _publish(self, event: PolicyEvent) -> None:
         for listener in self._listeners:
             listener(event)
 
--- a/egretstack/services/session_host.py
+++ b/egretstack/services/session_host.py
@@ -71,12 +71,12 @@
         self._own = InstanceId(kernel.settings.text("instance", "id"))
         self._resume_window_s = kernel.settings.number("sessions", "resume_window_s")
         send_s = kernel.settings.number("caller", "send_timeout_s")
-        self._unread_s = self._resume_window_s + send_s
+        self._unread_timeout_s = self._resume_window_s + send_s
         self._holders = Holders(max(self._resume_window_s, 1.0) * 2)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Hold the nursery that pumps run in."""
-        self.kernel.get(PeerPort).register_handler(SessionTaken, self._taken_elsewhere)
+        self.kernel.get(PeerPort).register_handler(SessionTaken, self._on_taken_elsewhere)
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
@@ -110,17 +110,17 @@
         """Find a session here or take it over from its engine; raise EgretError."""
         opened_s = clock.now()
         ref = self._ref(contract, session_id)
-        here = self._find(ref.runner, ref.generation)
-        if here is not None and after > here.cursor.last:
+        local = self._find(ref.runner, ref.generation)
+        if local is not None and after > local.cursor.last:
             raise EgretError(ErrorKind.BAD_REQUEST, f"the generation has no event {after} yet")
-        if here is not None and here.can_read_after(after):
-            return here
-        if here is None and self._closed:
+        if local is not None and local.can_read_after(after):
+            return local
+        if local is None and self._closed:
             raise EgretError(ErrorKind.DRAINING, "ask which entry to use")
         engine = self._engine(ref)
-        if here is not None:
+        if local is not None:
             # Its events before the caller's place are kept no more; the engine has them.
-            self._pump_by_work[here.work_id].release()
+            self._pump_by_work[local.work_id].release()
         work = picked_up_work(contract, ref)
         generation = GenerationRequest(work.model, "", work.max_output_tokens, work.value)
         request = self._request(ref.account, work, generation, streamed=True)
@@ -130,7 +130,7 @@
         self._count_in(contract, work.id)
         SessionLevels(session, contract, self._service_levels(), opened_s)
         self._start(session, work, Placement(work, ref.runner, engine, work.value))
-        self._nursery.start_soon(self._take_over, ref, session)
+        self._nursery.start_soon(self._notify_previous_holders, ref, session)
         return session
 
     async def state(self, contract: Contract, session_id: str) -> GenerationState:
@@ -146,9 +146,9 @@
     async def cancel(self, contract: Contract, session_id: str) -> None:
         """End a session; raise EgretError."""
         ref = self._ref(contract, session_id)
-        here = self._find(ref.runner, ref.generation)
-        if here is not None:
-            self._pump_by_work[here.work_id].cancel()
+        local = self._find(ref.runner, ref.generation)
+        if local is not None:
+            self._pump_by_work[local.work_id].cancel()
             return
         try:
             await self._engine(ref).cancel(ref.generation)
@@ -169,19 +169,19 @@
             log(Event.SESSION_ABANDONED, work=session.work_id)
             pump.cancel()
 
-    async def _take_over(self, ref: SessionRef, session: Session) -> None:
+    async def _notify_previous_holders(self, ref: SessionRef, session: Session) -> None:
         """Tell who may serve the session still; else its cancel would end this one."""
         place = (ref.runner, ref.generation)
-        told_before = self._holders.holder(clock.now(), place)
+        previous = self._holders.holder(clock.now(), place)
         self._holders.note(clock.now(), place, self._own)
         takeover = Takeover(self.kernel.get(Instances), self._own, SessionTaken(self._own, *place))
         with trio.move_on_after(self._resume_window_s):
-            ask = self.kernel.get(PeerPort).request
-            await takeover.run(ask, {ref.owner, told_before}, lambda: session.outcome is None)
+            request = self.kernel.get(PeerPort).request
+            await takeover.run(request, {ref.owner, previous}, lambda: session.outcome is None)
         for peer in sorted(takeover.untold):
             log(Event.SESSION_HOLDER_UNTOLD, work=session.work_id, peer=peer)
 
-    async def _taken_elsewhere(self, message: SessionTaken) -> SessionReleased:
+    async def _on_taken_elsewhere(self, message: SessionTaken) -> SessionReleased:
         texts = (message.holder, message.runner, message.generation)
         if max(len(text) for text in texts) > MAX_ID_LENGTH:
             return SessionReleased("")
@@ -204,7 +204,7 @@
     def _request(
         self, account: AccountId, work: Work, generation: GenerationRequest, streamed: bool
     ) -> SessionRequest:
-        return SessionRequest(account, work.service, generation, streamed, self._unread_s)
+        return SessionRequest(account, work.service, generation, streamed, self._unread_timeout_s)
 
     def _count_in(self, contract: Contract, work: WorkId) -> None:
         try:
--- a/egretstack/services/settings_file.py
+++ b/egretstack/services/settings_file.py
@@ -26,32 +26,32 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self._path = Path(os.environ.get(SETTINGS_VARIABLE, ""))
-        self._seen = self._stamp()
+        self._seen = self._file_stamp()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Watch the file until cancelled."""
         with trio.open_signal_receiver(signal.SIGHUP) as signals:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._look)
+                nursery.start_soon(self._poll)
                 task_status.started()
                 async for _ in signals:
-                    self._read()
+                    self._reload()
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         while True:
             await trio.sleep(CHECK_INTERVAL_S)
-            if self._stamp() != self._seen:
-                self._read()
+            if self._file_stamp() != self._seen:
+                self._reload()
 
-    def _stamp(self) -> tuple[int, int]:
+    def _file_stamp(self) -> tuple[int, int]:
         try:
             status = self._path.stat()
         except OSError:
             return (0, 0)  # Being written anew; the next look sees it.
         return (status.st_mtime_ns, status.st_size)
 
-    def _read(self) -> None:
-        self._seen = self._stamp()
+    def _reload(self) -> None:
+        self._seen = self._file_stamp()
         try:
             settings = read_node_settings(self._path)
         except UserError as error:
--- a/egretstack/services/store_following.py
+++ b/egretstack/services/store_following.py
@@ -36,7 +36,7 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self._port = kernel.get(FleetPort)
-        self._reading = kernel.get(StoreReading)
+        self._store_reading = kernel.get(StoreReading)
         self._revision: int | None = None
         """What was read last, from which to watch; None to read the whole list."""
 
@@ -45,37 +45,37 @@
         """List or watch once, and take what came. Raises HistoryGone, StoreAway."""
 
     @abstractmethod
-    def _is_told(self) -> bool:
+    def _is_current(self) -> bool:
         """Tell whether what is known here is new enough."""
 
-    def _may_try(self) -> bool:
+    def _may_read(self) -> bool:
         """Tell whether the store may be asked; another follower may ask for both."""
         return True
 
     async def _follow(self) -> None:
         while True:
             home = self._port.is_home()
-            if self._reading.is_starting():
+            if self._store_reading.is_starting():
                 await trio.sleep(START_POLL_INTERVAL_S)
                 continue
-            if not self._may_try() or (not home and self._is_told()):
+            if not self._may_read() or (not home and self._is_current()):
                 self._revision = None
                 await trio.sleep(IDLE_POLL_INTERVAL_S)
                 continue
-            if not home and await self._is_told_soon():
+            if not home and await self._becomes_current():
                 continue
             try:
                 await self._read()
-                self._reading.record_answer()
+                self._store_reading.record_answer()
                 await trio.sleep(HOME_PAUSE_S if home else OWN_READING_PAUSE_S)
             except HistoryGone:
                 self._revision = None
             except StoreAway as error:
-                self._reading.record_unavailable(error)
+                self._store_reading.record_unavailable(error)
                 self._revision = None
                 await trio.sleep(UNAVAILABLE_PAUSE_S if home else UNAVAILABLE_OWN_PAUSE_S)
 
-    async def _is_told_soon(self) -> bool:
+    async def _becomes_current(self) -> bool:
         """Let an instance whose home does not reach the store wait for one that does.
 
         That takes some tenths of a second. Where nobody reaches it, each instance tries on by
@@ -85,4 +85,4 @@
             return False
         live = len(self._port.fleet.live(trio.current_time()))
         await trio.sleep(self.kernel.rng.uniform(0, live * OWN_READING_SPREAD_S))
-        return self._is_told()
+        return self._is_current()
--- a/egretstack/services/store_reading.py
+++ b/egretstack/services/store_reading.py
@@ -72,8 +72,8 @@
         self._add_gauges(kernel.get(RelayMetrics))
         self._started_s = trio.current_time()
         is_seed = any(seed.rpartition(":")[0] == node.ip for seed in node.seeds)
-        first = node.first_start and not is_seed
-        self._unled_wait_s = FIRST_START_WAIT_S if first else START_WAIT_S
+        waits_longer = node.first_start and not is_seed
+        self._home_wait_s = FIRST_START_WAIT_S if waits_longer else START_WAIT_S
 
     def _add_gauges(self, metrics: RelayMetrics) -> None:
         version = metrics.gauge("egret_relay_config_version", "Configuration in force here.")
@@ -139,9 +139,9 @@
             try:
                 if self.is_starting():
                     await trio.sleep(START_POLL_INTERVAL_S)
-                elif self._is_told_configuration():
+                elif self._receives_configuration():
                     await trio.sleep(IDLE_POLL_INTERVAL_S)
-                elif await self._may_be_told_soon():
+                elif await self._wait_for_next_home():
                     continue
                 elif revision is None:
                     revision = await self._read_configuration()
@@ -154,31 +154,31 @@
                 revision = None
                 await trio.sleep(UNAVAILABLE_PAUSE_S)
 
-    def _is_told_configuration(self) -> bool:
+    def _receives_configuration(self) -> bool:
         """Tell whether peers see to it that this instance has the configuration."""
-        told = not self._port.fleet.is_watcher(trio.current_time())
-        return told and self.gate.table is not None
+        receives = not self._port.fleet.is_watcher(trio.current_time())
+        return receives and self.gate.table is not None
 
     def is_starting(self) -> bool:
         """Tell whether this instance has just started, and may yet be told what it lacks."""
         if not self._port.has_seeds():
             return False
         now_s = trio.current_time()
-        wait_s = START_LED_S if self._port.fleet.is_led(now_s) else self._unled_wait_s
+        wait_s = START_LED_S if self._port.fleet.is_led(now_s) else self._home_wait_s
         return now_s - self._started_s < wait_s and not self.is_informed()
 
-    async def _may_be_told_soon(self) -> bool:
+    async def _wait_for_next_home(self) -> bool:
         """Let an instance that has lost its home wait for the next; tell whether there is one."""
         if self.gate.table is None or self._port.is_home():
             return False
         await trio.sleep(self.kernel.rng.uniform(0, READ_SPREAD_S))
-        return self._is_told_configuration()
+        return self._receives_configuration()
 
     async def _read_configuration(self) -> int:
         listing = await self.store.list(ObjectKind.CONFIGURATION)
         self.record_answer()
         for one in listing.objects:
-            self._take_stored(one)
+            self._apply_stored(one)
         return listing.revision
 
     async def _watch_configuration(self, revision: int) -> int:
@@ -186,10 +186,10 @@
         self.record_answer()
         for change in changes.changes:
             if not change.deleted:
-                self._take_stored(change.object)
+                self._apply_stored(change.object)
         return changes.revision
 
-    def _take_stored(self, stored: StoredObject) -> None:
+    def _apply_stored(self, stored: StoredObject) -> None:
         if stored.name == CONFIGURATION_NAME:
             self.apply_configuration(stored.spec, "store")
 
@@ -198,7 +198,7 @@
         while True:
             await trio.sleep(PEER_CHECK_INTERVAL_S)
             self._watch.pass_time(trio.current_time())
-            self._tell_sight("")
+            self._publish_reachability("")
             holders = self._port.fleet.newest_config(trio.current_time())
             if holders:
                 await self._fetch_from(self.kernel.rng.choice(holders).instance)
@@ -215,19 +215,19 @@
     def record_answer(self) -> None:
         """Note that the store answered a call."""
         self._watch.answered(trio.current_time())
-        self._tell_sight("")
+        self._publish_reachability("")
 
     def record_unavailable(self, error: StoreAway) -> None:
         """Note that the store did not answer a call."""
         self._watch.failed(trio.current_time())
-        self._tell_sight(str(error))
+        self._publish_reachability(str(error))
 
     def record_late(self) -> None:
         """Note that this home's list of runners is older than a runner's notice allows."""
         self._watch.late()
-        self._tell_sight("the list of runners is old")
+        self._publish_reachability("the list of runners is old")
 
-    def _tell_sight(self, error: str) -> None:
+    def _publish_reachability(self, error: str) -> None:
         """Tell the fleet if this instance reaches the store no more, or again."""
         before, sight = self._port.fleet.own.store, self._watch.sight
         if sight is before:
--- a/tests/matrix/test_switch_offs.py
+++ b/tests/matrix/test_switch_offs.py
@@ -114,7 +114,7 @@
 async def _no_intent(self, ask):
     await trio.lowlevel.checkpoint()
     row = self._new_row(ask)
-    self._book.begin(row.attempt)
+    self._attempts.begin(row.attempt)
     return Intent(ask.key, row, trio.current_time())
 
 
@@ -220,7 +220,7 @@
         number = member.ports[port]
         return await peers.request(InstanceId(member.id), member.host, number, message)
 
-    with _without(_replace(Configuration, "_ask", ask_once)):
+    with _without(_replace(Configuration, "_query", ask_once)):
         _turns_red(Point.CONFIGURATION_HOLDS, "test_change_fan_out__connection_silent")
 
 
--- a/tests/test_fleet_news.py
+++ b/tests/test_fleet_news.py
@@ -205,17 +205,17 @@
         ports = [one.get(FleetPort) for one in site.kernels]
         await site.until(lambda: sum(one.is_home() for one in ports) == 1)
         (home,) = [one for one in site.kernels if one.get(FleetPort).is_home()]
-        await site.until(lambda: home.get(FleetUpdatesService)._as_of.runners_revision > 0)
+        await site.until(lambda: home.get(FleetUpdatesService)._sources.runners_revision > 0)
         (other,) = [one for one in site.kernels if one is not home]
         port, news = home.get(FleetPort), home.get(FleetUpdatesService)
         sent = []
         port.send_encoded = lambda address, data: sent.append(decode(msgpack.unpackb(data)))
-        before = news._as_of.runners_revision
+        before = news._sources.runners_revision
         runners = list(port.runners.by_id.values())[:1]
         now_s = trio.current_time()
         port.runners.take(now_s, runners, port.runners.revision + 7, now_s)
         report = other.get(FleetPort)._own_report()
-        news._take_report(InstanceId(other.settings.instance), replace(report, held=[0, 0, True]))
+        news._on_report(InstanceId(other.settings.instance), replace(report, held=[0, 0, True]))
         check.assertEqual({one.runners_revision for one in sent}, {before})
         keys = {row.key for one in sent for row in unpack_changes(one.rows)}
         check.assertEqual(len([key for key in keys if key.startswith("ri-desk")]), 2)
--- a/tests/test_membership_services.py
+++ b/tests/test_membership_services.py
@@ -312,7 +312,7 @@
             world.add_engine(f"engine-{number}", "llm", ("story",), EngineParameters())
         process = await world.start("entry-0", Program.ENTRY)
         await trio.sleep(20)
-        process.kernel.get(Runners)._turns._gap_s = 60.0
+        process.kernel.get(Runners)._schedule._gap_s = 60.0
         session = await open_story(process, 30, stream=False)
         await trio.sleep(0.1)
         name = session_runner(world)
--- a/tests/test_move_turns.py
+++ b/tests/test_move_turns.py
@@ -45,10 +45,10 @@
         home, other = sorted(site.kernels, key=lambda one: not one.get(FleetPort).is_home())
         service = home.get(PlacingHome)
         await site.until(lambda: home.get(FleetPort).address_of(other.settings.instance))
-        service._turns.ask(trio.current_time(), SOURCE, "s-ended", 0.0)
-        check.assertEqual(service._turns.holder(SOURCE), "s-ended")
+        service._permits.ask(trio.current_time(), SOURCE, "s-ended", 0.0)
+        check.assertEqual(service._permits.holder(SOURCE), "s-ended")
         service._answer(other.settings.instance, MoveTurn("s-ended", SOURCE, "i-llm-9"))
-        await site.until(lambda: service._turns.holder(SOURCE) is None)
+        await site.until(lambda: service._permits.holder(SOURCE) is None)
 
 
 @on_real_clock
--- a/tests/test_platform_plain.py
+++ b/tests/test_platform_plain.py
@@ -242,7 +242,7 @@
     async with platform_site(entries=0) as site:
         address = node_settings(0, site.store.address, []).control_address
         kernel = await site.start_entry(0, seeds=(address,), first_start=True)
-        check.assertLess(kernel.get(StoreReading)._unled_wait_s, FIRST_START_WAIT_S)
+        check.assertLess(kernel.get(StoreReading)._home_wait_s, FIRST_START_WAIT_S)
         await site.until_ready()
 
 
