--- a/egretstack/services/_runner_health.py
+++ b/egretstack/services/_runner_health.py
@@ -1,4 +1,4 @@
-"""Asks a runner for its health."""
+"""Requests the health of a runner."""
 
 import trio
 
@@ -11,13 +11,13 @@
 
 
 class NoHealthAnswer(Exception):
-    """Something accepted the connection and did not answer: a runner or what stands before it."""
+    """Something accepted the connection and did not answer: a runner or a proxy in front of it."""
 
 
 async def fetch_health(
     runner: Runner, path: str, connect_s: float, answer_s: float
 ) -> RunnerHealth | None:
-    """Give what a healthy runner at a runner's address says; None if it is not healthy.
+    """Return the health of a healthy runner at a runner's address; None if it is not healthy.
 
     Raises ConnectFailed, NoHealthAnswer.
     """
--- a/egretstack/services/crash_guard.py
+++ b/egretstack/services/crash_guard.py
@@ -1,6 +1,6 @@
-"""Finds out whether the runner of a broken run has ended, and what it was running; tells the home.
+"""Finds out whether the runner of a broken run has ended, and reports it with its requests.
 
-The home learns it from reports, and tells all instances in its news.
+The home learns it from reports, and sends it to all instances in its updates.
 """
 
 from collections.abc import Callable
@@ -28,14 +28,14 @@
 HEALTH_TIMEOUT_S = 0.2
 MAX_PROBES = 3
 PROBE_RETRY_S = 0.5
-"""Pause after a probe that told nothing: what starts in the runner's place may not be up yet."""
+"""Pause after a probe without a result: the runner's replacement may not be up yet."""
 PLANNED_END_NOTICE_S = 0.5
-"""A runner that was known to leave for longer ends by plan."""
+"""A runner that was known to leave for longer than this has ended as planned."""
 FORGET_PERIOD_S = 30.0
 
 
 class _ProbeResult(Enum):
-    """What came of a probe."""
+    """The result of a probe."""
 
     LIVES = "lives"
     ENDED = "ended"
@@ -53,7 +53,7 @@
 
 
 class CrashGuardService(Service, CrashGuard):
-    """Probes runners whose runs broke, and shares what it finds."""
+    """Probes runners whose runs broke, and shares the results."""
 
     name = "crash_guard"
     requires = ("engine_reports", "fleet_port", "relay_metrics", "store_reading")
@@ -74,7 +74,7 @@
         gauge.set_function(self._port.crashes.refused)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Probe and share until cancelled."""
+        """Probe and share results until cancelled."""
         self._port.strike_rows = lambda: self._reports.strike_rows(trio.current_time())
         self._port.clear_rows = lambda: self._reports.clear_rows(trio.current_time())
         self._port.on_report_received(self._on_report)
@@ -86,7 +86,7 @@
                 self._port.crashes.forget_old(trio.current_time())
 
     def refuses(self, content: ContentId) -> bool:
-        """Tell whether no runner may get a request now."""
+        """Return whether no runner may get a request now."""
         return self._port.crashes.refuses(content)
 
     def told_when_refused(
@@ -96,7 +96,7 @@
         return self._port.crashes.told_when_refused(content, wake)
 
     def answered(self, content: ContentId) -> None:
-        """Take note that a runner ran a request to an end and lives."""
+        """Record that a runner completed a request and is alive."""
         now_s = trio.current_time()
         cleared_round = self._port.record_clear(now_s, content)
         if cleared_round is not None:
@@ -111,7 +111,11 @@
         sent_s: float,
         first_event_s: float | None = None,
     ) -> trio.Event:
-        """Take note that a run broke off at a runner; find out whether that has ended."""
+        """Record that a run broke off at a runner; find out whether that runner has ended.
+
+        Returns an event that is set after the next probe of the runner, or at once if no record
+        of strikes exists for the request.
+        """
         broken = _BrokenRun(attempt, content, sent_s, first_event_s, trio.current_time())
         known = self._port.runners.by_id.get(runner)
         if known is None or self._nursery is None or self._is_leaving(runner):
@@ -132,7 +136,7 @@
         return stopped_s is not None and trio.current_time() - stopped_s > PLANNED_END_NOTICE_S
 
     async def _probe(self, runner: Runner) -> None:
-        """Ask a runner until it is known whether it has ended, a few times at most."""
+        """Probe a runner until it is known whether it has ended, a few times at most."""
         result = await self._probe_once(runner)
         for _ in range(MAX_PROBES - 1):
             if result is not _ProbeResult.UNKNOWN:
@@ -142,7 +146,7 @@
             await trio.sleep(PROBE_RETRY_S)
             result = await self._probe_once(runner)
         if result is _ProbeResult.UNKNOWN and self._port.runners.stopped_s(runner.id) is not None:
-            result = _ProbeResult.ENDED  # Its entry is gone too.
+            result = _ProbeResult.ENDED  # Its entry is missing too.
         for broken in self._broken_by_runner.pop(runner.id):
             self._record_outcome(runner.id, broken, ended=result is _ProbeResult.ENDED)
             broken.decided.set()
@@ -152,7 +156,7 @@
     async def _probe_once(self, runner: Runner) -> _ProbeResult:
         """Find out whether a runner accepts no connection, or another one answers in its place.
 
-        One that is busy answers late or rejects the question, and has not ended.
+        A busy runner answers late or rejects the request, and has not ended.
         """
         plan = self._store.service(runner.service)
         path = "/" if plan is None else plan.health_path
--- a/egretstack/services/crash_list.py
+++ b/egretstack/services/crash_list.py
@@ -1,7 +1,8 @@
-"""Keeps what the fleet knows of requests that end runners in the store, as the home.
+"""Keeps the fleet's records of requests that end runners in the store, as the home.
 
-After a restart of every instance it is read from there. An instance that hears no other one is its
-own home, so that one which is cut off from its peers alone keeps to it and adds to it too.
+After a restart of every instance they are read from there. An instance that receives no reports of
+others is its own home, so that one that is cut off only from its peers still applies the records
+and adds to them.
 """
 
 import trio
@@ -18,7 +19,7 @@
 from egretstack.services.store_reading import UNAVAILABLE_PAUSE_S
 
 WATCH_S = 5.0
-"""Length of one watch. Only another home or an operator writes besides, both of them rarely."""
+"""Length of one watch. Besides this home only another home or an operator writes, both rarely."""
 FIELD = "record"
 """Name under which an object's spec holds the record's row."""
 MAX_BAD_LOGGED = 8
@@ -51,7 +52,7 @@
         return self._port.fleet.is_led(trio.current_time())
 
     def _may_read(self) -> bool:
-        """Leave it to the list of runners to find out when the store is back."""
+        """Return whether the store is reachable; the list of runners finds out when it is again."""
         sight = self._port.fleet.own.store
         return self._port.is_home() and sight is not StoreSight.AWAY
 
@@ -71,11 +72,11 @@
         self._changed.set()
 
     def _apply(self, change: Change) -> str | None:
-        """Take an object of the store; give its name if it cannot be read."""
+        """Apply an object of the store; return its name if it cannot be read."""
         now_s = trio.current_time()
         content = ContentId(change.object.name)
         if change.deleted:
-            # Deleted by an operator, unless this instance has nothing more to keep of it.
+            # It was deleted by an operator, unless this instance has dropped the record itself.
             if self._stored_by_content.pop(content, None) is not None:
                 self._port.record_clear(now_s, content)
             return None
@@ -95,7 +96,7 @@
                 continue
             self._changed = trio.Event()
             if not self._port.is_home():
-                continue  # Whoever becomes home reads the store first, and writes what it lacks.
+                continue  # The next home reads the store first, and writes what is missing there.
             try:
                 await self._write_all()
             except StoreAway as error:
@@ -109,12 +110,12 @@
             if self._stored_by_content.get(content) != record:
                 await self._write(content, record)
         for content in self._stored_by_content.keys() - lasting.keys():
-            # What its own deletion tells is not an operator's doing.
+            # Removed here first, so that the watch does not take this deletion for an operator's.
             self._stored_by_content.pop(content)
             await self._store_reading.store.delete(ObjectKind.CRASH_RECORD, content)
 
     async def _write(self, content: ContentId, record: CrashRecord) -> None:
-        """Write a record; another home that wrote meanwhile is heard of by the watch."""
+        """Write a record; the watch reports what another home wrote at the same time."""
         store, spec = self._store_reading.store, {FIELD: record_row(record)}
         try:
             if not await store.replace(ObjectKind.CRASH_RECORD, content, spec):
--- a/egretstack/services/engine_placing.py
+++ b/egretstack/services/engine_placing.py
@@ -1,4 +1,4 @@
-"""Where this instance's generations run: asked of the home, decided here while it is silent."""
+"""Places this instance's generations, at the home or by this instance if it gets no answer."""
 
 from collections.abc import Collection
 from dataclasses import dataclass, replace
@@ -30,29 +30,29 @@
 from egretstack.services.relay_metrics import RelayMetrics
 
 ANSWER_TIMEOUT_S = 0.04
-"""Time for the home's answer, which takes some 2 ms; then the question is sent once more."""
+"""Time for the home's answer, which takes some 2 ms; then the request is sent once more."""
 MAX_SENDS = 2
 RENEW_INTERVAL_S = 0.25
-"""How often a generation that waits at the home tells that it still does."""
+"""How often a generation that waits at the home renews its request."""
 REFUSED_RETRY_S = 0.5
 PERMIT_REQUEST_INTERVAL_S = 0.08
-"""How often a run that has to move asks whether it is its turn."""
+"""How often a run that has to move requests its permit."""
 RANK_STEP = 1e6
 """Sets ranks further apart than any run has tokens."""
 
 
 @dataclass(frozen=True, slots=True)
 class _NotPlaced:
-    """No place came of a try."""
+    """The result of an attempt that found no place."""
 
     retry_s: float
-    """When a caller may come back that waits no longer."""
+    """When a caller that waits no longer may come back."""
     is_final: bool = False
-    """Whether none can come in time."""
+    """Whether no place can be found in time."""
 
 
 class EnginePlacingService(Service, EnginePlacing):
-    """Asks for places, backups and turns, and keeps the runs of this instance."""
+    """Requests places, backups and permits to move, and keeps the runs of this instance."""
 
     name = "engine_placing"
     requires = ("fleet_port", "placing_home", "relay_metrics")
@@ -70,10 +70,10 @@
         self._permit_by_attempt: dict[str, trio.Event] = {}
         self._destination_by_attempt: dict[str, str] = {}
         self._copying: set[str] = set()
-        """Runs that have their turn; a turn told twice is theirs still."""
+        """Runs that have their permit; a permit that arrives twice stays theirs."""
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Take answers until cancelled."""
+        """Accept answers until cancelled."""
         self._home.own_runs = lambda: list(self._run_by_attempt.values())
         self._home.on_local_answer = self._on_answer
         for kind in (PlaceAnswer, BackupAnswer, MoveTurn):
@@ -82,10 +82,10 @@
         await trio.sleep_forever()
 
     async def place(self, request: Work, engine: EnginePlan) -> Placement:
-        """Give the place of a generation, once there is room. Raises RequestFailed.
+        """Return the place of a generation once there is capacity. Raises RequestFailed.
 
-        It waits at the home for as long as its caller can be expected to, and is then refused; at
-        once if no zone that it may run in is left.
+        It waits at the home for as long as its caller can be expected to wait, and is then refused;
+        at once if there is no zone left in which it may run.
         """
         began_s = trio.current_time()
         outcome: Placement | _NotPlaced = _NotPlaced(REFUSED_RETRY_S)
@@ -109,7 +109,7 @@
     async def _try_place(
         self, request: Work, engine: EnginePlan, left_s: float
     ) -> Placement | _NotPlaced:
-        """Ask for a place once, with `left_s` left to wait. Raises RequestFailed."""
+        """Request a place once, with `left_s` left to wait. Raises RequestFailed."""
         if self._port.runners.is_barred(request.service, request.zones):
             raise barred()
         backoff_s = self._backoff_left_s(request)
@@ -137,28 +137,29 @@
         return _NotPlaced(min(MAX_RETRY_AFTER_S, free_s) or REFUSED_RETRY_S, free_s > left_s)
 
     def begin(self, run: Run) -> None:
-        """Note a run that goes out."""
+        """Record a run that is sent."""
         self._run_by_attempt[run.work.attempt] = run
 
     def end(self, run: Run) -> None:
-        """Note that a run is over here."""
+        """Record that a run has ended here."""
         self._run_by_attempt.pop(run.work.attempt, None)
         self._home.placer.ended(run.work.attempt)
 
     def first_token(self, run: Run, read_s: float, waited_s: float) -> None:
-        """Note a first token: `read_s` after the send, and `waited_s` after the request came."""
+        """Record a first token, `read_s` after the send and `waited_s` after the request
+        arrived."""
         self._metrics.observe_answer(RouteKind.STREAM, waited_s)
         self._home.placer.book.first_token(run.work.prompt_tokens, read_s)
 
     def tokens_left(self, run: Run) -> float:
-        """Give the output that a run is still expected to make."""
+        """Return the output that a run is still expected to generate, in tokens."""
         return self._home.placer.book.tokens_left(run)
 
     async def backup_for(self, run: Run, engine: EnginePlan, source: RunnerId) -> RunnerId | None:
-        """Choose where the memory of a run that moved is copied from now on.
+        """Choose the backup of a run that moved, to which its memory is copied from now on.
 
-        While the home is silent there is none: each instance by its own view would choose the
-        engine that looks emptiest to all.
+        While the home does not answer there is none: each instance by its own view would choose the
+        engine that looks emptiest to all of them.
         """
         attempt = run.work.attempt
         query = BackupAsk(self.kernel.settings.instance, attempt, run.runner, source)
@@ -168,9 +169,9 @@
         return RunnerId(answer.backup)
 
     async def move_turn(self, run: Run, refused: Collection[RunnerId]) -> RunnerId:
-        """Wait until it is a run's turn to be copied off its runner; give the destination.
+        """Wait for the permit to copy a run off its runner; return the destination.
 
-        `refused` names engines that had no room for its copy a moment ago.
+        `refused` names engines that had no free memory for its copy a moment ago.
         """
         attempt, source = run.work.attempt, run.runner
         own = self.kernel.settings.instance
@@ -188,19 +189,19 @@
             self._permit_by_attempt.pop(attempt, None)
 
     def move_done(self, attempt: str, source: RunnerId) -> None:
-        """Give the turn up."""
+        """Give the permit back."""
         self._destination_by_attempt.pop(attempt, None)
         self._copying.discard(attempt)
         self._send_to_home(MoveDone(self.kernel.settings.instance, attempt, source))
 
     def _move_order(self, run: Run) -> float:
-        """Give the order of moves off one runner: urgent first, then those with most to lose."""
+        """Return the order of moves off one runner: urgent first, then those with most to lose."""
         return RANK_STEP * run.work.rank - self.tokens_left(run)
 
     async def _request_place(self, request: Work) -> PlaceAnswer | None:
-        """Ask the home, and wait there for a place; None if the home is silent.
+        """Request a place at the home and wait for it; None if the home does not answer.
 
-        An answer without a runner tells that the home is there and no place came yet.
+        An answer without a runner means that the home is there and has found no place yet.
         """
         query = PlaceAsk(self.kernel.settings.instance, work_row(request))
         first = await self._request(request.attempt, query, times=MAX_SENDS)
@@ -212,7 +213,7 @@
         return second if isinstance(second, PlaceAnswer) else first
 
     async def _request(self, attempt: str, query: Message, times: int) -> Message | None:
-        """Ask the home; None if it is silent."""
+        """Send a request to the home; return the answer, or None if the home does not answer."""
         for _ in range(times):
             answer = await self._wait_for_answer(attempt, ANSWER_TIMEOUT_S, query)
             if answer is not None:
@@ -235,7 +236,7 @@
             self._answer_by_attempt.pop(attempt, None)
 
     def _send_to_home(self, message: Message) -> None:
-        """Send something to the home, which may be here."""
+        """Send a message to the home, which may be this instance."""
         address = self._port.home_address()
         if address is None:
             self._home.handle_request(message)
@@ -249,33 +250,35 @@
         return decided if isinstance(decided, Placement) else None
 
     def _exclude_backed_off(self, request: Work) -> Work:
-        """Give a request that keeps off the engines which want nothing from this instance now."""
+        """Return the request with the engines excluded that asked this instance for a backoff."""
         backed_off = self._home.backoffs.resting(trio.current_time())
         return (
             replace(request, excluded=(*request.excluded, *backed_off)) if backed_off else request
         )
 
     def _backoff_left_s(self, request: Work) -> float:
-        """Give when some engine wants a request from this instance; 0 if now, or if there is none."""
+        """Return the time until an engine accepts a request from here; 0 if now, or if there is
+        none."""
         now_s, backoffs = trio.current_time(), self._home.backoffs
         usable = [
-            one
-            for one in self._port.runners.ready(request.service)
-            if one.id not in request.excluded and request.may_run_in(one.zone)
+            runner
+            for runner in self._port.runners.ready(request.service)
+            if runner.id not in request.excluded and request.may_run_in(runner.zone)
         ]
-        times = (backoffs.free_after_s(now_s, one, SendPart.ALONE) for one in usable)
+        times = (backoffs.free_after_s(now_s, runner, SendPart.ALONE) for runner in usable)
         return min(times, default=0.0)
 
     def _free_locally_after_s(self, request: Work) -> float:
-        """Give when some engine may take a request without the home's word; 0 if now."""
+        """Return the time until an engine may get a request without the home's decision; 0 if
+        now."""
         placer = self._home.placer
         return placer.free_after_s(trio.current_time(), request, SendPart.ALONE)
 
     def _accept_place(self, answer: PlaceAnswer) -> Placement:
-        """Take the home's answer, and the runners it names if they are news here.
+        """Accept the home's answer, and register the runners it names if they are unknown here.
 
-        An instance that is cut off from the home's news and not from its answers would find none of
-        the engines offered to it: one refused a generation so while 16 of them were free.
+        An instance that gets the home's answers but not its updates would otherwise know none of
+        the engines offered to it: one refused a generation this way while 16 of them were free.
         """
         for runner in rows_of(answer.runners, runner_of):
             if self._port.runners.introduce(runner):
@@ -295,10 +298,11 @@
                 answered.set()
 
     def _on_permit(self, permit: MoveTurn) -> None:
-        """Let a run have its turn; give the turn back if the run has ended or does not wait.
+        """Hand a permit to its run, or give it back if the run has ended or does not wait.
 
-        A question may overtake the news that its run has ended. The others would then wait for a
-        turn that nobody uses, for longer than the engine's notice, and be lost with it.
+        A request may arrive at the home after the report that its run has ended. The others would
+        then wait for a permit that nobody uses, for longer than the engine's notice, and be lost
+        with it.
         """
         waiting = self._permit_by_attempt.get(permit.attempt)
         if waiting is not None:
--- a/egretstack/services/engine_reports.py
+++ b/egretstack/services/engine_reports.py
@@ -1,7 +1,7 @@
-"""Asks engines for their own reports, as the home, for the whole fleet.
+"""Reads the engines' own reports, as the home, for the whole fleet.
 
-Reports tell of a leaving or dead engine while the store cannot, and sooner. One reader keeps their
-number independent of the number of instances.
+Reports show a leaving or dead engine sooner than the store does, and also while the store cannot.
+With one reader their number does not grow with the number of instances.
 """
 
 from collections.abc import Callable
@@ -20,17 +20,17 @@
 
 POLL_INTERVAL_S = 0.1
 PERIOD_S = 1.0
-"""Each report costs a call; with the store there, its list tells of leaving runners sooner."""
+"""Each report costs a call; while the store is reachable, its list shows leaving runners sooner."""
 STORE_UNAVAILABLE_AGE_S = 1.0
-"""Age of the list of runners from which reports stand in for it."""
+"""Age of the list of runners from which reports take its place."""
 STORE_UNAVAILABLE_PERIOD_S = 0.25
-"""Runners are gone some 1.5 s after their notice: a run needs the better part of that to move."""
+"""Runners end some 1.5 s after their notice, and a run needs most of that time to move."""
 TIMEOUT_S = 0.5
 MAX_REPORT_BYTES = 1_048_576
 
 
 class EngineReports(Service):
-    """Learns from engines whether they leave or are silent."""
+    """Learns from engines whether they leave or do not answer."""
 
     name = "engine_reports"
     requires = ("fleet_port", "store_reading")
@@ -45,13 +45,14 @@
         self._listeners: list[Callable[[RunnerId, RunnerReport], None]] = []
 
     def on_report(self, listener: Callable[[RunnerId, RunnerReport], None]) -> None:
-        """Let `taker` see each report."""
+        """Call `listener` with each report."""
         self._listeners.append(listener)
 
     def record_ended(self, runner: RunnerId) -> None:
-        """Take it, as the home, that an instance found a runner to have ended.
+        """Record, as the home, that an instance found a runner to have ended.
 
-        Its own silence would show a second or two later, when copies and places there are lost.
+        Its missing reports would show this only a second or two later, when copies and places at
+        that runner are already lost.
         """
         engines = self._engines()
         if self._port.is_home() and any(one.id == runner for one in engines):
@@ -59,7 +60,7 @@
             self._publish_unresponsive(engines)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Ask while this instance is the home."""
+        """Read reports while this instance is the home."""
         task_status.started()
         try:
             async with trio.open_nursery() as nursery:
@@ -117,7 +118,7 @@
             self._port.record_leaving(runner.id)
 
     async def _request_report(self, runner: Runner) -> RunnerReport | None:
-        """Ask one engine; None if it gives no report that can be read."""
+        """Request the report of one engine; return None if no readable report comes."""
         try:
             connection = await self._pool.take(runner.address, TIMEOUT_S)
         except ConnectFailed:
--- a/egretstack/services/fleet_news.py
+++ b/egretstack/services/fleet_news.py
@@ -1,7 +1,7 @@
-"""The home's news to all instances: which instances live and which runners there are.
+"""The home's updates to all instances: which instances are live, and which runners there are.
 
-What is told, and what an instance makes of it, is decided by `fleet.NewsTeller` and
-`fleet.NewsFollower`; here it is sent and put to use.
+`fleet.UpdatePublisher` and `fleet.UpdateFollower` decide what is sent and how it is applied; this
+service sends the updates and puts them to use.
 """
 
 from collections.abc import Callable
@@ -38,17 +38,18 @@
 from egretstack.services.relay_metrics import RelayMetrics
 
 LOADS_PERIOD_S = 0.75
-"""How often loads are told. They are used only by an instance that finds the home silent, and are
+"""How often loads are sent. Only an instance whose home does not answer uses them, and they are
 then a second old anyway."""
 MAX_LOADS = 32
-"""Loads in one datagram, 30 bytes each; of more engines some are told each time, in turn."""
+"""Limit on the loads in one datagram, 30 bytes each. If there are more engines, some of them are
+sent each time, in turn."""
 MAX_HOLDERS = 8
-"""Instances that are named as having the newest configuration. Each of 195 fetches it from one of
-them; as more have it, others are named."""
+"""Limit on the instances that are named as having the newest configuration. Each of 195 instances
+fetches it from one of them; as more instances have it, others are named."""
 HANDOVER_REPEATS = 3
-"""How often a home that is no more says so: one datagram in some fifty is lost."""
+"""How often a former home announces its successor: one datagram in some fifty is lost."""
 REREQUEST_INTERVAL_S = 0.1
-"""Time between two reports that ask for lost news; the answer takes some 5 ms."""
+"""Time between two reports that request lost updates; the answer takes some 5 ms."""
 EPOCH_BITS = 53
 MAX_AGE_S = 3600.0
 _INSTANCE = "i"
@@ -61,7 +62,7 @@
 
 
 class _SourceVersions(NamedTuple):
-    """How far what the rows tell goes."""
+    """The revisions and reading times that the rows reflect."""
 
     runners_revision: int
     runners_read_s: float
@@ -70,7 +71,7 @@
 
 
 class FleetUpdatesService(Service):
-    """Tells the news while this instance is the home, and takes them while it is not."""
+    """Sends the updates while this instance is the home, and applies them while it is not."""
 
     name = "fleet_news"
     requires = ("fleet_port", "relay_metrics")
@@ -84,27 +85,27 @@
         self._loads_sent_s = float("-inf")
         self._next_load = 0
         self._handovers_left = 0
-        """How often the others are still told that this instance is home no more."""
+        """How many more times the others are told that this instance is no longer the home."""
         self._urgent_sent = trio.Event()
-        """Set while urgent news wait to be sent once more."""
+        """Set while an urgent update waits to be repeated."""
         self._received_zones: frozenset[ZoneName] = frozenset()
-        """The evacuated zones as the home's rows have them."""
+        """The evacuated zones according to the home's rows."""
         self._received_epoch = 0
-        """The epoch of the home whose rows these were."""
+        """The epoch of the home that sent these zones."""
         self._gap_requested_s: float | None = None
-        """When what was lost was last asked for; None if nothing is missing."""
+        """When lost updates were last requested; None if nothing is missing."""
         self.load_rows: Callable[[], list] = list
-        """Gives the rows of the loads of all engines."""
+        """Returns the rows of the loads of all engines."""
         self._table_revision: int | None = None
-        """Revision of the table of runners as the home's news last left it; None if this instance
-        has read later ones since."""
+        """Revision of the table of runners as the home's updates last left it; None if this
+        instance has read a later one itself since."""
         self._gaps = kernel.get(RelayMetrics).gauge(
             "egret_relay_news_gaps",
             "News of the home that came after others that were lost.",
         )
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Tell and take until cancelled."""
+        """Send or apply updates until cancelled."""
         self._port.held_updates = lambda: self._keeper.held
         self._port.misses_updates = lambda: self._keeper.missed
         self._port.on_report_sent(self._send_updates)
@@ -114,7 +115,7 @@
         await self._repeat_urgent()
 
     def _send_updates(self) -> None:
-        """Tell what changed, or each period that nothing did; loads less often."""
+        """Send changes at once, an update without changes each period, and loads less often."""
         now_s = trio.current_time()
         if not self._port.is_home():
             self._hand_over(now_s)
@@ -135,10 +136,10 @@
             self._send_loads(others)
 
     def _refresh_rows(self, others: list[KnownInstance]) -> bool:
-        """Bring the rows up to date, and how far they go; tell whether any row changed.
+        """Refresh the rows and the revisions they reflect; return whether any row changed.
 
-        What is read between two tellings is in neither. Told with a later revision than theirs, the
-        rows of a home that has just begun would say that all runners are missing.
+        A reading between two updates is in neither of them. If an update named a later revision
+        than that of its rows, the rows of a new home would mean that all runners are missing.
         """
         runners, evacuations = self._port.runners, self._port.evacuations
         self._sources = _SourceVersions(
@@ -147,7 +148,8 @@
         return self._keeper.lead().update(self._rows(others))
 
     def _is_urgent(self, before: int) -> bool:
-        """Tell whether runners may get less work since a version, or others are suspected."""
+        """Return whether changes since a version withdraw a runner, or report a zone or a crash
+        record."""
         changes = self._keeper.lead().rows.since(before)
         rows = [one.row for one in changes if one.key[0] == _RUNNER]
         ready = RunnerState.READY
@@ -156,7 +158,7 @@
         return any(one.row is not None for one in changes if one.key[0] in (_ZONE, _CRASH))
 
     async def _repeat_urgent(self) -> None:
-        """Send urgent news once more to whoever has not reported to hold them."""
+        """Repeat urgent updates to the instances that have not reported to hold them."""
         while True:
             await self._urgent_sent.wait()
             await trio.sleep(REPEAT_AFTER_S)
@@ -167,15 +169,15 @@
                 continue
             others = self._port.fleet.others_heard(now_s)
             self._send_parts(
-                now_s, [(one, publisher.repeats_for(one.instance.id)) for one in others]
+                now_s, [(known, publisher.repeats_for(known.instance.id)) for known in others]
             )
             publisher.repeated()
 
     def _hand_over(self, now_s: float) -> None:
-        """Point the others to the home that follows this one, a few times.
+        """Point the others to the new home, a few times.
 
-        They hear this instance alone: of a home that is no more because it leaves, or does not
-        reach the store, they would hear nothing until they took it for silent.
+        They follow this instance alone. If it leaves or does not reach the store and so is no
+        longer the home, they would otherwise not notice until they find it unresponsive.
         """
         if self._keeper.teller is not None:
             self._keeper.follow()
@@ -191,7 +193,7 @@
             self._port.send_encoded(known.instance.peer_address, view)
 
     def _rows(self, others: list[KnownInstance]) -> dict[str, list]:
-        """Give all rows; what has to be known soonest comes first when all of it is new."""
+        """Return all rows; the most urgent kinds come first when all of them are new."""
         runners = self._port.runners
         rows = {
             f"{_RUNNER}{runner.id}": [*runner_row(runner), self._flags(runner.id)]
@@ -213,16 +215,16 @@
         return unresponsive | (_SUSPECT if runner in self._port.runners.suspects else 0)
 
     def _send_lacking(self, now_s: float, others: list[KnownInstance]) -> None:
-        """Send to each what it lacks."""
+        """Send to each instance what it lacks."""
         publisher = self._keeper.lead()
         self._send_parts(
-            now_s, [(one, publisher.parts_for(now_s, one.instance.id)) for one in others]
+            now_s, [(known, publisher.parts_for(now_s, known.instance.id)) for known in others]
         )
 
     def _send_parts(
         self, now_s: float, parts_by_instance: list[tuple[KnownInstance, list[NewsPart]]]
     ) -> None:
-        """Send parts; what several instances lack alike is put together once."""
+        """Send parts; one that several instances lack is encoded once."""
         template = self._update_template(now_s)
         encoded_by_part: dict[NewsPart, bytes] = {}
         for known, parts in parts_by_instance:
@@ -233,7 +235,7 @@
                 self._port.send_encoded(known.instance.peer_address, data)
 
     def _update_template(self, now_s: float) -> FleetNews:
-        """Give the news without their rows."""
+        """Return an update without rows."""
         publisher = self._keeper.lead()
         version, holders = self._newest_configuration(now_s)
         return FleetNews(
@@ -298,7 +300,7 @@
             self._apply(now_s, home.instance.id, update)
 
     def _on_gap(self, now_s: float, home: InstanceId, update: FleetNews) -> None:
-        """Ask for what was lost, at once the first time; of a burst one part tells enough."""
+        """Request what was lost: at once the first time, and only once for a burst of updates."""
         self._gaps.inc()
         if self._gap_requested_s is None:
             log(Event.NEWS_GAP, home=home, base=update.base, latest=update.latest)
@@ -307,7 +309,7 @@
             self._port.report_soon()
 
     def _apply(self, now_s: float, home: InstanceId, update: FleetNews) -> None:
-        """Put the rows to use, which are all that the home has told."""
+        """Put the rows to use, which are all rows that the home has sent."""
         changed_keys = self._keeper.follow().pop_changed()
         kinds = {key[0] for key in changed_keys}
         if _INSTANCE in kinds:
@@ -331,7 +333,7 @@
         self._table_revision = table.revision if was_applied else None
 
     def _apply_crash_records(self, now_s: float, changed_keys: set[str]) -> None:
-        """Take the changed records; one that the home has forgotten is forgotten here in time."""
+        """Apply the changed records; those that the home has dropped expire here by themselves."""
         keys = [key for key in changed_keys if key[0] == _CRASH]
         rows = self._keeper.follow().rows.rows() if keys else {}
         for key in keys:
@@ -340,7 +342,7 @@
                 self._port.apply_crash_record(now_s, content, record_of(rows[key]))
 
     def _apply_evacuations(self, now_s: float, update: FleetNews, changed: bool) -> None:
-        # Under another home the rows may be the same as this instance told when it was home itself.
+        # Under another home the rows may be the same that this instance sent as the home itself.
         if changed or update.epoch != self._received_epoch:
             self._received_epoch = update.epoch
             rows = self._keeper.follow().rows.rows()
@@ -361,8 +363,10 @@
         listed = [runner_of(row[:-1]) for row in rows]
         flags_by_id = {one.id: _parse_flags(row) for one, row in zip(listed, rows, strict=True)}
         self._port.apply_runner_list(listed, revision, read_s, from_home=True)
-        table.silent = frozenset(one for one, it in flags_by_id.items() if it & _UNRESPONSIVE)
-        table.suspects = frozenset(one for one, it in flags_by_id.items() if it & _SUSPECT)
+        table.silent = frozenset(
+            name for name, flags in flags_by_id.items() if flags & _UNRESPONSIVE
+        )
+        table.suspects = frozenset(name for name, flags in flags_by_id.items() if flags & _SUSPECT)
 
 
 def _age_ms(age_s: float) -> int:
@@ -370,23 +374,23 @@
 
 
 def _parse_flags(row: list) -> int:
-    """Read the marks at the end of a runner's row. Raises MessageError."""
+    """Parse the flags at the end of a runner's row. Raises MessageError."""
     if not isinstance(row[-1], int):
-        raise MessageError("a runner without marks")
+        raise MessageError("a runner row has no flags")
     return row[-1]
 
 
 def _parse_limit_row(row: list) -> float:
-    """Read the row of a runner's limit. Raises MessageError."""
+    """Parse the row of a runner's limit. Raises MessageError."""
     if len(row) != 1:
-        raise MessageError("a limit that is no rate")
+        raise MessageError("a limit row has not exactly one rate")
     return checked_limit(row[0])
 
 
 def _parse_held(row: list) -> tuple[HeldNews, bool]:
-    """Read what a report tells of the news that its sender holds. Raises MessageError."""
+    """Parse which of the home's updates a report's sender holds. Raises MessageError."""
     try:
         epoch, version, missed = row
         return HeldNews(int(epoch), int(version)), bool(missed)
     except (TypeError, ValueError) as error:
-        raise MessageError(f"not a version of news: {error}") from error
+        raise MessageError(f"invalid version of updates: {error}") from error
--- a/egretstack/services/fleet_port.py
+++ b/egretstack/services/fleet_port.py
@@ -1,4 +1,4 @@
-"""Datagrams between instances: reports of who lives and what runs there, and what others send."""
+"""Datagrams between instances: reports of live instances and their runs, and other messages."""
 
 import socket
 from collections.abc import Callable, Iterable, Mapping
@@ -35,21 +35,23 @@
 from egretstack.platform import NodeSettings
 
 MAX_ANNOUNCEMENTS = 4
-"""Instances that a newcomer tells of itself beside the one that it takes for the home. Any of them
-points to the home; were all of a list greeted, instances that start together would send each other
-as many datagrams as the square of their number."""
+"""Number of instances to which a new instance announces itself, besides the one that it believes to
+be the home. Any of them points it to the home. If it announced itself to all of a list, instances
+that start together would send each other a number of datagrams that grows with the square of their
+number."""
 MAX_LEAVING_REPORTED = 64
-"""Leaving runners in one report, some 20 bytes each; the latest to leave."""
+"""Limit on the leaving runners in one report, some 20 bytes each; the latest to leave are
+reported."""
 MAX_DATAGRAM_BYTES = 65_000
 INCARNATION_BITS = 53
 IDLE_POLL_INTERVAL_S = 0.25
-"""How often an instance that is not the home looks whether it has become it: a report's period.
-Loops that look more often wake idle processes up for nothing."""
+"""How often an instance that is not the home checks whether it has become the home: the period of
+the reports. Loops that check more often wake idle processes up for nothing."""
 Handler = Callable[[Message, tuple[str, int]], None]
 
 
 class FleetPort(Service):
-    """Tells peers of this instance and learns of them; the views that others read are here."""
+    """Exchanges reports with peers, and holds the views of the fleet that other services read."""
 
     name = "fleet_port"
 
@@ -71,17 +73,17 @@
         self.crashes = CrashTable()
         self.limits = RunnerLimits()
         self.run_rows: Callable[[], list] = list
-        """Gives the rows of the runs of this instance."""
+        """Returns the rows of the runs of this instance."""
         self.held_updates: Callable[[], HeldNews] = HeldNews
-        """Gives what this instance holds of the home's news."""
+        """Returns the epoch and version of the home's updates that this instance holds."""
         self.misses_updates: Callable[[], bool] = bool
-        """Tells whether some of it was lost."""
+        """Returns whether some of the updates were lost."""
         self.answer_count_rows: Callable[[], list] = list
-        """Gives the rows of what plain runners made of the calls of this instance."""
+        """Returns the rows of the counts of plain runners' answers to calls of this instance."""
         self.strike_rows: Callable[[], list] = list
-        """Gives the rows of the runners that ended while they ran requests of this instance."""
+        """Returns the rows of the runners that ended while they ran requests of this instance."""
         self.clear_rows: Callable[[], list] = list
-        """Gives the rows of the requests that were answered since."""
+        """Returns the rows of the requests that were answered since."""
         self.report_now = trio.Event()
         self._handler_by_kind: dict[type[Message], Handler] = {
             InstanceReport: self._on_report,
@@ -95,37 +97,37 @@
         self._socket.setblocking(False)
 
     def handle(self, kind: type[Message], handler: Handler) -> None:
-        """Let `handler` take messages of a kind."""
+        """Register the handler of a kind of message."""
         self._handler_by_kind[kind] = handler
 
     def on_report_sent(self, listener: Callable[[], None]) -> None:
-        """Let `teller` send what it has to tell, each time this instance has reported."""
+        """Call `listener` each time this instance has sent its report."""
         self._report_sent_listeners.append(listener)
 
     def on_report_received(self, listener: Callable[[InstanceId, InstanceReport], None]) -> None:
-        """Let `taker` see what an instance reports."""
+        """Call `listener` with each report of another instance."""
         self._report_listeners.append(listener)
 
     def update_own(self, **changes: object) -> None:
-        """Change what this instance tells of itself."""
+        """Change fields of the record that this instance reports about itself."""
         self.fleet.own = replace(self.fleet.own, **changes)
 
     def is_home(self) -> bool:
-        """Tell whether this instance is the home."""
+        """Return whether this instance is the home."""
         return self.fleet.is_home(trio.current_time())
 
     def home_address(self) -> str | None:
-        """Give where the home hears; None if this instance is the home."""
+        """Return the address of the home; None if this instance is the home."""
         home = self.fleet.home(trio.current_time())
         return self.address_of(home)
 
     def address_of(self, instance: InstanceId) -> str | None:
-        """Give where an instance hears; None for this one or one that is not known."""
+        """Return the address of an instance; None for this one or an unknown one."""
         found = self.fleet.find(instance)
         return None if found is None else found.peer_address
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message; it may be lost, as any datagram may."""
+        """Send a message; like any datagram it may be lost."""
         data = encode(message)
         if len(data) > MAX_DATAGRAM_BYTES:
             log(Event.DATAGRAM_TOO_LARGE, kind=type(message).__name__, size=len(data))
@@ -133,7 +135,7 @@
         self.send_encoded(address, data)
 
     def send_encoded(self, address: str, data: bytes) -> None:
-        """Send an encoded message, which may go to many."""
+        """Send an encoded message; used for messages that go to many instances."""
         host, _, port = address.rpartition(":")
         try:
             self._socket.sendto(data, (host, int(port)))
@@ -141,11 +143,12 @@
             log(Event.DATAGRAM_UNSENT, to=address, error=str(error))
 
     def report_soon(self) -> None:
-        """Report, and tell as the home, without waiting for the period's end."""
+        """Send the report, and as the home the updates, without waiting for the end of the
+        period."""
         self.report_now.set()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Send and receive."""
+        """Send and receive until cancelled."""
         node: NodeSettings = self.kernel.settings
         with trio.socket.from_stdlib_socket(self._socket) as receiving:
             await receiving.bind((node.ip, node.first_peer_port))
@@ -156,16 +159,20 @@
                 task_status.started()
 
     async def farewell(self) -> None:
-        """Tell the others that this instance ends."""
+        """Send a last report, which tells the others that this instance ends."""
         self._send_report()
 
     def has_seeds(self) -> bool:
-        """Tell whether the settings name other instances."""
+        """Return whether the settings name other instances."""
         own_ip = self.kernel.settings.ip
         return any(seed.rpartition(":")[0] != own_ip for seed in self.kernel.settings.seeds)
 
     def _announce_to_seeds(self) -> None:
-        """Report to the seeds, again in each period until anybody is heard: they start as late."""
+        """Report to the seeds.
+
+        This is repeated in each period until a report of another instance arrives, since the seeds
+        may start at the same time.
+        """
         node: NodeSettings = self.kernel.settings
         for seed in node.seeds:
             host = seed.rpartition(":")[0]
@@ -173,13 +180,14 @@
                 self.send(f"{host}:{node.first_peer_port}", self._own_report())
 
     def announce_to_some(self) -> None:
-        """Report to a few instances that are not heard; one of them knows the home."""
+        """Report to a few instances that do not report here; one of them knows the home."""
         unheard = self.fleet.unheard(trio.current_time())
         chosen = self.kernel.rng.sample(unheard, min(MAX_ANNOUNCEMENTS, len(unheard)))
         self._announce_to(chosen)
 
     def announce_to_all(self) -> None:
-        """Report to all instances that are not heard, as the home: they follow another one."""
+        """Report, as the home, to all instances that do not report here: they follow another
+        home."""
         self._announce_to(self.fleet.unheard(trio.current_time()))
 
     def _announce_to(self, instances: list[Instance]) -> None:
@@ -255,7 +263,7 @@
     def apply_runner_list(
         self, runners: list, revision: int, read_s: float, *, from_home: bool = False
     ) -> None:
-        """Take a reading of the list of runners, by this instance or by the home."""
+        """Apply a reading of the list of runners, made by this instance or by the home."""
         now_s = trio.current_time()
         stopped = self.runners.take(now_s, runners, revision, read_s, by_home=from_home)
         for runner in stopped:
@@ -265,7 +273,7 @@
             self.report_soon()
 
     def apply_evacuations(self, zones: frozenset[ZoneName], revision: int, read_s: float) -> None:
-        """Take a reading of the evacuated zones, by this instance or by the home."""
+        """Apply a reading of the evacuated zones, made by this instance or by the home."""
         change = self.evacuations.take(zones, revision, read_s)
         if change is None:
             return
@@ -280,21 +288,21 @@
             self.report_soon()
 
     def leaving(self) -> list[RunnerId]:
-        """Give the runners that leave, for a report: the next home may know of none."""
+        """Return the leaving runners for a report, since the next home may know of none."""
         return self.runners.leaving()[-MAX_LEAVING_REPORTED:]
 
     def apply_limits(self, per_s_by_id: Mapping[RunnerId, float]) -> None:
-        """Take all limits of runners that the home knows of."""
+        """Apply all limits of runners that the home knows."""
         for runner in self.limits.told_all(trio.current_time(), per_s_by_id):
             self._on_limit_changed(runner)
 
     def record_runner_limit(self, runner: RunnerId, per_s: float | None, sent_s: float) -> None:
-        """Take what an answer to a request sent at `sent_s` says of a runner's limit."""
+        """Record the limit of a runner from its answer to a request sent at `sent_s`."""
         if self.limits.heard(trio.current_time(), runner, per_s, sent_s):
             self._on_limit_changed(runner)
 
     def record_peer_limit(self, runner: RunnerId, per_s: float | None, age_s: float) -> None:
-        """Take another instance's word of what a runner said of its limit."""
+        """Record the limit of a runner that another instance has received from it."""
         now_s = trio.current_time()
         if self.limits.told(now_s, runner, per_s, now_s - age_s):
             self._on_limit_changed(runner)
@@ -308,15 +316,15 @@
         self.report_soon()
 
     def apply_crash_record(self, now_s: float, content: ContentId, record: CrashRecord) -> None:
-        """Take what the home or the store knows of a request under which runners ended."""
+        """Apply the home's or the store's record of a request under which runners ended."""
         refused = self.crashes.refuses(content)
         if self.crashes.take(now_s, content, record):
             self._on_crash_record_changed(content, was_refused=refused)
 
     def record_strike(self, now_s: float, content: ContentId, strike: Strike) -> bool:
-        """Note that a runner ended while it ran a request of this instance, or of another one.
+        """Record that a runner ended while it ran a request of this or another instance.
 
-        Tells whether that is news.
+        Returns whether the strike was not known before.
         """
         refused = self.crashes.refuses(content)
         changed = self.crashes.strike(now_s, content, strike)
@@ -325,13 +333,14 @@
         return changed
 
     def apply_clear(self, now_s: float, content: ContentId, cleared_round: int) -> None:
-        """Take it that a runner answered a request of another instance."""
+        """Apply another instance's report that a runner answered a request."""
         refused = self.crashes.refuses(content)
         if self.crashes.take_clear(now_s, content, cleared_round):
             self._on_crash_record_changed(content, was_refused=refused)
 
     def record_clear(self, now_s: float, content: ContentId) -> int | None:
-        """Note that a request was answered, or let free; give the round that begins, if any."""
+        """Record that a request was answered or allowed again; return the new round, if one
+        begins."""
         refused = self.crashes.refuses(content)
         cleared_round = self.crashes.clear(now_s, content)
         if cleared_round is not None:
@@ -339,7 +348,7 @@
         return cleared_round
 
     def on_crash_record_change(self, listener: Callable[[], None]) -> None:
-        """Let `taker` know when a record of a request under which runners ended has changed."""
+        """Call `listener` when the record of a request under which runners ended has changed."""
         self._crash_listeners.append(listener)
 
     def _on_crash_record_changed(self, content: ContentId, *, was_refused: bool) -> None:
@@ -354,7 +363,7 @@
             self.report_soon()
 
     def record_runner_start(self, runner: RunnerId, started_ms: int) -> None:
-        """Take a runner's own word of when it started."""
+        """Record the start time that a runner reports of itself."""
         ended = self.runners.started(runner, started_ms)
         if ended is None:
             return
@@ -363,13 +372,13 @@
         self.report_soon()
 
     def confirm_runner(self, runner: RunnerId) -> None:
-        """Take it that a runner whose entry came back answers for itself."""
+        """Record that a runner whose entry came back answers under its own name."""
         if self.runners.confirm(runner):
             log(Event.RUNNER_BACK, runner=runner, revision=self.runners.revision)
             self.report_soon()
 
     def on_runner_ended(self, listener: Callable[[Runner], None]) -> None:
-        """Let `taker` see each start of a runner that has surely ended."""
+        """Call `listener` with each incarnation of a runner that has certainly ended."""
         self._runner_end_listeners.append(listener)
 
     def _notify_ended(self, stopped: Iterable[Runner]) -> None:
@@ -379,7 +388,7 @@
                     listener(runner)
 
     def record_leaving(self, runner: RunnerId) -> None:
-        """Take a runner's own word that it leaves."""
+        """Record that a runner itself said that it leaves."""
         if self.runners.notice(trio.current_time(), runner):
             log(Event.RUNNER_LEAVES, runner=runner, by="itself")
             self.report_soon()
--- a/egretstack/services/front_port.py
+++ b/egretstack/services/front_port.py
@@ -30,15 +30,16 @@
 from egretstack.traffic import ClientRequest
 
 LIMITS_AT_START = ServerLimits(16_384, 4_194_304, 3.0, 15.0)
-"""Until a configuration is known."""
+"""Applies until a configuration is known."""
 MAX_BODY_BYTES_IN_PROGRESS = 24_000_000
-"""Bodies in progress, all together, in bytes. Each is held twice while it is joined and sent; with
-the 25 MB that a process needs by itself that is 73 MB of the smallest instances' 128 MB."""
+"""Limit on the request bodies being read at one time, in bytes. Each body is held twice while it is
+joined and sent; with the 25 MB that a process needs by itself that is 73 MB of the 128 MB of the
+smallest instances."""
 FULL_RETRY_S = 0.2
-"""A body takes some 50 ms on a link of 100 Mbit/s, and other instances have room."""
+"""A body takes some 50 ms on a link of 100 Mbit/s, and other instances have free memory."""
 DRAIN_CHECK_INTERVAL_S = 0.05
 STOP_MARGIN_S = 0.6
-"""Time before the end of the grace at which the process stops by itself."""
+"""Time before the end of the grace period at which the process stops by itself."""
 _CLOSE = (b"connection", b"close")
 _KIND_BY_STATUS = {
     413: ErrorKind.BODY_TOO_LARGE,
@@ -76,7 +77,8 @@
             task_status.started()
 
     async def drain(self) -> None:
-        """Serve those who still come by an older answer of the directory, until all is done."""
+        """Serve clients that still use an older directory answer, until the grace period is nearly
+        over."""
         node: NodeSettings = self.kernel.settings
         self._leaving = True
         self._relaying.begin_leaving()
@@ -96,7 +98,7 @@
             connection.close()
 
     async def _serve_one(self, connection: ClientConnection) -> bool:
-        """Serve one request; tell whether the connection may be kept."""
+        """Serve one request; return whether the connection may be kept."""
         try:
             head = await connection.read_head()
             if head is None:
@@ -223,7 +225,7 @@
 
 
 class _FrontStream(ClientStream):
-    """A stream towards a client."""
+    """The response stream to a client."""
 
     def __init__(
         self, connection: ClientConnection, closing: tuple[tuple[bytes, bytes], ...]
@@ -242,11 +244,11 @@
         await self._send_if_connected(self._connection.send_part(data))
 
     async def finish(self) -> None:
-        """Send the proper end."""
+        """Finish the response so that the client sees it as complete."""
         await self._send_if_connected(self._connection.finish_stream())
 
     def abort(self) -> None:
-        """Break the answer off so that it cannot look complete."""
+        """Break the response off so that it cannot look complete."""
         self._connection.abort()
 
     @staticmethod
@@ -254,6 +256,6 @@
         try:
             await sending
         except ClientGone:
-            # The watch on the connection sees the same and cancels the relay, which closes the
-            # runner's connection in turn.
+            # `_cancel_on_disconnect` sees the same and cancels the relay, which closes the runner's
+            # connection in turn.
             await trio.sleep_forever()
--- a/egretstack/services/placing_home.py
+++ b/egretstack/services/placing_home.py
@@ -1,7 +1,7 @@
-"""The home's side of placing: it keeps the book of all runs, and answers for the whole fleet.
+"""The home's side of placing: it keeps the registry of all runs, and answers for the fleet.
 
-Every instance runs it, and learns all it needs in case it becomes home; while it is not, nobody
-asks it.
+Every instance runs it and records all that it needs in case it becomes the home; while it is not
+the home, it gets no requests.
 """
 
 from collections.abc import Callable
@@ -48,13 +48,13 @@
 from egretstack.traffic import RunnerReport
 
 MAX_RETRY_AFTER_S = 10.0
-"""Longest time that a caller is told to wait before it comes back."""
-WAIT_LIST_POLL_INTERVAL_S = 0.05
-"""How often the home looks for room for what waits, besides whenever something is asked."""
+"""Longest time after which a caller is told to come back."""
+QUEUE_POLL_INTERVAL_S = 0.05
+"""How often the home looks for capacity for queued requests, besides after each request."""
 
 
 class PlacingHome(Service):
-    """The placer of this instance, which is the fleet's while this instance is home."""
+    """The placer of this instance, which is the fleet's while this instance is the home."""
 
     name = "placing_home"
     requires = ("engine_reports", "fleet_news", "fleet_port", "store_reading")
@@ -72,9 +72,9 @@
         self.send_bounds = SendBounds((self.cold_allocation, limits, self.backoffs))
         self.placer = Placer(self._port.runners, kernel.rng, self.send_bounds)
         self.own_runs: Callable[[], list[Run]] = list
-        """Gives the runs of this instance."""
+        """Returns the runs of this instance."""
         self.on_local_answer: Callable[[Message], None] = lambda message: None
-        """Takes answers to this instance's own questions."""
+        """Accepts answers to this instance's own requests."""
         self._permits = MoveTurns()
         self._requester_by_attempt: dict[str, InstanceId] = {}
 
@@ -94,7 +94,7 @@
         while True:
             if self._port.is_home():
                 self._place_waiting()
-                await trio.sleep(WAIT_LIST_POLL_INTERVAL_S)
+                await trio.sleep(QUEUE_POLL_INTERVAL_S)
             else:
                 await trio.sleep(IDLE_POLL_INTERVAL_S)
 
@@ -103,7 +103,8 @@
         return None if plan is None else plan.cold
 
     def handle_request(self, message: Message) -> None:
-        """Take a question of any instance, this one too; what can't be answered is left alone."""
+        """Handle a request of any instance, this one too; one that cannot be answered is
+        ignored."""
         if isinstance(message, PlaceAsk):
             self._place(message)
         elif isinstance(message, PlaceDrop):
@@ -116,7 +117,7 @@
             self._end_permit(message.attempt, RunnerId(message.source))
 
     def refresh_own_runs(self) -> None:
-        """Bring the runs of this instance in the book up to date."""
+        """Bring the runs of this instance in the registry up to date."""
         self.placer.book.reported(self.kernel.settings.instance, list(self.own_runs()))
 
     def _on_peer_request(self, message: Message, sender: tuple[str, int]) -> None:
@@ -127,7 +128,7 @@
         requester = InstanceId(query.sender)
         engine = self._store.engine(request.service)
         if engine is None or not self._can_answer(requester):
-            return  # The asker places by its own view.
+            return  # The requester places it by its own view.
         self._requester_by_attempt[request.attempt] = requester
         self.placer.wait(trio.current_time(), request, engine)
         if request.attempt in self._place_waiting():
@@ -145,14 +146,14 @@
         )
 
     def _place_waiting(self) -> set[str]:
-        """Place what waits and tell those who asked; give the attempts that have a place now."""
+        """Place queued requests and answer their instances; return the attempts placed now."""
         self.refresh_own_runs()
         placed = self.placer.settle(trio.current_time())
-        for one in placed:
-            requester = self._requester_by_attempt.pop(one.attempt, None)
+        for result in placed:
+            requester = self._requester_by_attempt.pop(result.attempt, None)
             if requester is not None:
-                self._answer(requester, self._place_answer(one.attempt, one.placement))
-        return {one.attempt for one in placed}
+                self._answer(requester, self._place_answer(result.attempt, result.placement))
+        return {result.attempt for result in placed}
 
     def _place_answer(self, attempt: str, placement: Placement) -> PlaceAnswer:
         named = [one for one in (placement.runner, placement.backup) if one is not None]
@@ -169,7 +170,7 @@
         run = self.placer.book.run(query.attempt)
         engine = None if run is None else self._store.engine(run.work.service)
         if engine is None or not self._can_answer(requester):
-            return  # The asker goes on without a copy.
+            return  # The requester goes on without a backup.
         runner = RunnerId(query.runner)
         source = RunnerId(query.source)
         backup = self.placer.move_run(trio.current_time(), query.attempt, runner, engine, source)
@@ -179,7 +180,7 @@
         requester = InstanceId(query.sender)
         self.refresh_own_runs()
         if not self._can_answer(requester) or self.placer.book.run(query.attempt) is None:
-            return  # Asked again soon; the run's report may have been lost.
+            return  # It is requested again soon; the report with the run may have been lost.
         self._requester_by_attempt[query.attempt] = requester
         source = RunnerId(query.source)
         self._permits.free_ended(source, lambda attempt: self.placer.book.run(attempt) is None)
@@ -191,10 +192,10 @@
             self._grant_permit(holder, source)
 
     def _grant_permit(self, attempt: str, source: RunnerId) -> None:
-        """Tell the instance of a run where to copy it; the next one's turn if there is no room.
+        """Send the permit to copy a run, or pass it on to the next run if there is no capacity.
 
-        The first in order may be too large for the room there is. Its turn has to pass on at once,
-        since it asks again before the others do.
+        The first run in order may be too large for the free memory. Its permit has to be passed on
+        at once, since that run requests it again before the others do.
         """
         following: str | None = attempt
         while following is not None and not self._send_permit(following, source):
--- a/egretstack/services/runner_list.py
+++ b/egretstack/services/runner_list.py
@@ -1,6 +1,7 @@
-"""Reads the list of runners, as the home for all.
+"""Reads the list of runners, as the home for all instances.
 
-An instance that gets no list new enough to keep leaving runners from getting work reads by itself.
+An instance reads it itself while the list it gets from the home is not recent enough to keep
+leaving runners from getting requests.
 """
 
 from collections.abc import Iterable
@@ -16,14 +17,15 @@
 
 RUNNER_WATCH_S = 0.6
 OWN_READING_SHARE = 0.6
-"""Part of the time in which a runner's notice has to be known everywhere, after which an instance
-without news from the home reads for itself; one reading takes some 10 ms."""
+"""Share of the time in which a runner's notice has to be known everywhere after which an instance
+without updates from the home reads for itself; one reading takes some 10 ms."""
 NEW_HOME_SETTLE_S = 0.5
-"""Time for a new home to read the list for the first time; the former one may have left it old."""
+"""Time for a new home to read the list for the first time; the former home may have left it old."""
 MAX_BAD_LOGGED = 8
-"""Lines for bad entries of one reading; anyone may write there, and a log line costs some 50 us."""
+"""Limit on the log lines about bad entries of one reading; anyone may write entries, and a log line
+costs some 50 us."""
 MAX_NAME_LOGGED = 128
-"""Characters of a bad entry's name that are logged."""
+"""Limit on the logged characters of a bad entry's name."""
 
 
 class RunnerList(StoreFollower):
@@ -48,7 +50,7 @@
             task_status.started()
 
     async def _watch_age(self) -> None:
-        """Tell when this home hears of runners too late: its calls may hang for long."""
+        """Record when this home gets the list of runners too late: its calls may hang for long."""
         home_since_s = None
         while True:
             await trio.sleep(IDLE_POLL_INTERVAL_S)
--- a/egretstack/services/runner_returns.py
+++ b/egretstack/services/runner_returns.py
@@ -1,9 +1,9 @@
-"""Asks runners whose entry was missing and came back whether they live, as the home.
+"""Checks, as the home, runners whose entry was missing and came back.
 
 A runner that is cut off from the store for a while loses its entry and serves on; with three plain
-runners, to leave one out for good costs a third of the service. But an entry also comes back by a
-heartbeat that was long on its way, from a runner that is gone: a request sent there would be lost.
-Only the runner knows, and a leaving one says so; one question each half second tells.
+runners, to exclude one for good costs a third of the service. But an entry also comes back through
+a delayed heartbeat of a runner that has ended, and a request sent there would be lost. Only the
+runner itself knows, and a leaving one says so, so each is asked for its health every half second.
 """
 
 import trio
@@ -20,12 +20,12 @@
 from egretstack.traffic import RunnerHealth
 
 CHECK_INTERVAL_S = 0.5
-"""How often returned runners are asked; they are few, and each question takes a slot of theirs."""
+"""How often relisted runners are checked; they are few, and each check takes one of their slots."""
 TIMEOUT_S = 0.5
 
 
 class RunnerReturns(Service):
-    """Lets runners back that answer for themselves."""
+    """Accepts relisted runners again that answer under their own name."""
 
     name = "runner_returns"
     requires = ("fleet_port", "placing_home", "store_reading")
@@ -38,7 +38,7 @@
         self._logged_not_back: set[RunnerId] = set()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Ask while this instance is the home."""
+        """Check runners while this instance is the home."""
         task_status.started()
         while True:
             await trio.sleep(CHECK_INTERVAL_S)
@@ -47,9 +47,9 @@
             evacuated = self._port.runners.evacuated
             backed_off = self._backoffs.resting(trio.current_time())
             returned = [
-                one
-                for one in self._port.runners.returned()
-                if one.zone not in evacuated and one.id not in backed_off
+                runner
+                for runner in self._port.runners.returned()
+                if runner.zone not in evacuated and runner.id not in backed_off
             ]
             self._logged_not_back &= {runner.id for runner in returned}
             async with trio.open_nursery() as nursery:
@@ -70,7 +70,7 @@
             log(Event.RUNNER_NOT_BACK, runner=runner.id, answered=answered)
 
     async def _health(self, runner: Runner, path: str) -> RunnerHealth | None:
-        """Give what a healthy runner at a runner's address says; None if none answers."""
+        """Return the health of a healthy runner at a runner's address; None if none answers."""
         try:
             return await fetch_health(runner, path, TIMEOUT_S, TIMEOUT_S)
         except ConnectFailed:
--- a/egretstack/services/runner_strikes.py
+++ b/egretstack/services/runner_strikes.py
@@ -1,4 +1,4 @@
-"""Tells the fleet which runners break what they are sent, and learns it as the home."""
+"""Reports which runners fail the requests they get, and combines the reports as the home."""
 
 import trio
 
@@ -12,11 +12,12 @@
 from egretstack.services.store_reading import StoreReading
 
 CHECK_INTERVAL_S = 0.1
-"""How often the home judges, besides at each report; clears suspects in time."""
+"""How often the home determines the suspects, besides at each report with a failure, so that they
+are cleared in time."""
 
 
 class RunnerStrikes(Service):
-    """The counts of this instance, and as the home those of all."""
+    """Counts answers and failures of this instance, and of all instances as the home."""
 
     name = "runner_strikes"
     requires = ("fleet_port", "relaying", "store_reading")
@@ -29,7 +30,7 @@
         self._strikes = FleetStrikes()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Report and judge until cancelled."""
+        """Report counts and determine suspects until cancelled."""
         self._port.answer_count_rows = self._rows
         self._port.on_report_received(self._on_report)
         self.kernel.get(Relaying).tools.on_break = self._port.report_soon
--- a/egretstack/services/runner_words.py
+++ b/egretstack/services/runner_words.py
@@ -1,4 +1,4 @@
-"""Takes what runners say of themselves beside their answers to this instance."""
+"""Records the signals that runners send with their answers to this instance."""
 
 import trio
 
@@ -17,7 +17,7 @@
 
 
 class RunnerSignalsService(Service, RunnerWords):
-    """Learns what runners take: so many requests a second, none for a while, or no more."""
+    """Learns a runner's limit of requests per second, its backoff, or that it leaves."""
 
     name = "runner_words"
     requires = ("fleet_port", "placing_home", "relay_metrics")
@@ -33,7 +33,7 @@
         gauge.set_function(lambda: len(self._port.limits.limited()))
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Forget runners that are gone, until cancelled."""
+        """Drop the state of removed runners until cancelled."""
         self._port.on_report_received(self._on_report)
         task_status.started()
         while True:
@@ -42,9 +42,9 @@
             self._send_bounds.forget_gone()
 
     def heard(self, runner: RunnerId, answer: RunnerAnswer, sent_s: float) -> None:
-        """Take what a runner says beside its answer to a request that was sent at `sent_s`."""
+        """Record the signals in a runner's answer to a request that was sent at `sent_s`."""
         if answer.misdirected:
-            return  # Another runner's word.
+            return  # The signal of another runner.
         self._port.record_runner_limit(runner, answer.limit_per_s, sent_s)
         is_new = answer.leaving and not self._port.runners.is_leaving(runner)
         if is_new or answer.rest_s is not None:
