--- a/egretstack/services/__init__.py
+++ b/egretstack/services/__init__.py
@@ -1,1 +1,1 @@
-"""The services of the programs, one a module; the kernel finds each by its module's name."""
+"""The services of the programs, one per module; the kernel finds each by its module's name."""
--- a/egretstack/services/configuration_relay.py
+++ b/egretstack/services/configuration_relay.py
@@ -1,4 +1,4 @@
-"""Gives the configuration in force to peers that cannot reach the store."""
+"""Sends the configuration in force to peers that cannot reach the store."""
 
 import trio
 
@@ -16,7 +16,7 @@
     requires = ("store_reading",)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Serve peers."""
+        """Serve peers until cancelled."""
         node: NodeSettings = self.kernel.settings
         listener = await open_listener(node.ip, node.first_peer_port)
         async with trio.open_nursery() as nursery:
--- a/egretstack/services/directory_port.py
+++ b/egretstack/services/directory_port.py
@@ -30,17 +30,19 @@
 
 LIMITS = ServerLimits(header_bytes=8_192, body_bytes=1_024, header_timeout_s=2, idle_timeout_s=10)
 MAX_ADDRESSES = 64
-"""Clients use no more of one answer."""
+"""Clients use no more addresses of one answer."""
 ANSWER_TTL_S = 2.0
-"""How long clients keep an answer; some keep it three times as long, still within the grace of a
-stopping instance. A dead instance is named for no longer than this plus its silence."""
+"""How long clients keep an answer. Some keep it three times as long, which is still within the
+grace period of a stopping instance. A dead instance is named for no longer than this plus the time
+after which it counts as not live."""
 GRACE_SHARE = 0.25
-"""Part of the grace that an answer's life may take at most, so that three lives end within it."""
+"""Share of the grace period that an answer's time to live may take at most, so that three times to
+live end within it."""
 CHECK_INTERVAL_S = 0.1
 
 
 class DirectoryPort(Service):
-    """Answers directory questions and readiness checks."""
+    """Answers directory requests and readiness checks."""
 
     name = "directory_port"
     requires = ("fleet_port", "store_reading")
@@ -76,7 +78,7 @@
         self._port.report_soon()
 
     def is_ready(self) -> bool:
-        """Tell whether clients may be sent here."""
+        """Return whether clients may be sent here."""
         return not self._leaving and self._store.is_informed()
 
     def _publish_state(self) -> None:
@@ -100,7 +102,7 @@
                 if not connection.start_next():
                     return
         except (BadRequest, SlowSender, ClientGone):
-            return  # Nothing was promised to whoever asked; it asks elsewhere.
+            return  # The client asks elsewhere.
         finally:
             connection.close()
 
@@ -108,8 +110,8 @@
         if is_ready_question(head):
             return json_answer(200 if self.is_ready() else 503, {"ready": self.is_ready()})
         if is_directory_question(head):
-            # Looked at ten times a second alone, an instance that has just become ready would send
-            # its first callers away.
+            # Checked only ten times a second, an instance that has just become ready would send its
+            # first clients away.
             self._publish_state()
             addresses = self.ready_addresses(asked_region(head), asked_host(head))
             if not addresses:
@@ -122,7 +124,7 @@
         return json_answer(404, {"error": "no such resource"})
 
     def ready_addresses(self, region: RegionName, host: str) -> list[str]:
-        """Give where clients of a region may connect; no more than they use of one answer."""
+        """Return the addresses for clients of a region, no more than they use of one answer."""
         live = self._port.fleet.live(trio.current_time())
         ready = [known.instance for known in live if known.state is InstanceState.READY]
         table = self._store.gate.table
--- a/egretstack/services/evacuation_list.py
+++ b/egretstack/services/evacuation_list.py
@@ -1,7 +1,7 @@
 """Reads which availability zones the operator has evacuated, as the home for all.
 
-It is told as urgent news. An instance that no home tells reads for itself, so that one which is
-cut off from its peers alone keeps to the bound too.
+Changes are sent as urgent updates. An instance that gets none from a home reads for itself, so that
+one that is cut off from its peers alone keeps the bound too.
 """
 
 import trio
@@ -14,12 +14,13 @@
 from egretstack.services.store_following import StoreFollower
 
 WATCH_SHARE = 0.25
-"""Part of the time in which an evacuation has to be known everywhere that one watch lasts: a silent
-connection hides it for no longer, and the leash."""
+"""Share of the time in which an evacuation has to be known everywhere that one watch may last: a
+connection that stopped answering hides an evacuation for this time and the watch's timeout
+margin."""
 MAX_WATCH_S = 2.0
 OWN_READING_SHARE = 0.5
-"""The same after which an instance without news from the home reads for itself; its call is given
-up after 1 s, and a second one is answered within the bound."""
+"""Share of the same time after which an instance without updates from the home reads for itself;
+its call times out after 1 s, and a second one is answered within the bound."""
 MAX_BAD_LOGGED = 8
 MAX_NAME_LOGGED = 128
 
@@ -49,10 +50,10 @@
         return self._port.evacuations.age_s(trio.current_time()) < max_age_s
 
     def _may_read(self) -> bool:
-        """Leave it to the list of runners to find out when the store is back.
+        """Return whether the store is reachable; the list of runners finds out when it is again.
 
-        An instance that is not the home tries only while it reads that list itself: were all to
-        try, those that the store answers first would all take the home's place for a moment.
+        An instance that is not the home tries only while it reads that list itself. If all tried,
+        each of those that the store answers first would become the home for a moment.
         """
         sight = self._port.fleet.own.store
         return sight is StoreSight.READS or (self._port.is_home() and sight is StoreSight.UNKNOWN)
--- a/egretstack/services/fleet_port.py
+++ b/egretstack/services/fleet_port.py
@@ -237,7 +237,7 @@
                 message = decode(msgpack.unpackb(data))
                 handler = self._handler_by_kind.get(type(message))
                 if handler is None:
-                    raise MessageError(f"no answer to {type(message).__name__}")
+                    raise MessageError(f"no handler for {type(message).__name__}")
                 handler(message, sender)
             except (ValueError, msgpack.UnpackException, MessageError) as error:
                 log(Event.PEER_REFUSED, sender=sender[0], error=str(error))
--- a/egretstack/services/length_sharing.py
+++ b/egretstack/services/length_sharing.py
@@ -1,4 +1,4 @@
-"""Asks other entries for what they learned of output lengths, one at a time."""
+"""Requests from other entries what they learned of output lengths, one at a time."""
 
 import trio
 
@@ -21,12 +21,12 @@
 from egretstack.services.peer_port import PeerPort
 
 PERIOD_S = 10.0
-"""One question a period: at most 1.6 KB a second each way."""
+"""One request per period: at most 1.6 KB a second each way."""
 _PORT = "peer"
 
 
 class LengthSharing(Service):
-    """Keeps the policy told of what a stable few of the other entries learned."""
+    """Passes the policy what a stable few of the other entries learned."""
 
     name = "length_sharing"
     requires = ("dispatching", "instances", "peer_port")
@@ -37,7 +37,7 @@
         self._next_source = 0
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Answer peers, and ask one of them each period."""
+        """Answer peers, and query one of them each period."""
         self.kernel.get(PeerPort).register_handler(LengthsAsk, self._answer)
         task_status.started()
         while True:
@@ -56,10 +56,11 @@
         try:
             answer = await self.kernel.get(PeerPort).request(peer, source.host, port, LengthsAsk())
             if not isinstance(answer, LengthsAnswer) or not isinstance(answer.packed, bytes):
-                raise PeerRefused("not an answer about lengths")
+                raise PeerRefused("the answer is not a LengthsAnswer with bytes")
             summary = unpack_summary(answer.packed)
         except (PeerGone, OSError):
-            # What the peer told before stays in use; the next one is asked in its turn.
+            # The last summary of this peer stays in use; the next peer is queried in the next
+            # period.
             return
         except (PeerRefused, ValueError) as error:
             log(Event.PEER_REFUSED, error=str(error))
--- a/egretstack/services/relay_metrics.py
+++ b/egretstack/services/relay_metrics.py
@@ -21,11 +21,12 @@
 
 LIMITS = ServerLimits(header_bytes=8_192, body_bytes=1_024, header_timeout_s=2, idle_timeout_s=60)
 BUCKETS_S = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.8, 2.5, 4.0, 8.0, 20.0, 40.0)
-"""Around the targets of both users: 125 and 200 ms for calls, 1.5 and 1.8 s for first tokens."""
+"""Concentrated around the targets of both users: 125 and 200 ms for calls, 1.5 and 1.8 s for first
+tokens."""
 
 
 class RelayMetrics(Service):
-    """The metrics of one process; all label values come from closed lists."""
+    """The metrics of one process; all label values come from fixed sets."""
 
     name = "relay_metrics"
 
@@ -51,7 +52,7 @@
         count_events(lambda event: self._events.labels(event.name.lower()).inc())
 
     def gauge(self, name: str, meaning: str, *labels: str) -> Gauge:
-        """Add a gauge of another service's; the values of its labels come from closed lists."""
+        """Add a gauge for another service; the values of its labels come from fixed sets."""
         return Gauge(name, meaning, labels, registry=self.registry)
 
     def count_request(self, kind: RouteKind | None, outcome: str) -> None:
@@ -59,7 +60,7 @@
         self._requests.labels("none" if kind is None else kind.value, outcome).inc()
 
     def observe_answer(self, kind: RouteKind, seconds: float) -> None:
-        """Note the time to an answer or a first event."""
+        """Record the time to an answer or a first event."""
         self._seconds.labels(kind.value).observe(seconds)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
@@ -81,6 +82,6 @@
                 if not connection.start_next():
                     return
         except (BadRequest, SlowSender, ClientGone):
-            return  # Whoever reads metrics asks again.
+            return  # The scraper tries again.
         finally:
             connection.close()
--- a/egretstack/services/relaying.py
+++ b/egretstack/services/relaying.py
@@ -1,4 +1,4 @@
-"""Decides what becomes of a client's request, and holds the tools that all relays share."""
+"""Decides how a client's request is served, and holds the context that all relays share."""
 
 import random
 
@@ -30,20 +30,21 @@
 INSTANCES_CHECK_INTERVAL_S = 0.5
 STARTING_RETRY_S = 0.5
 LEAVING_RETRY_S = 0.05
-"""A leaving instance sends clients to another one, which can take them at once."""
+"""A leaving instance sends clients to another one, which can serve them at once."""
 TOKEN_TIME_S = 0.012
-"""Time for one output token of a stream on a busy engine, by which a leaving instance judges
+"""Time for one output token of a stream on a busy engine, by which a leaving instance estimates
 whether a stream would end before the process has to."""
 STREAM_START_S = 1.0
-LAST_CALL_S = 0.6
-"""Time before the last moments of a leaving instance from which it takes no more calls: clients
-use their connections until it is gone, and a call that was passed on has to be answered."""
+CALL_TIME_S = 0.6
+"""Time that a call needs at most on a leaving instance. One with less time left accepts no more
+calls: clients use their connections until it has ended, and a call that was passed on has to be
+answered."""
 STOP_MARGIN_S = 1.0
-"""Kept of the grace for the last bytes to leave."""
+"""Part of the grace period that is kept for sending the last bytes."""
 
 
 class Relaying(Service):
-    """Makes tasks of requests."""
+    """Makes relay tasks of requests."""
 
     name = "relaying"
     requires = (
@@ -76,9 +77,9 @@
         )
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Keep the shared tools up to date."""
-        # A connection to a process that ended behind a cut looks whole: a request sent on it would
-        # wait for nothing.
+        """Keep the shared context up to date."""
+        # A connection to a process that ended behind a network partition looks intact: a request
+        # sent on it would wait in vain.
         self._port.on_runner_ended(lambda runner: self.tools.pool.forget(runner.address))
         task_status.started()
         try:
@@ -90,18 +91,19 @@
             self.tools.pool.close()
 
     def _update_instance_count(self, now_s: float) -> None:
-        """Bring up to date among how many instances what the fleet may do is split."""
+        """Update the number of instances among which the limits of the fleet are split."""
         others = self._port.fleet.known()
         self.tools.budget.instances = len(others) + 1
         self._split.others = tuple(one.id for one in others)
         self._split.heard = len(self._port.fleet.live(now_s)) - 1
 
     def begin_leaving(self) -> None:
-        """Take no new work that could not end before the process has to."""
+        """Accept no new requests that could not end before the process has to."""
         self._leaving_since_s = trio.current_time()
 
     def task(self, request: ClientRequest, began_s: float) -> Task:
-        """Give what is decided about a request by its head. Raises RequestFailed."""
+        """Return what a request's head decides about it: route, account and service. Raises
+        RequestFailed."""
         table = self._table()
         route = table.route(request.host, request.path)
         if route is None:
@@ -146,7 +148,7 @@
         return service
 
     def _zones(self, route: Route, account: ClientAccount | None) -> frozenset[ZoneName] | None:
-        """Give the availability zones whose runners alone may run a request; None if all may."""
+        """Return the availability zones whose runners may run a request; None if all may."""
         homes = common_homes(route, account)
         if homes is None:
             return None
@@ -166,7 +168,7 @@
     @staticmethod
     def _required_s(task: Task, left_s: float) -> float:
         if task.route.kind is not RouteKind.STREAM:
-            return LAST_CALL_S
+            return CALL_TIME_S
         generation = task.request.generation
         return STREAM_START_S + (
             generation.max_output_tokens * TOKEN_TIME_S if generation else left_s
--- a/egretstack/services/settings_file.py
+++ b/egretstack/services/settings_file.py
@@ -14,11 +14,11 @@
 from egretstack.services.relaying import Relaying
 
 CHECK_INTERVAL_S = 1.0
-"""How often the file is looked at for a change that came without a signal."""
+"""How often the file is checked for a change that came without a signal."""
 
 
 class SettingsFile(Service):
-    """Puts changed bounds in force; addresses stay until the process starts again."""
+    """Puts changed bounds in force; addresses apply only after a restart of the process."""
 
     name = "settings_file"
     requires = ("placing_home", "relaying")
@@ -47,7 +47,7 @@
         try:
             status = self._path.stat()
         except OSError:
-            return (0, 0)  # Being written anew; the next look sees it.
+            return (0, 0)  # It is being rewritten; the next check finds it.
         return (status.st_mtime_ns, status.st_size)
 
     def _reload(self) -> None:
--- a/egretstack/services/store_following.py
+++ b/egretstack/services/store_following.py
@@ -1,7 +1,7 @@
-"""Keeps a list of the store's up to date, as the home for all or alone where no home tells it.
+"""Keeps a list of the store up to date, as the home for all or for this instance alone.
 
-The home alone reads and tells the others. Any instance reads for itself while what it is told is
-too old to keep a bound by.
+The home reads it and sends it to the others. Any instance reads for itself while the list it has
+received is too old to keep a bound.
 """
 
 from abc import abstractmethod
@@ -18,14 +18,15 @@
 )
 
 HOME_PAUSE_S = 0.1
-"""Pause between two watches of the home, which end at each change."""
+"""Pause between two watches of the home; a watch ends at each change."""
 OWN_READING_PAUSE_S = 0.6
 OWN_READING_SPREAD_S = 0.05
-"""Within so long for each instance of the fleet all read for themselves: 20 calls a second."""
+"""Multiplied by the number of live instances, the time over which their own readings are spread: 20
+calls a second for the whole fleet."""
 UNAVAILABLE_OWN_PAUSE_S = 1.6
-"""Pause after a call that the store did not answer, for an instance that is not the home: on the
-store's return the home reads and tells. One that is cut off from the home alone reaches the store,
-and has no such pause."""
+"""Pause after a call that the store did not answer, for an instance that is not the home: when the
+store returns, the home reads the list and sends it. An instance that is cut off from the home alone
+reaches the store, and so makes no such pause."""
 
 
 class StoreFollower(Service):
@@ -38,18 +39,18 @@
         self._port = kernel.get(FleetPort)
         self._store_reading = kernel.get(StoreReading)
         self._revision: int | None = None
-        """What was read last, from which to watch; None to read the whole list."""
+        """Revision of the last reading, from which to watch; None to read the whole list."""
 
     @abstractmethod
     async def _read(self) -> None:
-        """List or watch once, and take what came. Raises HistoryGone, StoreAway."""
+        """List or watch once, and apply the result. Raises HistoryGone, StoreAway."""
 
     @abstractmethod
     def _is_current(self) -> bool:
-        """Tell whether what is known here is new enough."""
+        """Return whether what is known here is recent enough."""
 
     def _may_read(self) -> bool:
-        """Tell whether the store may be asked; another follower may ask for both."""
+        """Return whether the store may be called; another follower may do so for both."""
         return True
 
     async def _follow(self) -> None:
@@ -76,10 +77,11 @@
                 await trio.sleep(UNAVAILABLE_PAUSE_S if home else UNAVAILABLE_OWN_PAUSE_S)
 
     async def _becomes_current(self) -> bool:
-        """Let an instance whose home does not reach the store wait for one that does.
+        """Wait for a home that reaches the store, if this instance's home does not.
 
-        That takes some tenths of a second. Where nobody reaches it, each instance tries on by
-        itself, the fleet together no more often than its calls to the store may come.
+        That takes some tenths of a second. Where no instance reaches the store, each one goes on by
+        itself, and all together call it no more often than the fleet may. Returns whether the list
+        is recent enough now.
         """
         if not self._port.fleet.is_led(trio.current_time()):
             return False
--- a/egretstack/services/store_reading.py
+++ b/egretstack/services/store_reading.py
@@ -1,8 +1,8 @@
-"""Reads the configuration, and knows whether the platform's store is reached.
+"""Reads the configuration, and determines whether the platform's store is reachable.
 
-The home and the next in line watch the configuration; the others hear of a newer version within a
-period and fetch it from a peer. Any instance reads for itself while the home is silent. So calls do
-not grow with the fleet.
+The home and the next in line watch the configuration; the others learn of a newer version within a
+period and fetch it from a peer. Any instance reads for itself while the home does not answer. So
+the number of calls does not grow with the fleet.
 """
 
 import json
@@ -31,25 +31,27 @@
 from egretstack.services.relay_metrics import RelayMetrics
 
 CONFIG_WATCH_S = 1.2
-"""Length of one watch of the configuration, by the home and the next in line: a silent connection
-hides a change for no longer, and the leash, within the time in which it has to be in force."""
+"""Length of one watch of the configuration, by the home and the next in line. A connection that
+stopped answering hides a change for this time and the timeout margin of the watch, which is within
+the time in which the change has to be in force."""
 PEER_CHECK_INTERVAL_S = 0.2
-"""How often an instance looks for a newer configuration at a peer."""
+"""How often an instance checks whether a peer has a newer configuration."""
 UNAVAILABLE_PAUSE_S = 0.4
 """Pause after a call that the store did not answer."""
 START_WAIT_S = 0.05
 """How long an instance that has just started waits for a home before it reads the store itself: a
-seed answers in some 3 ms and the home tells everything 10 ms later. Callers are refused meanwhile,
+seed answers in some 3 ms and the home sends everything 10 ms later. Requests are refused meanwhile,
 by all instances if all restart together."""
 FIRST_START_WAIT_S = 1.0
-"""The same when the whole fleet starts for the first time, unless it is a seed: with nobody to lead
-yet each would read and watch all lists. No caller waits."""
+"""The same at the first start of the whole fleet, for instances that are not seeds: with no home
+yet, each would read and watch all lists. No client waits."""
 START_POLL_INTERVAL_S = 0.02
 START_LED_S = 1.5
-"""The same once it hears a home: its news may be lost, and its configuration has to be fetched."""
+"""The same once the instance gets reports of a home: the home's updates may be lost, and the
+configuration has to be fetched."""
 READ_SPREAD_S = 0.4
-"""Instances that find the home silent read the configuration within so long of each other; most of
-them hear the next home meanwhile."""
+"""Instances whose home does not answer spread their readings of the configuration over this time;
+most of them follow the next home meanwhile."""
 
 
 class StoreReading(Service):
@@ -63,7 +65,8 @@
         node: NodeSettings = kernel.settings
         self.gate = VersionGate()
         self._spec: dict[str, object] = {}
-        """The configuration in force, as the store gave it, for peers that cannot reach it."""
+        """The configuration in force, as the store returned it, for peers that cannot reach the
+        store."""
         self._packed: bytes | None = None
         self._node = node
         self.store = Store(node.store_address)
@@ -97,25 +100,27 @@
             task_status.started()
 
     def is_informed(self) -> bool:
-        """Tell whether there is a configuration and a list of runners to work by.
+        """Return whether there is a configuration and a list of runners to work with.
 
-        And which zones are evacuated: an instance that starts meanwhile would send requests there.
+        The evacuated zones have to be known too: an instance that starts during an evacuation would
+        otherwise send requests there.
         """
         if self._node.bounds.evacuate_s is not None and not self._port.evacuations.is_known:
             return False
         return self.gate.table is not None and bool(self._port.runners.by_id)
 
     def service(self, service: ServiceName) -> ServicePlan | None:
-        """Give the plan of a service; None if the configuration has none of that name."""
+        """Return the plan of a service; None if the configuration has no service of that name."""
         return None if self.gate.table is None else self.gate.table.service(service)
 
     def engine(self, service: ServiceName) -> EnginePlan | None:
-        """Give what is common to the engines of a service; None if it has none."""
+        """Return what is common to the engines of a service; None if it has none."""
         plan = self.service(service)
         return None if plan is None else plan.engine
 
     def packed_configuration(self) -> bytes:
-        """Give the configuration in force as peers get it; packed once, if any asks."""
+        """Return the configuration in force, packed for peers; it is packed once, on the first
+        request."""
         if self._packed is None:
             self._packed = pack_text(json.dumps(self._spec).encode())
         return self._packed
@@ -155,12 +160,12 @@
                 await trio.sleep(UNAVAILABLE_PAUSE_S)
 
     def _receives_configuration(self) -> bool:
-        """Tell whether peers see to it that this instance has the configuration."""
+        """Return whether this instance gets the configuration from peers."""
         receives = not self._port.fleet.is_watcher(trio.current_time())
         return receives and self.gate.table is not None
 
     def is_starting(self) -> bool:
-        """Tell whether this instance has just started, and may yet be told what it lacks."""
+        """Return whether this instance has just started, and may still receive what it lacks."""
         if not self._port.has_seeds():
             return False
         now_s = trio.current_time()
@@ -168,7 +173,7 @@
         return now_s - self._started_s < wait_s and not self.is_informed()
 
     async def _wait_for_next_home(self) -> bool:
-        """Let an instance that has lost its home wait for the next; tell whether there is one."""
+        """Wait for the next home if this instance has lost its own; return whether there is one."""
         if self.gate.table is None or self._port.is_home():
             return False
         await trio.sleep(self.kernel.rng.uniform(0, READ_SPREAD_S))
@@ -177,8 +182,8 @@
     async def _read_configuration(self) -> int:
         listing = await self.store.list(ObjectKind.CONFIGURATION)
         self.record_answer()
-        for one in listing.objects:
-            self._apply_stored(one)
+        for stored in listing.objects:
+            self._apply_stored(stored)
         return listing.revision
 
     async def _watch_configuration(self, revision: int) -> int:
@@ -213,22 +218,22 @@
         self.apply_configuration(spec, instance.id)
 
     def record_answer(self) -> None:
-        """Note that the store answered a call."""
+        """Record that the store answered a call."""
         self._watch.answered(trio.current_time())
         self._publish_reachability("")
 
     def record_unavailable(self, error: StoreAway) -> None:
-        """Note that the store did not answer a call."""
+        """Record that the store did not answer a call."""
         self._watch.failed(trio.current_time())
         self._publish_reachability(str(error))
 
     def record_late(self) -> None:
-        """Note that this home's list of runners is older than a runner's notice allows."""
+        """Record that this home's list of runners is older than a runner's notice allows."""
         self._watch.late()
         self._publish_reachability("the list of runners is old")
 
     def _publish_reachability(self, error: str) -> None:
-        """Tell the fleet if this instance reaches the store no more, or again."""
+        """Report to the fleet if this instance no longer reaches the store, or reaches it again."""
         before, sight = self._port.fleet.own.store, self._watch.sight
         if sight is before:
             return
