--- a/egretstack/services/configuration_relay.py
+++ b/egretstack/services/configuration_relay.py
@@ -1,4 +1,4 @@
-"""Gives the configuration in force to peers that cannot reach the store."""
+"""Sends the configuration in force to peers that cannot reach the store."""
 
 import trio
 
@@ -16,12 +16,12 @@
     requires = ("store_reading",)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Serve peers."""
+        """Serve peers until cancelled."""
         node: NodeSettings = self.kernel.settings
         listener = await open_listener(node.ip, node.first_peer_port)
         async with trio.open_nursery() as nursery:
-            await nursery.start(trio.serve_listeners, self._give, [listener])
+            await nursery.start(trio.serve_listeners, self._serve, [listener])
             task_status.started()
 
-    async def _give(self, stream: trio.SocketStream) -> None:
+    async def _serve(self, stream: trio.SocketStream) -> None:
         await send_packed(stream, self.kernel.get(StoreReading).packed_configuration())
--- a/egretstack/services/front_port.py
+++ b/egretstack/services/front_port.py
@@ -36,15 +36,16 @@
 from egretstack.traffic import ClientRequest
 
 LIMITS_AT_START = ServerLimits(16_384, 4_194_304, 3.0, 15.0)
-"""Until a configuration is known."""
-MOST_BODY_BYTES = 24_000_000
-"""Bodies in progress, all together, in bytes. Each is held twice while it is joined and sent; with
-the 25 MB that a process needs by itself that is 73 MB of the smallest instances' 128 MB."""
+"""Applies until a configuration is known."""
+MAX_BODY_BYTES_IN_PROGRESS = 24_000_000
+"""Limit on the request bodies being read at one time, in bytes. Each body is held twice while it is
+joined and sent; with the 25 MB that a process needs by itself that is 73 MB of the 128 MB of the
+smallest instances."""
 FULL_RETRY_S = 0.2
-"""A body takes some 50 ms on a link of 100 Mbit/s, and other instances have room."""
-LOOK_S = 0.05
+"""A body takes some 50 ms on a link of 100 Mbit/s, and other instances have free memory."""
+DRAIN_CHECK_INTERVAL_S = 0.05
 STOP_MARGIN_S = 0.6
-"""Time before the end of the grace at which the process stops by itself."""
+"""Time before the end of the grace period at which the process stops by itself."""
 _CLOSE = (b"connection", b"close")
 _KIND_BY_STATUS = {
     413: ErrorKind.BODY_TOO_LARGE,
@@ -65,7 +66,7 @@
         self._store = kernel.get(StoreReading)
         self._metrics = kernel.get(RelayMetrics)
         self._in_progress = 0
-        self.body_room = BodyMemory(MOST_BODY_BYTES)
+        self.body_memory = BodyMemory(MAX_BODY_BYTES_IN_PROGRESS)
         gauge = self._metrics.gauge("egret_relay_in_progress", "Requests in progress.")
         gauge.set_function(lambda: self._in_progress)
         self._leaving = False
@@ -82,17 +83,18 @@
             task_status.started()
 
     async def drain(self) -> None:
-        """Serve those who still come by an older answer of the directory, until all is done."""
+        """Serve clients that still use an older directory answer, until the grace period is nearly
+        over."""
         node: NodeSettings = self.kernel.settings
         self._leaving = True
-        self._relaying.leave()
+        self._relaying.begin_leaving()
         began_s = trio.current_time()
-        longest_s = node.bounds.grace_s - STOP_MARGIN_S
-        while trio.current_time() - began_s < longest_s:
-            await trio.sleep(LOOK_S)
+        max_s = node.bounds.grace_s - STOP_MARGIN_S
+        while trio.current_time() - began_s < max_s:
+            await trio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     async def _serve(self, stream: trio.SocketStream) -> None:
-        connection = ClientConnection(stream, self._limits(), self.body_room)
+        connection = ClientConnection(stream, self._limits(), self.body_memory)
         try:
             while await self._serve_one(connection):
                 connection.limits = self._limits()
@@ -102,7 +104,7 @@
             connection.close()
 
     async def _serve_one(self, connection: ClientConnection) -> bool:
-        """Serve one request; tell whether the connection may be kept."""
+        """Serve one request; return whether the connection may be kept."""
         try:
             head = await connection.read_head()
             if head is None:
@@ -133,12 +135,14 @@
     ) -> None:
         request = decode_request(head, body)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch, connection, request, nursery.cancel_scope)
+            nursery.start_soon(
+                self._cancel_on_disconnect, connection, request, nursery.cancel_scope
+            )
             await self._relay(connection, request, began_s)
             nursery.cancel_scope.cancel()
 
     @staticmethod
-    async def _watch(
+    async def _cancel_on_disconnect(
         connection: ClientConnection, request: ClientRequest, scope: trio.CancelScope
     ) -> None:
         await connection.wait_until_disconnected()
@@ -157,12 +161,14 @@
             else:
                 answer = await self._relay_whole(task)
         except RequestFailed as error:
-            self._metrics.ended(kind, error.kind.value)
+            self._metrics.count_request(kind, error.kind.value)
             await self._refuse(connection, request.attempt_id, error)
             return
-        self._metrics.ended(kind, "stream" if answer is None else f"{answer.head.status // 100}xx")
+        self._metrics.count_request(
+            kind, "stream" if answer is None else f"{answer.head.status // 100}xx"
+        )
         if answer is not None:
-            self._metrics.answered(kind, trio.current_time() - began_s)
+            self._metrics.observe_answer(kind, trio.current_time() - began_s)
             await self._send(connection, answer)
             log(
                 Event.REQUEST_ANSWERED,
@@ -225,7 +231,7 @@
 
 
 class _FrontStream(ClientStream):
-    """A stream towards a client."""
+    """The response stream to a client."""
 
     def __init__(
         self, connection: ClientConnection, closing: tuple[tuple[bytes, bytes], ...]
@@ -237,25 +243,25 @@
         """Send the head."""
         headers = (*head.headers, *self._closing)
         start = ResponseHead(head.status, head.reason, headers)
-        await self._unless_gone(self._connection.start_stream(start))
+        await self._send_if_connected(self._connection.start_stream(start))
 
     async def send(self, data: bytes) -> None:
         """Send whole events."""
-        await self._unless_gone(self._connection.send_chunk(data))
+        await self._send_if_connected(self._connection.send_chunk(data))
 
     async def finish(self) -> None:
-        """Send the proper end."""
-        await self._unless_gone(self._connection.finish_stream())
+        """Finish the response so that the client sees it as complete."""
+        await self._send_if_connected(self._connection.finish_stream())
 
     def abort(self) -> None:
-        """Break the answer off so that it cannot look complete."""
+        """Break the response off so that it cannot look complete."""
         self._connection.abort()
 
     @staticmethod
-    async def _unless_gone(sending: Awaitable[None]) -> None:
+    async def _send_if_connected(sending: Awaitable[None]) -> None:
         try:
             await sending
         except ClientDisconnected:
-            # The watch on the connection sees the same and cancels the relay, which closes the
-            # runner's connection in turn.
+            # `_cancel_on_disconnect` sees the same and cancels the relay, which closes the runner's
+            # connection in turn.
             await trio.sleep_forever()
--- a/egretstack/services/instance_listing.py
+++ b/egretstack/services/instance_listing.py
@@ -12,12 +12,12 @@
 from egretstack.kernel import Kernel, Service
 from egretstack.platform import ObjectKind, RevisionConflict, StoreAway, StoredObject, is_address
 from egretstack.services.fleet_port import FleetPort
-from egretstack.services.store_reading import AWAY_PAUSE_S, StoreReading
+from egretstack.services.store_reading import UNAVAILABLE_PAUSE_S, StoreReading
 
-AWAY_LONG_PAUSE_S = 4.0
+UNAVAILABLE_LONG_PAUSE_S = 4.0
 """Pause after a call that the store did not answer, where nothing waits for the answer."""
-LOOK_S = 0.5
-UNLED_S = 1.5
+CHECK_INTERVAL_S = 0.5
+HOME_WAIT_S = 1.5
 """How long no other home is heard before an instance registers and lists. The seeds lead a starting
 one to the home, and the next in line follows a home that died; were all to register in
 that second, the store would get two calls of each for nothing. They serve meanwhile."""
@@ -37,7 +37,7 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self._port = kernel.get(FleetPort)
-        self._reading = kernel.get(StoreReading)
+        self._store_reading = kernel.get(StoreReading)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Register and list until cancelled."""
@@ -46,43 +46,47 @@
         pause_s = FIRST_LISTING_S
         while True:
             try:
-                await self._until_unled()
+                await self._wait_without_home()
                 if not registered:
                     await self._register()
                     registered = True
-                listing = await self._reading.store.list(ObjectKind.INSTANCE, allow_stale=True)
-                listed = [one for stored in listing.objects if (one := _listed(stored)) is not None]
+                listing = await self._store_reading.store.list(
+                    ObjectKind.INSTANCE, allow_stale=True
+                )
+                listed = [
+                    one for stored in listing.objects if (one := _parse_listed(stored)) is not None
+                ]
                 if len(listed) < len(listing.objects):
                     log(Event.INSTANCE_UNREADABLE, count=len(listing.objects) - len(listed))
                 self._port.fleet.add_listed(trio.current_time(), listed)
                 if self._port.is_home():
-                    self._port.greet_unheard()
+                    self._port.announce_to_all()
                 else:
-                    self._port.greet_some()
+                    self._port.announce_to_some()
                 await trio.sleep(pause_s)
                 pause_s = min(2 * pause_s, LAST_LISTING_S)
             except StoreAway as error:
-                self._reading.away(error)
-                await trio.sleep(self._away_pause_s())
+                self._store_reading.record_unavailable(error)
+                await trio.sleep(self._unavailable_pause_s())
 
-    async def _until_unled(self) -> None:
+    async def _wait_without_home(self) -> None:
         """Wait until no other instance was heard to be the home for a while."""
         if not self._port.has_seeds() and not self._port.fleet.known_instances():
             return  # The first of a fleet waits for nobody.
         unled_since_s = trio.current_time()
-        while trio.current_time() - unled_since_s < UNLED_S:
-            await trio.sleep(LOOK_S)
+        while trio.current_time() - unled_since_s < HOME_WAIT_S:
+            await trio.sleep(CHECK_INTERVAL_S)
             if self._port.fleet.has_live_home(trio.current_time()):
                 unled_since_s = trio.current_time()
 
-    def _away_pause_s(self) -> float:
+    def _unavailable_pause_s(self) -> float:
         """Give the pause after a list of instances that the store did not give.
 
         Once others are heard the list tells nothing new, and each instance that asks on makes 2.5
         calls a second for as long as the store turns it away.
         """
         alone = len(self._port.fleet.live(trio.current_time())) == 1
-        return AWAY_PAUSE_S if alone else AWAY_LONG_PAUSE_S
+        return UNAVAILABLE_PAUSE_S if alone else UNAVAILABLE_LONG_PAUSE_S
 
     async def _register(self) -> None:
         """Write where this instance is; a write without an answer is made again, to no harm."""
@@ -93,16 +97,16 @@
             "peer": own.peer_address,
             "strength": own.strength,
         }
-        if not await self._reading.store.replace(ObjectKind.INSTANCE, own.id, spec):
+        if not await self._store_reading.store.replace(ObjectKind.INSTANCE, own.id, spec):
             try:
-                await self._reading.store.create(ObjectKind.INSTANCE, own.id, spec)
+                await self._store_reading.store.create(ObjectKind.INSTANCE, own.id, spec)
             except RevisionConflict:
                 log(Event.INSTANCE_REGISTERED, already=True)
                 return
         log(Event.INSTANCE_REGISTERED, already=False)
 
 
-def _listed(stored: StoredObject) -> KnownInstance | None:
+def _parse_listed(stored: StoredObject) -> KnownInstance | None:
     """Give an instance that the store lists; None if the entry is not one of this system's."""
     spec = stored.spec
     zone, front, peer = (spec.get(name) for name in ("zone", "front", "peer"))
--- a/egretstack/services/limits.py
+++ b/egretstack/services/limits.py
@@ -25,7 +25,7 @@
 from egretstack.services.peer_port import PeerPort
 
 PEER_PORT = "peer"
-_SERIALS_A_SECOND = 1000
+_SERIALS_PER_SECOND = 1000
 
 
 class Limits(Service):
@@ -40,7 +40,7 @@
         now_s = clock.now()
         self._homes = HomeLocator(now_s)
         # A process that follows another on this instance starts above all its serials.
-        serial = int(kernel.epoch.now() * _SERIALS_A_SECOND)
+        serial = int(kernel.epoch.now() * _SERIALS_PER_SECOND)
         self.entry = EntryLimiter(self._own, self._homes, now_s, serial)
         self.home = LimitsHome(self._own, self._homes, now_s)
         self._wake = trio.Event()
@@ -50,17 +50,17 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Answer entries, and send the asks that are due."""
-        self.kernel.get(PeerPort).answer_peer(LimitsAsk, self._answer)
-        self.kernel.get(Membership).on_change(self._see)
-        self._see()
+        self.kernel.get(PeerPort).register_peer_handler(LimitsAsk, self._answer)
+        self.kernel.get(Membership).on_change(self._update_view)
+        self._update_view()
         async with trio.open_nursery() as nursery:
             task_status.started()
             while True:
-                self._beat(nursery)
+                self._send_due(nursery)
                 with trio.move_on_after(TICK_INTERVAL_S):
                     await self._wake.wait()
                 self._wake = trio.Event()
-                await self._let_woken_run()
+                await self._run_woken()
 
     async def ready(self, contract: Contract) -> None:
         """Wait, at most READY_WAIT_S, while the account's home may let in one more request.
@@ -102,37 +102,39 @@
         self._answered = trio.Event()
         self._wake.set()
 
-    async def _let_woken_run(self) -> None:
+    async def _run_woken(self) -> None:
         # Requests that an answer has just let in run before the next ask; counted as waiting once
         # more, they would take a second token, and others would be refused for it. Tasks that are
         # ready run in any order, so one checkpoint is not enough.
         while self._woken:
             await trio.lowlevel.checkpoint()
 
-    def _beat(self, nursery: trio.Nursery) -> None:
+    def _send_due(self, nursery: trio.Nursery) -> None:
         if self.home.tick(clock.now()):
             log(Event.LIMITS_HOME_THAWED)
-        for ask in self.entry.due_queries(clock.now()):
-            nursery.start_soon(self._ask, ask)
+        for query in self.entry.due_queries(clock.now()):
+            nursery.start_soon(self._query, query)
 
-    async def _ask(self, ask: HomeQuery) -> None:
+    async def _query(self, query: HomeQuery) -> None:
         try:
-            answer = await self._reach(ask)
-            self.entry.on_answer(clock.now(), ask, answer)
+            answer = await self._query_home(query)
+            self.entry.on_answer(clock.now(), query, answer)
         except (PeerGone, PeerRefused, MessageError) as error:
-            log(Event.LIMITS_HOME_AWAY, home=ask.home, error=str(error))
-            self.entry.on_failure(clock.now(), ask)
+            log(Event.LIMITS_HOME_AWAY, home=query.home, error=str(error))
+            self.entry.on_failure(clock.now(), query)
         self._wake_waiters()
 
-    async def _reach(self, ask: HomeQuery) -> LimitsAnswer:
-        if ask.home == self._own:
-            return self._decide(self._own, ask.message)
-        member = self._live().get(ask.home)
+    async def _query_home(self, query: HomeQuery) -> LimitsAnswer:
+        if query.home == self._own:
+            return self._decide(self._own, query.message)
+        member = self._live().get(query.home)
         if member is None or PEER_PORT not in member.ports:
             raise PeerGone("not listed")
         port = member.ports[PEER_PORT]
         with trio.move_on_after(QUERY_TIMEOUT_S):
-            answer = await self.kernel.get(PeerPort).ask(ask.home, member.host, port, ask.message)
+            answer = await self.kernel.get(PeerPort).request(
+                query.home, member.host, port, query.message
+            )
             if isinstance(answer, LimitsAnswer):
                 return answer
             raise PeerRefused("not an answer about limits")
@@ -145,11 +147,11 @@
             log(Event.PEER_REFUSED, error=str(error))
             return Nothing()
 
-    def _decide(self, sender: InstanceId, ask: LimitsAsk) -> LimitsAnswer:
+    def _decide(self, sender: InstanceId, query: LimitsAsk) -> LimitsAnswer:
         contracts = self.kernel.get(Configuration).state.contract_by_account
-        return self.home.answer(clock.now(), sender, ask, contracts)
+        return self.home.answer(clock.now(), sender, query, contracts)
 
-    def _see(self) -> None:
+    def _update_view(self) -> None:
         zone_by_id = {instance: member.zone for instance, member in self._live().items()}
         self._homes.update_view(clock.now(), zone_by_id)
         self._wake.set()
--- a/egretstack/services/relaying.py
+++ b/egretstack/services/relaying.py
@@ -1,4 +1,4 @@
-"""Decides what becomes of a client's request, and holds the tools that all relays share."""
+"""Decides how a client's request is served, and holds the context that all relays share."""
 
 import random
 
@@ -23,27 +23,28 @@
 from egretstack.services.engine_placing import EnginePlacingService
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.placing_home import PlacingHome
-from egretstack.services.runner_words import RunnerWordsService
+from egretstack.services.runner_words import RunnerSignalsService
 from egretstack.services.store_reading import StoreReading
 from egretstack.traffic import ClientRequest
 
-INSTANCES_LOOK_S = 0.5
+INSTANCES_CHECK_INTERVAL_S = 0.5
 STARTING_RETRY_S = 0.5
 LEAVING_RETRY_S = 0.05
-"""A leaving instance sends clients to another one, which can take them at once."""
-TOKEN_S = 0.012
-"""Time for one output token of a stream on a busy engine, by which a leaving instance judges
+"""A leaving instance sends clients to another one, which can serve them at once."""
+TOKEN_TIME_S = 0.012
+"""Time for one output token of a stream on a busy engine, by which a leaving instance estimates
 whether a stream would end before the process has to."""
 STREAM_START_S = 1.0
-LAST_CALL_S = 0.6
-"""Time before the last moments of a leaving instance from which it takes no more calls: clients
-use their connections until it is gone, and a call that was passed on has to be answered."""
+CALL_TIME_S = 0.6
+"""Time that a call needs at most on a leaving instance. One with less time left accepts no more
+calls: clients use their connections until it has ended, and a call that was passed on has to be
+answered."""
 STOP_MARGIN_S = 1.0
-"""Kept of the grace for the last bytes to leave."""
+"""Part of the grace period that is kept for sending the last bytes."""
 
 
 class Relaying(Service):
-    """Makes tasks of requests."""
+    """Makes relay tasks of requests."""
 
     name = "relaying"
     requires = (
@@ -69,39 +70,40 @@
             placing=kernel.get(EnginePlacingService),
             budget=RetryBudget(node.bounds),
             pool=ConnectionPool(),
-            send_bounds=kernel.get(PlacingHome).bounds,
-            backoffs=kernel.get(PlacingHome).rests,
+            send_bounds=kernel.get(PlacingHome).send_bounds,
+            backoffs=kernel.get(PlacingHome).backoffs,
             crash_guard=kernel.get(CrashGuardService),
-            signals=kernel.get(RunnerWordsService),
+            signals=kernel.get(RunnerSignalsService),
         )
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Keep the shared tools up to date."""
-        # A connection to a process that ended behind a cut looks whole: a request sent on it would
-        # wait for nothing.
-        self._port.on_gone(lambda runner: self.context.pool.close_idle(runner.address))
+        """Keep the shared context up to date."""
+        # A connection to a process that ended behind a network partition looks intact: a request
+        # sent on it would wait in vain.
+        self._port.on_runner_ended(lambda runner: self.context.pool.close_idle(runner.address))
         task_status.started()
         try:
             while True:
                 now_s = trio.current_time()
-                self._count_instances(now_s)
-                await trio.sleep_until(now_s + INSTANCES_LOOK_S)
+                self._update_instance_count(now_s)
+                await trio.sleep_until(now_s + INSTANCES_CHECK_INTERVAL_S)
         finally:
             self.context.pool.close()
 
-    def _count_instances(self, now_s: float) -> None:
-        """Bring up to date among how many instances what the fleet may do is split."""
+    def _update_instance_count(self, now_s: float) -> None:
+        """Update the number of instances among which the limits of the fleet are split."""
         others = self._port.fleet.known_instances()
         self.context.budget.instances = len(others) + 1
         self._split.others = tuple(one.id for one in others)
         self._split.reachable = len(self._port.fleet.live(now_s)) - 1
 
-    def leave(self) -> None:
-        """Take no new work that could not end before the process has to."""
+    def begin_leaving(self) -> None:
+        """Accept no new requests that could not end before the process has to."""
         self._leaving_since_s = trio.current_time()
 
     def task(self, request: ClientRequest, began_s: float) -> RelayTask:
-        """Give what is decided about a request by its head. Raises RequestFailed."""
+        """Return what a request's head decides about it: route, account and service. Raises
+        RequestFailed."""
         table = self._table()
         route = table.route(request.host, request.path)
         if route is None:
@@ -146,7 +148,7 @@
         return service
 
     def _zones(self, route: Route, account: ClientAccount | None) -> frozenset[ZoneName] | None:
-        """Give the availability zones whose runners alone may run a request; None if all may."""
+        """Return the availability zones whose runners may run a request; None if all may."""
         homes = common_regions(route, account)
         if homes is None:
             return None
@@ -158,14 +160,16 @@
             return
         passed_s = trio.current_time() - self._leaving_since_s
         left_s = self._node.bounds.grace_s - STOP_MARGIN_S - passed_s
-        if self._needs_s(task, left_s) >= left_s:
+        if self._required_s(task, left_s) >= left_s:
             raise RequestFailed(
                 ErrorKind.DRAINING, "this instance leaves", retry_after_s=LEAVING_RETRY_S
             )
 
     @staticmethod
-    def _needs_s(task: RelayTask, left_s: float) -> float:
+    def _required_s(task: RelayTask, left_s: float) -> float:
         if task.route.kind is not RouteKind.STREAM:
-            return LAST_CALL_S
-        wants = task.request.generation
-        return STREAM_START_S + (wants.max_output_tokens * TOKEN_S if wants else left_s)
+            return CALL_TIME_S
+        generation = task.request.generation
+        return STREAM_START_S + (
+            generation.max_output_tokens * TOKEN_TIME_S if generation else left_s
+        )
--- a/egretstack/services/runner_returns.py
+++ b/egretstack/services/runner_returns.py
@@ -1,9 +1,9 @@
-"""Asks runners whose entry was missing and came back whether they live, as the home.
+"""Checks, as the home, runners whose entry was missing and came back.
 
 A runner that is cut off from the store for a while loses its entry and serves on; with three plain
-runners, to leave one out for good costs a third of the service. But an entry also comes back by a
-heartbeat that was long on its way, from a runner that is gone: a request sent there would be lost.
-Only the runner knows, and a leaving one says so; one question each half second tells.
+runners, to exclude one for good costs a third of the service. But an entry also comes back through
+a delayed heartbeat of a runner that has ended, and a request sent there would be lost. Only the
+runner itself knows, and a leaving one says so, so each is asked for its health every half second.
 """
 
 import trio
@@ -13,19 +13,19 @@
 from egretstack.http1 import ConnectFailed
 from egretstack.ids import RunnerId
 from egretstack.kernel import Kernel, Service
-from egretstack.services._runner_health import NoHealthAnswer, ask_health
+from egretstack.services._runner_health import NoHealthAnswer, fetch_health
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.placing_home import PlacingHome
 from egretstack.services.store_reading import StoreReading
 from egretstack.traffic import RunnerHealth
 
-LOOK_S = 0.5
-"""How often returned runners are asked; they are few, and each question takes a slot of theirs."""
+CHECK_INTERVAL_S = 0.5
+"""How often relisted runners are checked; they are few, and each check takes one of their slots."""
 TIMEOUT_S = 0.5
 
 
 class RunnerReturns(Service):
-    """Lets runners back that answer for themselves."""
+    """Accepts relisted runners again that answer under their own name."""
 
     name = "runner_returns"
     requires = ("fleet_port", "placing_home", "store_reading")
@@ -34,45 +34,45 @@
         super().__init__(kernel)
         self._port = kernel.get(FleetPort)
         self._store = kernel.get(StoreReading)
-        self._rests = kernel.get(PlacingHome).rests
-        self._told_not_back: set[RunnerId] = set()
+        self._backoffs = kernel.get(PlacingHome).backoffs
+        self._logged_not_back: set[RunnerId] = set()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Ask while this instance is the home."""
+        """Check runners while this instance is the home."""
         task_status.started()
         while True:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(CHECK_INTERVAL_S)
             if not self._port.is_home():
                 continue
             evacuated = self._port.runners.evacuated
-            resting = self._rests.in_backoff(trio.current_time())
+            backed_off = self._backoffs.in_backoff(trio.current_time())
             returned = [
-                one
-                for one in self._port.runners.relisted()
-                if one.zone not in evacuated and one.id not in resting
+                runner
+                for runner in self._port.runners.relisted()
+                if runner.zone not in evacuated and runner.id not in backed_off
             ]
-            self._told_not_back &= {runner.id for runner in returned}
+            self._logged_not_back &= {runner.id for runner in returned}
             async with trio.open_nursery() as nursery:
                 for runner in returned:
-                    nursery.start_soon(self._ask, runner)
+                    nursery.start_soon(self._check, runner)
 
-    async def _ask(self, runner: Runner) -> None:
+    async def _check(self, runner: Runner) -> None:
         plan = self._store.service(runner.service)
         if plan is None:
             return
         health = await self._health(runner, plan.health_path)
-        said = None if health is None else health.name
-        if said == runner.incarnation.name:
+        answered = None if health is None else health.name
+        if answered == runner.incarnation.name:
             self._port.runners.record_cold(trio.current_time(), runner.id, health.cold_s)
-            self._port.runner_back(runner.id)
-        elif runner.id not in self._told_not_back:
-            self._told_not_back.add(runner.id)
-            log(Event.RUNNER_NOT_BACK, runner=runner.id, answered=said)
+            self._port.confirm_runner(runner.id)
+        elif runner.id not in self._logged_not_back:
+            self._logged_not_back.add(runner.id)
+            log(Event.RUNNER_NOT_BACK, runner=runner.id, answered=answered)
 
     async def _health(self, runner: Runner, path: str) -> RunnerHealth | None:
-        """Give what a healthy runner at a runner's address says; None if none answers."""
+        """Return the health of a healthy runner at a runner's address; None if none answers."""
         try:
-            return await ask_health(runner, path, TIMEOUT_S, TIMEOUT_S)
+            return await fetch_health(runner, path, TIMEOUT_S, TIMEOUT_S)
         except ConnectFailed:
             return None
         except NoHealthAnswer as error:
--- a/egretstack/services/runners.py
+++ b/egretstack/services/runners.py
@@ -25,9 +25,9 @@
 from egretstack.upstreams import EngineClient, EngineError, LoadReport, PlainService
 
 REPORT_TIMEOUT_S = 2.0
-RENEW_S = 60.0
+NOTICE_RENEWAL_S = 60.0
 """How often it is spread again that a runner's own report says it leaves."""
-CLIENT_KEPT_S = 3600.0
+CLIENT_TTL_S = 3600.0
 """How long the client of a runner that is not listed any more is kept, for what still runs."""
 
 
@@ -50,13 +50,13 @@
         self._unlisted_s: dict[RunnerId, float] = {}
         self._renewed_s: dict[RunnerId, float] = {}
         self._listeners: list[Callable[[PolicyEvent], None]] = []
-        self._turns = ReportSchedule(
+        self._schedule = ReportSchedule(
             settings.number("engines", "report_readings_per_s"),
             settings.number("engines", "report_period_s"),
             self._rng,
         )
         self._busy: set[RunnerId] = set()
-        self._turns_changed = trio.Event()
+        self._schedule_changed = trio.Event()
 
     def on_event(self, listener: Callable[[PolicyEvent], None]) -> None:
         """Tell `listener` of every runner that comes, reports or leaves.
@@ -80,13 +80,13 @@
         """Ask the chooser again."""
         known = self._watch.known()
         chosen = sorted(self._chooser.choose(known) & {info.id for info in known})[:MAX_REPORTS]
-        self._turns.set_runners(chosen)
-        self._turns_changed.set()
+        self._schedule.set_runners(chosen)
+        self._schedule_changed.set()
 
-    def doubt(self, runner_id: RunnerId) -> None:
+    def check_soon(self, runner_id: RunnerId) -> None:
         """Read a runner's report out of turn, after a refused connection or a broken stream."""
-        self._turns.prioritize(runner_id)
-        self._turns_changed.set()
+        self._schedule.prioritize(runner_id)
+        self._schedule_changed.set()
 
     def engine(self, runner_id: RunnerId) -> EngineClient | None:
         """Give the client of an engine, also of a leaving one."""
@@ -120,7 +120,7 @@
                 self._keep_client(member)
                 live_by_info[_info(member, spec)] = member.state is MemberState.LIVE
         self._drop_clients({info.id for info in live_by_info})
-        self._tell_all(self._watch.on_list(live_by_info))
+        self._publish_all(self._watch.on_list(live_by_info))
         self.reconsider()
 
     def _keep_client(self, member: Member) -> None:
@@ -136,7 +136,7 @@
         for runner_id in list(self._engine_by_id):
             if runner_id in listed:
                 self._unlisted_s.pop(runner_id, None)
-            elif now_s - self._unlisted_s.setdefault(runner_id, now_s) >= CLIENT_KEPT_S:
+            elif now_s - self._unlisted_s.setdefault(runner_id, now_s) >= CLIENT_TTL_S:
                 del self._engine_by_id[runner_id]
                 del self._member_by_id[runner_id]
                 del self._unlisted_s[runner_id]
@@ -145,30 +145,30 @@
     async def _read_in_turn(self) -> None:
         async with trio.open_nursery() as nursery:
             while True:
-                self._turns_changed = trio.Event()
+                self._schedule_changed = trio.Event()
                 now_s = trio.current_time()
-                runner_id = self._turns.pop_due(now_s, self._busy)
+                runner_id = self._schedule.pop_due(now_s, self._busy)
                 if runner_id is not None:
                     self._busy.add(runner_id)
                     nursery.start_soon(self._read_report, runner_id)
                     continue
-                with trio.move_on_after(self._turns.wait_s(now_s, self._busy)):
-                    await self._turns_changed.wait()
+                with trio.move_on_after(self._schedule.wait_s(now_s, self._busy)):
+                    await self._schedule_changed.wait()
 
     async def _read_report(self, runner_id: RunnerId) -> None:
         try:
             report = await self._load(runner_id)
         finally:
             self._busy.discard(runner_id)
-            self._turns_changed.set()
+            self._schedule_changed.set()
         if report is None:
-            self._turns.record_failure(trio.current_time(), runner_id)
-            self._note_silence(runner_id)
+            self._schedule.record_failure(trio.current_time(), runner_id)
+            self._record_failure(runner_id)
             return
-        self._turns.record_success(runner_id)
-        self._tell_all(self._watch.on_report(runner_id, report.leaving))
-        self._spread(runner_id, report.leaving)
-        self._tell(_reported(runner_id, report))
+        self._schedule.record_success(runner_id)
+        self._publish_all(self._watch.on_report(runner_id, report.leaving))
+        self._spread_notice(runner_id, report.leaving)
+        self._publish(_reported(runner_id, report))
 
     async def _load(self, runner_id: RunnerId) -> LoadReport | None:
         engine = self._engine_by_id.get(runner_id)
@@ -181,32 +181,32 @@
                 return None
         return None
 
-    def _note_silence(self, runner_id: RunnerId) -> None:
-        was_silent = self._watch.is_unresponsive(runner_id)
-        self._tell_all(self._watch.on_report_failed(trio.current_time(), runner_id))
-        if self._watch.is_unresponsive(runner_id) and not was_silent:
+    def _record_failure(self, runner_id: RunnerId) -> None:
+        was_unresponsive = self._watch.is_unresponsive(runner_id)
+        self._publish_all(self._watch.on_report_failed(trio.current_time(), runner_id))
+        if self._watch.is_unresponsive(runner_id) and not was_unresponsive:
             log(Event.RUNNER_SILENT, runner=runner_id)
 
-    def _spread(self, runner_id: RunnerId, leaving: bool) -> None:
+    def _spread_notice(self, runner_id: RunnerId, leaving: bool) -> None:
         """Let instances that do not read this runner's reports know what it says."""
         now_s = trio.current_time()
         renewed_s = self._renewed_s.get(runner_id)
-        if leaving and (renewed_s is None or now_s - renewed_s >= RENEW_S):
+        if leaving and (renewed_s is None or now_s - renewed_s >= NOTICE_RENEWAL_S):
             self._renewed_s[runner_id] = now_s
-            self.kernel.get(Membership).notice_runner(runner_id, True, for_good=False)
+            self.kernel.get(Membership).publish_runner_notice(runner_id, True, for_good=False)
         elif not leaving and renewed_s is not None:
             del self._renewed_s[runner_id]
-            self.kernel.get(Membership).notice_runner(runner_id, False, for_good=False)
+            self.kernel.get(Membership).publish_runner_notice(runner_id, False, for_good=False)
 
-    def _tell_all(self, events: list[PolicyEvent]) -> None:
+    def _publish_all(self, events: list[PolicyEvent]) -> None:
         for event in events:
             if isinstance(event, RunnerSeen):
                 log(Event.RUNNER_JOINED, runner=event.runner.id, service=event.runner.service)
             elif isinstance(event, RunnerLeft):
                 log(Event.RUNNER_LEFT, runner=event.runner_id)
-            self._tell(event)
+            self._publish(event)
 
-    def _tell(self, event: PolicyEvent) -> None:
+    def _publish(self, event: PolicyEvent) -> None:
         for listener in self._listeners:
             listener(event)
 
--- a/egretstack/services/settings_file.py
+++ b/egretstack/services/settings_file.py
@@ -13,12 +13,12 @@
 from egretstack.services.placing_home import PlacingHome
 from egretstack.services.relaying import Relaying
 
-LOOK_S = 1.0
-"""How often the file is looked at for a change that came without a signal."""
+CHECK_INTERVAL_S = 1.0
+"""How often the file is checked for a change that came without a signal."""
 
 
 class SettingsFile(Service):
-    """Puts changed bounds in force; addresses stay until the process starts again."""
+    """Puts changed bounds in force; addresses apply only after a restart of the process."""
 
     name = "settings_file"
     requires = ("placing_home", "relaying")
@@ -26,32 +26,32 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self._path = Path(os.environ.get(SETTINGS_VARIABLE, ""))
-        self._seen = self._stamp()
+        self._seen = self._file_stamp()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Watch the file until cancelled."""
         with trio.open_signal_receiver(signal.SIGHUP) as signals:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._look)
+                nursery.start_soon(self._poll)
                 task_status.started()
                 async for _ in signals:
-                    self._read()
+                    self._reload()
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         while True:
-            await trio.sleep(LOOK_S)
-            if self._stamp() != self._seen:
-                self._read()
+            await trio.sleep(CHECK_INTERVAL_S)
+            if self._file_stamp() != self._seen:
+                self._reload()
 
-    def _stamp(self) -> tuple[int, int]:
+    def _file_stamp(self) -> tuple[int, int]:
         try:
             status = self._path.stat()
         except OSError:
-            return (0, 0)  # Being written anew; the next look sees it.
+            return (0, 0)  # It is being rewritten; the next check finds it.
         return (status.st_mtime_ns, status.st_size)
 
-    def _read(self) -> None:
-        self._seen = self._stamp()
+    def _reload(self) -> None:
+        self._seen = self._file_stamp()
         try:
             settings = read_node_settings(self._path)
         except UserError as error:
@@ -61,4 +61,4 @@
         log(Event.SETTINGS_READ_AGAIN, changed=changed)
         self.kernel.settings = settings
         self.kernel.get(Relaying).context.budget.bounds = settings.bounds
-        self.kernel.get(PlacingHome).cold.bounds = settings.bounds
+        self.kernel.get(PlacingHome).cold_allocation.bounds = settings.bounds
--- a/egretstack/services/store_reading.py
+++ b/egretstack/services/store_reading.py
@@ -1,8 +1,8 @@
-"""Reads the configuration, and knows whether the platform's store is reached.
+"""Reads the configuration, and determines whether the platform's store is reachable.
 
-The home and the next in line watch the configuration; the others hear of a newer version within a
-period and fetch it from a peer. Any instance reads for itself while the home is silent. So calls do
-not grow with the fleet.
+The home and the next in line watch the configuration; the others learn of a newer version within a
+period and fetch it from a peer. Any instance reads for itself while the home does not answer. So
+the number of calls does not grow with the fleet.
 """
 
 import json
@@ -27,29 +27,31 @@
     parse_object,
 )
 from egretstack.routing import EngineConfig, ServiceConfig, VersionGate
-from egretstack.services.fleet_port import IDLE_LOOK_S, FleetPort
+from egretstack.services.fleet_port import IDLE_POLL_INTERVAL_S, FleetPort
 from egretstack.services.relay_metrics import RelayMetrics
 
 CONFIG_WATCH_S = 1.2
-"""Length of one watch of the configuration, by the home and the next in line: a silent connection
-hides a change for no longer, and the leash, within the time in which it has to be in force."""
-LOOK_S = 0.2
-"""How often an instance looks for a newer configuration at a peer."""
-AWAY_PAUSE_S = 0.4
+"""Length of one watch of the configuration, by the home and the next in line. A connection that
+stopped answering hides a change for this time and the timeout margin of the watch, which is within
+the time in which the change has to be in force."""
+PEER_CHECK_INTERVAL_S = 0.2
+"""How often an instance checks whether a peer has a newer configuration."""
+UNAVAILABLE_PAUSE_S = 0.4
 """Pause after a call that the store did not answer."""
 START_WAIT_S = 0.05
 """How long an instance that has just started waits for a home before it reads the store itself: a
-seed answers in some 3 ms and the home tells everything 10 ms later. Callers are refused meanwhile,
+seed answers in some 3 ms and the home sends everything 10 ms later. Requests are refused meanwhile,
 by all instances if all restart together."""
 FIRST_START_WAIT_S = 1.0
-"""The same when the whole fleet starts for the first time, unless it is a seed: with nobody to lead
-yet each would read and watch all lists. No caller waits."""
-START_LOOK_S = 0.02
+"""The same at the first start of the whole fleet, for instances that are not seeds: with no home
+yet, each would read and watch all lists. No client waits."""
+START_POLL_INTERVAL_S = 0.02
 START_LED_S = 1.5
-"""The same once it hears a home: its news may be lost, and its configuration has to be fetched."""
+"""The same once the instance gets reports of a home: the home's updates may be lost, and the
+configuration has to be fetched."""
 READ_SPREAD_S = 0.4
-"""Instances that find the home silent read the configuration within so long of each other; most of
-them hear the next home meanwhile."""
+"""Instances whose home does not answer spread their readings of the configuration over this time;
+most of them follow the next home meanwhile."""
 
 
 class StoreReading(Service):
@@ -63,7 +65,8 @@
         node: NodeSettings = kernel.settings
         self.gate = VersionGate()
         self._spec: dict[str, object] = {}
-        """The configuration in force, as the store gave it, for peers that cannot reach it."""
+        """The configuration in force, as the store returned it, for peers that cannot reach the
+        store."""
         self._packed: bytes | None = None
         self._node = node
         self.store = Store(node.store_address)
@@ -72,8 +75,8 @@
         self._add_gauges(kernel.get(RelayMetrics))
         self._started_s = trio.current_time()
         is_seed = any(seed.rpartition(":")[0] == node.ip for seed in node.seeds)
-        first = node.first_start and not is_seed
-        self._unled_wait_s = FIRST_START_WAIT_S if first else START_WAIT_S
+        waits_longer = node.first_start and not is_seed
+        self._home_wait_s = FIRST_START_WAIT_S if waits_longer else START_WAIT_S
 
     def _add_gauges(self, metrics: RelayMetrics) -> None:
         version = metrics.gauge("egret_relay_config_version", "Configuration in force here.")
@@ -97,30 +100,32 @@
             task_status.started()
 
     def is_informed(self) -> bool:
-        """Tell whether there is a configuration and a list of runners to work by.
+        """Return whether there is a configuration and a list of runners to work with.
 
-        And which zones are evacuated: an instance that starts meanwhile would send requests there.
+        The evacuated zones have to be known too: an instance that starts during an evacuation would
+        otherwise send requests there.
         """
         if self._node.bounds.evacuate_s is not None and not self._port.evacuations.is_known:
             return False
         return self.gate.table is not None and bool(self._port.runners.by_id)
 
     def service(self, service: ServiceName) -> ServiceConfig | None:
-        """Give the plan of a service; None if the configuration has none of that name."""
+        """Return the plan of a service; None if the configuration has no service of that name."""
         return None if self.gate.table is None else self.gate.table.service(service)
 
     def engine(self, service: ServiceName) -> EngineConfig | None:
-        """Give what is common to the engines of a service; None if it has none."""
+        """Return what is common to the engines of a service; None if it has none."""
         plan = self.service(service)
         return None if plan is None else plan.engine
 
     def packed_configuration(self) -> bytes:
-        """Give the configuration in force as peers get it; packed once, if any asks."""
+        """Return the configuration in force, packed for peers; it is packed once, on the first
+        request."""
         if self._packed is None:
             self._packed = pack_text(json.dumps(self._spec).encode())
         return self._packed
 
-    def take_configuration(self, spec: dict[str, object], source: str) -> None:
+    def apply_configuration(self, spec: dict[str, object], source: str) -> None:
         """Put a configuration in force if it is newer."""
         try:
             configuration = decode_configuration(spec)
@@ -130,7 +135,7 @@
         if not self.gate.offer(configuration):
             return
         self._spec, self._packed = spec, None
-        self._port.describe(config_version=configuration.version)
+        self._port.update_own(config_version=configuration.version)
         log(Event.CONFIG_IN_FORCE, version=configuration.version, source=source)
 
     async def _follow_configuration(self) -> None:
@@ -138,10 +143,10 @@
         while True:
             try:
                 if self.is_starting():
-                    await trio.sleep(START_LOOK_S)
-                elif self._is_told_configuration():
-                    await trio.sleep(IDLE_LOOK_S)
-                elif await self._may_be_told_soon():
+                    await trio.sleep(START_POLL_INTERVAL_S)
+                elif self._receives_configuration():
+                    await trio.sleep(IDLE_POLL_INTERVAL_S)
+                elif await self._wait_for_next_home():
                     continue
                 elif revision is None:
                     revision = await self._read_configuration()
@@ -150,55 +155,55 @@
             except HistoryGone:
                 revision = None
             except StoreAway as error:
-                self.away(error)
+                self.record_unavailable(error)
                 revision = None
-                await trio.sleep(AWAY_PAUSE_S)
+                await trio.sleep(UNAVAILABLE_PAUSE_S)
 
-    def _is_told_configuration(self) -> bool:
-        """Tell whether peers see to it that this instance has the configuration."""
-        told = not self._port.fleet.is_watcher(trio.current_time())
-        return told and self.gate.table is not None
+    def _receives_configuration(self) -> bool:
+        """Return whether this instance gets the configuration from peers."""
+        receives = not self._port.fleet.is_watcher(trio.current_time())
+        return receives and self.gate.table is not None
 
     def is_starting(self) -> bool:
-        """Tell whether this instance has just started, and may yet be told what it lacks."""
+        """Return whether this instance has just started, and may still receive what it lacks."""
         if not self._port.has_seeds():
             return False
         now_s = trio.current_time()
-        wait_s = START_LED_S if self._port.fleet.has_live_home(now_s) else self._unled_wait_s
+        wait_s = START_LED_S if self._port.fleet.has_live_home(now_s) else self._home_wait_s
         return now_s - self._started_s < wait_s and not self.is_informed()
 
-    async def _may_be_told_soon(self) -> bool:
-        """Let an instance that has lost its home wait for the next; tell whether there is one."""
+    async def _wait_for_next_home(self) -> bool:
+        """Wait for the next home if this instance has lost its own; return whether there is one."""
         if self.gate.table is None or self._port.is_home():
             return False
         await trio.sleep(self.kernel.rng.uniform(0, READ_SPREAD_S))
-        return self._is_told_configuration()
+        return self._receives_configuration()
 
     async def _read_configuration(self) -> int:
         listing = await self.store.list(ObjectKind.CONFIGURATION)
-        self.answered()
-        for one in listing.objects:
-            self._take_stored(one)
+        self.record_answer()
+        for stored in listing.objects:
+            self._apply_stored(stored)
         return listing.revision
 
     async def _watch_configuration(self, revision: int) -> int:
         changes = await self.store.watch(ObjectKind.CONFIGURATION, revision, CONFIG_WATCH_S)
-        self.answered()
+        self.record_answer()
         for change in changes.changes:
             if not change.deleted:
-                self._take_stored(change.object)
+                self._apply_stored(change.object)
         return changes.revision
 
-    def _take_stored(self, stored: StoredObject) -> None:
+    def _apply_stored(self, stored: StoredObject) -> None:
         if stored.name == CONFIGURATION_NAME:
-            self.take_configuration(stored.spec, "store")
+            self.apply_configuration(stored.spec, "store")
 
     async def _follow_peers(self) -> None:
         """Fetch a newer configuration from a peer that has it."""
         while True:
-            await trio.sleep(LOOK_S)
+            await trio.sleep(PEER_CHECK_INTERVAL_S)
             self._watch.expire(trio.current_time())
-            self._tell_sight("")
+            self._publish_reachability("")
             holders = self._port.fleet.newer_config_holders(trio.current_time())
             if holders:
                 await self._fetch_from(self.kernel.rng.choice(holders).instance)
@@ -208,27 +213,27 @@
             spec = parse_object(await fetch_text(instance.peer_address))
         except (OSError, BadBody) as error:
             log(Event.CONFIG_NOT_FETCHED, peer=instance.id, error=str(error))
-            await trio.sleep(AWAY_PAUSE_S)
+            await trio.sleep(UNAVAILABLE_PAUSE_S)
             return
-        self.take_configuration(spec, instance.id)
+        self.apply_configuration(spec, instance.id)
 
-    def answered(self) -> None:
-        """Note that the store answered a call."""
+    def record_answer(self) -> None:
+        """Record that the store answered a call."""
         self._watch.record_answer(trio.current_time())
-        self._tell_sight("")
+        self._publish_reachability("")
 
-    def away(self, error: StoreAway) -> None:
-        """Note that the store did not answer a call."""
+    def record_unavailable(self, error: StoreAway) -> None:
+        """Record that the store did not answer a call."""
         self._watch.record_failure(trio.current_time())
-        self._tell_sight(str(error))
+        self._publish_reachability(str(error))
 
-    def late(self) -> None:
-        """Note that this home's list of runners is older than a runner's notice allows."""
+    def record_late(self) -> None:
+        """Record that this home's list of runners is older than a runner's notice allows."""
         self._watch.record_delay()
-        self._tell_sight("the list of runners is old")
+        self._publish_reachability("the list of runners is old")
 
-    def _tell_sight(self, error: str) -> None:
-        """Tell the fleet if this instance reaches the store no more, or again."""
+    def _publish_reachability(self, error: str) -> None:
+        """Report to the fleet if this instance no longer reaches the store, or reaches it again."""
         before, sight = self._port.fleet.own.store, self._watch.reachability
         if sight is before:
             return
@@ -236,5 +241,5 @@
             log(Event.STORE_AWAY, error=error)
         elif before is StoreReachability.UNREACHABLE and sight is StoreReachability.REACHABLE:
             log(Event.STORE_BACK)
-        self._port.describe(store=sight)
-        self._port.tell_soon()
+        self._port.update_own(store=sight)
+        self._port.report_soon()
