--- a/egretstack/limits/__init__.py
+++ b/egretstack/limits/__init__.py
@@ -1,7 +1,12 @@
-"""Limits of client accounts, lent by an account's home to the entries that serve it."""
+"""Fleet-wide limits of client accounts: request rate, burst and open requests.
 
+The limits home of an account (one live instance, by rendezvous hash) owns its limits and grants
+parts of them to the entries that serve the account. An entry holds the granted part as a slice
+until it expires. While no home is reachable, it uses its conservative share instead.
+"""
+
+from egretstack.limits._account_state import Mode
 from egretstack.limits._entry import EntryLimiter, HomeQuery
-from egretstack.limits._held import Mode
 from egretstack.limits._home import LimitsHome
 from egretstack.limits._homes import HomeLocator
 from egretstack.limits._messages import (
--- a/egretstack/limits/_home.py
+++ b/egretstack/limits/_home.py
@@ -1,11 +1,11 @@
-"""The home side: one instance holds all of an account's limits and lends parts of them out."""
+"""The limits home: owns all limits of an account and grants parts of them to entries."""
 
 from collections.abc import Mapping
 
 from egretstack.contracts import Contract
 from egretstack.ids import AccountId, InstanceId
+from egretstack.limits._account_grants import AccountGrants
 from egretstack.limits._homes import HomeLocator
-from egretstack.limits._loans import Loans
 from egretstack.limits._messages import (
     Grant,
     GrantRequest,
@@ -19,101 +19,105 @@
 from egretstack.limits._timing import PAUSE_THRESHOLD_S, WARM_UP_S
 from egretstack.peers import MessageError
 
-SWEEP_S = 5.0
+SWEEP_INTERVAL_S = 5.0
+"""Time between two removals of idle accounts."""
 _NO_HOME = Grant(GrantStatus.NOT_HOME, NO_SHARE, 0.0, 0, 0.0)
 _UNKNOWN = Grant(GrantStatus.UNKNOWN_ACCOUNT, NO_SHARE, 0.0, 0, 0.0)
 
 
 class LimitsHome:
-    """Answers asks for the accounts whose home this instance is; times in seconds."""
+    """Answers queries for the accounts whose limits home this instance is; times in seconds."""
 
     def __init__(self, own: InstanceId, homes: HomeLocator, now_s: float) -> None:
         self._own = own
         self._homes = homes
-        self._beat_s = now_s
-        self._fresh_s = now_s
-        self._sweep_s = now_s
-        self._loans_by_account: dict[AccountId, Loans] = {}
+        self._ticked_s = now_s
+        self._new_since_s = now_s
+        self._swept_s = now_s
+        self._grants_by_account: dict[AccountId, AccountGrants] = {}
 
     @property
     def account_count(self) -> int:
-        """Tell how many accounts this instance keeps a record of."""
-        return len(self._loans_by_account)
+        """Return the number of accounts that this home keeps grants for."""
+        return len(self._grants_by_account)
 
     def tick(self, now_s: float) -> bool:
-        """Note that this process runs; True when it had stood still and forgot all it lent.
+        """Record that this process runs; return True after a pause, which drops all grants.
 
-        A home that was frozen (SIGSTOP, a paused instance) finds its records as they were, while
-        another instance became the home and lent the same limits again. Its first answer would
-        double them. So it starts as a new home does; by the end of the warm-up it has read the
-        instance list again, and answers NOT_HOME where it lost the account.
+        After a pause (SIGSTOP, a suspended instance) a home still has its old grants, while
+        another instance may have become the home and granted the same limits again. Its first
+        answer would double them. So it starts over as a new home; by the end of the warm-up it has
+        read the instance list again and answers NOT_HOME for the accounts it lost.
         """
-        frozen = now_s - self._beat_s > PAUSE_THRESHOLD_S
-        if frozen:
-            self._loans_by_account.clear()
-            self._fresh_s = now_s
-        self._beat_s = now_s
-        if now_s - self._sweep_s > SWEEP_S:
+        paused = now_s - self._ticked_s > PAUSE_THRESHOLD_S
+        if paused:
+            self._grants_by_account.clear()
+            self._new_since_s = now_s
+        self._ticked_s = now_s
+        if now_s - self._swept_s > SWEEP_INTERVAL_S:
             self._sweep(now_s)
-        return frozen
+        return paused
 
     def answer(
         self,
         now_s: float,
         entry: InstanceId,
-        ask: LimitsAsk,
+        query: LimitsAsk,
         contract_by_account: Mapping[AccountId, Contract],
     ) -> LimitsAnswer:
-        """Answer an ask of `entry`, as the link has proved it; raise MessageError.
+        """Answer a query of `entry`, the sender that the link authenticated; raise MessageError.
 
-        An ask that names another sender would end what is lent to that one, by its serial, and
-        its limits would go to whoever asks next.
+        A query in the name of another entry would, with a greater serial, end that entry's
+        grants, and its limits would go to whichever entry queries next.
         """
-        if ask.instance != entry:
-            raise MessageError(f"an ask of {entry} in another's name")
-        rows = parse_query(ask)
+        if query.instance != entry:
+            raise MessageError(f"limits query from {entry} names another sender")
+        rows = parse_query(query)
         self.tick(now_s)
         return make_answer(
-            [self._row(now_s, entry, ask.serial, row, contract_by_account) for row in rows]
+            [
+                self._answer_request(now_s, entry, query.serial, request, contract_by_account)
+                for request in rows
+            ]
         )
 
-    def _row(
+    def _answer_request(
         self,
         now_s: float,
         entry: InstanceId,
         serial: int,
-        row: GrantRequest,
+        request: GrantRequest,
         contract_by_account: Mapping[AccountId, Contract],
     ) -> Grant:
-        contract = contract_by_account.get(row.account)
+        contract = contract_by_account.get(request.account)
         if contract is None:
-            self._loans_by_account.pop(row.account, None)
+            self._grants_by_account.pop(request.account, None)
             return _UNKNOWN
-        since_s = self._homes.home_since(row.account, self._own)
+        since_s = self._homes.home_since(request.account, self._own)
         if since_s is None:
-            self._loans_by_account.pop(row.account, None)
+            self._grants_by_account.pop(request.account, None)
             return _NO_HOME
-        open_s = self._opening(since_s)
-        loans = self._loans(row.account, open_s)
-        if now_s < open_s:
-            return loans.keep(now_s, entry, serial, row)
-        return loans.lend(now_s, entry, serial, row, contract_share(contract))
+        granting_from_s = self._opening_time(since_s)
+        grants = self._grants(request.account, granting_from_s)
+        if now_s < granting_from_s:
+            return grants.record_kept(now_s, entry, serial, request)
+        return grants.grant(now_s, entry, serial, request, contract_share(contract))
 
-    def _opening(self, since_s: float) -> float:
-        # The old home may have lent up to its last moment, and may learn later than this one
-        # that it is the home no more. Lending before those slices have ended would let both
-        # sets of slices be used together.
-        return max(since_s, self._fresh_s) + WARM_UP_S
+    def _opening_time(self, since_s: float) -> float:
+        # The old home may have granted limits until its end, and may learn later than this one
+        # that it is no longer the home. Granting before those slices have expired would let both
+        # sets of slices be used at the same time.
+        return max(since_s, self._new_since_s) + WARM_UP_S
 
-    def _loans(self, account: AccountId, open_s: float) -> Loans:
-        loans = self._loans_by_account.get(account)
-        if loans is None or loans.open_s != open_s:
-            loans = Loans(open_s)
-            self._loans_by_account[account] = loans
-        return loans
+    def _grants(self, account: AccountId, granting_from_s: float) -> AccountGrants:
+        grants = self._grants_by_account.get(account)
+        if grants is None or grants.granting_from_s != granting_from_s:
+            grants = AccountGrants(granting_from_s)
+            self._grants_by_account[account] = grants
+        return grants
 
     def _sweep(self, now_s: float) -> None:
-        self._sweep_s = now_s
-        idle = [a for a, loans in self._loans_by_account.items() if loans.is_idle(now_s)]
+        self._swept_s = now_s
+        idle = [a for a, grants in self._grants_by_account.items() if grants.is_idle(now_s)]
         for account in idle:
-            del self._loans_by_account[account]
+            del self._grants_by_account[account]
--- a/egretstack/limits/_timing.py
+++ b/egretstack/limits/_timing.py
@@ -1,43 +1,43 @@
-"""How long slices live, when they are renewed, and how long a new home waits; in seconds."""
+"""Time to live of slices, when they are renewed, and how long a new home waits; in seconds."""
 
 SLICE_TTL_S = 4.0
-"""Life of a slice that admits requests, counted by the entry from when it sent its ask."""
+"""Time to live of a slice that admits requests; the entry counts it from sending its query."""
 
 SLICE_RENEW_S = 2.5
-"""Age at which an entry asks again; one lost ask can be repeated within the life."""
+"""Age at which an entry renews a slice; a lost query can be repeated before it expires."""
 
 HOLD_TTL_S = 15.0
-"""Life of a slice that only counts requests already open; it admits nothing new."""
+"""Time to live of a hold: a slice that only counts open requests and admits nothing new."""
 
 HOLD_RENEW_S = 9.0
-"""Age at which a slice that only counts is renewed."""
+"""Age at which a hold is renewed."""
 
 MAX_VIEW_LAG_S = 2.0
-"""How much later than a new home an old one may learn that it is not the home any more."""
+"""How much later than the new home the old one may learn that it is no longer the home."""
 
 WARM_UP_S = SLICE_TTL_S + MAX_VIEW_LAG_S
-"""How long a new home grants nothing of its own."""
+"""How long a new home grants nothing: until all slices of the old home have expired."""
 
 PAUSE_THRESHOLD_S = 1.5
-"""Silence of a home's own beat after which it takes itself for a new home."""
+"""Time without a tick of its own after which a home treats itself as new."""
 
 TICK_INTERVAL_S = 0.25
-"""Period of the loop that beats the home side and sends the asks that are due."""
+"""Period of the loop that ticks the home and sends the queries that are due."""
 
 QUERY_TIMEOUT_S = 1.0
-"""Time allowed for one ask."""
+"""Timeout of one query."""
 
 MIN_QUERY_INTERVAL_S = 0.5
-"""Least time between asks for an account whose home gave less than was wanted."""
+"""Minimum time between queries for an account whose home granted less than was wanted."""
 
 QUERY_BACKOFF_S = (0.5, 1.0, 2.0, 4.0)
-"""Times between asks to a home that does not answer, by the number of failures."""
+"""Times between queries to a home that does not answer, by the number of failures."""
 
 IDLE_TIMEOUT_S = 30.0
-"""Time without demand after which an entry forgets an account."""
+"""Time without demand after which an entry drops an account's state."""
 
 MAX_READY_WAIT_S = 0.3
-"""Longest time a request waits for the answer of its account's home."""
+"""Maximum time that a request waits for the answer of its account's home."""
 
 DIRECT_TOKEN_TTL_S = 0.25
-"""Time from an ask within which tokens for waiting requests are spent or lost."""
+"""Time from a query within which tokens for waiting requests are spent or lost."""
--- a/tests/test_limits_faults.py
+++ b/tests/test_limits_faults.py
@@ -46,7 +46,7 @@
     fleet, home, others = fleet_and_home()
     old = others[0]
     fleet.run(3, press(fleet, [old], hold_s=0.1, each=10))
-    check.assertGreater(old.entry._held_by_account["acme"].share.slots, SLOTS // 2)
+    check.assertGreater(old.entry._state_by_account["acme"].granted.slots, SLOTS // 2)
     fleet.kill(home)
     fleet.refresh_views()
     new = fleet.home_of("acme")
@@ -248,7 +248,7 @@
     home = OneHome(warm=False)
     home.now_s = WARM_UP_S - 1
     home._home.tick(home.now_s - 0.5)
-    home._home._fresh_s = 0.0
+    home._home._new_since_s = 0.0
     check.assertIs(home.ask("entry-b", 1, open=40).status, GrantStatus.WARMING)
     home.now_s += 1.2
     check.assertEqual(home.ask("entry-c", 1, waiting=SLOTS, want=SLOTS).share.slots, SLOTS - 40)
--- a/tests/test_limits_messages.py
+++ b/tests/test_limits_messages.py
@@ -23,7 +23,7 @@
 load_tests = tests_of(globals())
 
 ROW = GrantRequest(AccountId("acme"), 3, 1, Share(1.0, 2.0, 3), Share(4.0, 5.0, 6), 0.5)
-PACKED = ROW.packed()
+PACKED = ROW.to_row()
 
 
 def test_rows_pass_the_codec():
@@ -106,4 +106,4 @@
     for number in range(3000):
         entry = InstanceId(f"e{number}")
         home.answer(0.0, entry, make_query(entry, 1, [row]), known)
-    check.assertLessEqual(len(home._loans_by_account["acme"]._loan_by_entry), 2048)
+    check.assertLessEqual(len(home._grants_by_account["acme"]._grant_by_entry), 2048)
--- a/tests/test_limits_partitions.py
+++ b/tests/test_limits_partitions.py
@@ -104,7 +104,7 @@
     fleet, home, others = fleet_and_home()
     fleet.cut([home], [others[0]], both=False)
     fleet.run(15, press(fleet, [others[0]], hold_s=0.2))
-    loan = home.home._loans_by_account["acme"]._loan_by_entry[others[0].name]
+    loan = home.home._grants_by_account["acme"]._grant_by_entry[others[0].name]
     check.assertEqual(loan.want.rate, 0)
     check.assertLessEqual(loan.want.slots, fallback_of([others[0]]))
     fleet.run(10, press(fleet, others[:2], hold_s=0.2))
--- a/tests/test_limits_world.py
+++ b/tests/test_limits_world.py
@@ -254,14 +254,14 @@
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
         await admit(others[0], 10)
-        loans = home.kernel.get(Limits).home._loans_by_account[AccountId("acme")]
-        before = loans._loan_by_entry[InstanceId(others[0].name)]
+        loans = home.kernel.get(Limits).home._grants_by_account[AccountId("acme")]
+        before = loans._grant_by_entry[InstanceId(others[0].name)]
         row = GrantRequest(AccountId("acme"), 0, 0, Share(), Share(), 0.0)
         ask = make_query(InstanceId(others[0].name), 10**15, [row])
         port = others[1].kernel.get(PeerPort)
         answer = await port.ask(InstanceId(home.name), home.host, PORTS["peer"], ask)
         check.assertIsInstance(answer, Nothing)
-        check.assertEqual(loans._loan_by_entry[InstanceId(others[0].name)], before)
+        check.assertEqual(loans._grant_by_entry[InstanceId(others[0].name)], before)
 
 
 async def test_no_ask_counts_a_request_that_an_answer_has_just_let_in():
@@ -276,7 +276,7 @@
         counted_twice = []
 
         def due(now_s):
-            held = entry._held_by_account.get(AccountId("acme"))
+            held = entry._state_by_account.get(AccountId("acme"))
             if held is not None and held.waiting:
                 counted_twice.append(entry._refusal(now_s, AccountId("acme"), held) is None)
             return inner(now_s)
