--- a/egretstack/limits/_entry.py
+++ b/egretstack/limits/_entry.py
@@ -211,7 +211,7 @@
     interval_s = state.close_interval_s if state.close_interval_s is not None else SLICE_TTL_S
     return EgretError(
         ErrorKind.OVER_CONCURRENCY,
-        f"{state.open} requests are open here; the contract allows {state.total.slots} in total",
+        f"{state.open} requests are open here; the contract allows {state.total.slots} in all",
         retry_after_s=_bounded_retry_s(interval_s if share.slots else SLICE_TTL_S),
     )
 
@@ -220,7 +220,7 @@
     wait_s = (1.0 - level) / share.rate if share.rate else state.token_wait_s
     return EgretError(
         ErrorKind.RATE_LIMITED,
-        f"more than {state.total.rate:g} requests per second",
+        f"more than {state.total.rate:g} requests a second",
         retry_after_s=_bounded_retry_s(wait_s),
     )
 
--- a/tests/test_dispatching.py
+++ b/tests/test_dispatching.py
@@ -1,4 +1,4 @@
-"""The policy inside `egret-entry`: the very classes that a replay runs."""
+"""The policy inside `egret-entry`, which is the same code that a replay runs."""
 
 from contextlib import contextmanager
 
@@ -26,78 +26,80 @@
 
 
 @contextmanager
-def watched():
-    """Note every event that the default policy's class handles, with its actions."""
-    kind = POLICIES[DEFAULT_POLICY]
-    handle = kind.handle
-    seen = []
+def recorded_events():
+    """Record every event that the default policy's class handles, with the actions."""
+    policy_class = POLICIES[DEFAULT_POLICY]
+    handle = policy_class.handle
+    handled = []
 
-    def noted(self, now_s, event):
+    def recording_handle(self, now_s, event):
         actions = handle(self, now_s, event)
-        seen.append((self, event, actions))
+        handled.append((self, event, actions))
         return actions
 
-    kind.handle = noted
+    policy_class.handle = recording_handle
     try:
-        yield seen
+        yield handled
     finally:
-        kind.handle = handle
+        policy_class.handle = handle
 
 
 async def test_an_entry_decides_by_the_code_that_a_replay_runs():
-    with watched() as seen:
+    with recorded_events() as handled:
         async with small_site() as (_, entries):
             session = await open_story(entries[0], 80)
             check.assertEqual(await read_all(session), list(range(81)))
             policies = {id(one.kernel.get(Dispatching)._policy) for one in entries}
-    live = {type(event) for policy, event, _ in seen if id(policy) in policies}
+    live = {type(event) for policy, event, _ in handled if id(policy) in policies}
     check.assertLessEqual({Arrived, Progressed, Ended, InstancesSeen, RunnerReported}, live)
-    with watched() as seen, files(trace_of(5)) as (trace, path):
+    with recorded_events() as handled, files(trace_of(5)) as (trace, path):
         site = read_site(path)
         replay(read_trace(trace, site), site, DEFAULT_POLICY, entries=2, seed=1)
-    check.assertLessEqual(live - {Evicted}, {type(event) for _, event, _ in seen})
+    check.assertLessEqual(live - {Evicted}, {type(event) for _, event, _ in handled})
 
 
-async def test_evicted_work_runs_again_and_its_caller_sees_one_answer():
-    # Memory is about to fill on an engine; the policy takes an answer away that nobody has seen
-    # anything of. It starts again, and its caller gets one whole answer.
+async def test_an_evicted_request_runs_again_and_its_caller_gets_one_answer():
+    # The memory of an engine is about to overflow, and the policy evicts a request of which
+    # nothing was delivered. It is restarted, and its caller gets one complete answer.
     async with small_site(entries=1) as (_, entries):
         dispatching = entries[0].kernel.get(Dispatching)
         session = await open_story(entries[0], 200, stream=False)
         await trio.sleep(1)
-        with watched() as seen:
+        with recorded_events() as handled:
             dispatching._carry_out(Evict(session.work_id))
             with trio.fail_after(60):
                 await session.wait_for_end()
         check.assertEqual(session.outcome.output_tokens, 200)
-        check.assertIn(Evicted(session.work_id), [event for _, event, _ in seen])
+        check.assertIn(Evicted(session.work_id), [event for _, event, _ in handled])
 
 
-async def test_a_stream_that_is_read_is_not_evicted():
-    # The policy's news is a step old: it asks to evict a stream whose first token has just been
-    # passed on. The stream goes on where it is.
+async def test_a_started_stream_is_not_evicted():
+    # The policy's state is one step old: it evicts a stream whose first token has just been
+    # delivered. The stream continues where it is.
     async with small_site(entries=1) as (_, entries):
         dispatching = entries[0].kernel.get(Dispatching)
         session = await open_story(entries[0], 100)
         reader = session.supersede()
         numbers = []
-        with watched() as seen:
+        with recorded_events() as handled:
             async for batch in session.batches(reader, -1, 5):
                 numbers += [event.sequence for event in batch]
                 dispatching._carry_out(Evict(session.work_id))
         check.assertEqual(numbers, list(range(101)))
-        check.assertNotIn(Evicted(session.work_id), [event for _, event, _ in seen])
+        check.assertNotIn(Evicted(session.work_id), [event for _, event, _ in handled])
 
 
 async def test_an_entry_learns_lengths_from_another():
-    with watched() as seen:
+    with recorded_events() as handled:
         async with small_site(entries=2) as (_, entries):
             session = await open_story(entries[0], 40)
             await read_all(session)
             await trio.sleep(25)
-            mine = entries[1].kernel.get(Dispatching)._policy
+            learner_policy = entries[1].kernel.get(Dispatching)._policy
     learned = [
-        event for policy, event, _ in seen if policy is mine and isinstance(event, LengthsLearned)
+        event
+        for policy, event, _ in handled
+        if policy is learner_policy and isinstance(event, LengthsLearned)
     ]
     check.assertTrue(any(event.summary.by_key for event in learned))
     check.assertEqual({event.source for event in learned}, {"entry-0"})
