--- a/tests/limits_faults.py
+++ b/tests/limits_faults.py
@@ -1,22 +1,22 @@
-"""Fixtures of the tests of limits under faults."""
+"""Fixtures for the tests of limits under faults."""
 
 from egretstack.limits import contract_share
 from tests.limits_fleet import Fleet, contract
 
-LONG_S = 1000.0
+LONG_HOLD_S = 1000.0
 SLOTS = 48
 ACME = contract(rate=1000, burst=1000, concurrency=SLOTS)
 
 
 def fleet_and_home(count=6):
-    """Give a settled fleet, the home of acme, and the other nodes."""
+    """Return a settled fleet, the home of acme, and the other nodes."""
     fleet = Fleet(count, [ACME])
     home = fleet.home_of("acme")
     return fleet, home, fleet.others(home)
 
 
-def press(fleet, nodes, hold_s=LONG_S, each=4):
-    """Give a demand, far above the limits, on some nodes."""
+def heavy_demand(fleet, nodes, hold_s=LONG_HOLD_S, each=4):
+    """Return a function that requests far more than the limits on some nodes."""
 
     def demand():
         for node in nodes:
@@ -26,7 +26,7 @@
     return demand
 
 
-def fallback_of(nodes):
-    """Give how many slots the conservative shares of nodes come to, in their own views."""
+def fallback_slots(nodes):
+    """Return the slots of the conservative shares of nodes, each in its own view."""
     whole = contract_share(ACME)
     return sum(node.homes.conservative_share("acme", node.name, whole).slots for node in nodes)
--- a/tests/limits_fleet.py
+++ b/tests/limits_fleet.py
@@ -1,7 +1,7 @@
-"""Entries and homes of one small fleet in simulated time, with cuts, deaths and freezes.
+"""A small fleet of entries and limits homes in simulated time, with cuts, kills and pauses.
 
-Only the pure classes run here. Messages pass through the real codec and arrive one step later,
-or never. Each node has its own view of who is live.
+Only the classes without I/O run here. Messages pass through the real codec and arrive one step
+later or never. Each node has its own view of the live instances.
 """
 
 from collections.abc import Iterable
@@ -23,12 +23,12 @@
 from egretstack.peers import decode, encode
 
 STEP_S = 0.05
-BEAT_STEPS = 5
+TICK_STEPS = 5
 ZONES = 3
 
 
 def contract(account="acme", rate=10.0, burst=20, concurrency=50) -> Contract:
-    """Give a contract with these limits."""
+    """Return a contract with these limits."""
     sections = {
         "contract": {"account": account, "key_sha256": "f" * 64},
         "limits": {
@@ -42,7 +42,7 @@
 
 @dataclass
 class Node:
-    """One instance: its entry side, its home side, and what became of its requests."""
+    """One instance: its entry limiter, its limits home and its requests."""
 
     name: InstanceId
     homes: HomeLocator
@@ -59,7 +59,7 @@
 
 
 class Fleet:
-    """Nodes that exchange messages; `admitted` holds (time, account, node) in order."""
+    """Nodes that exchange messages; `admitted` has (time, account, node) in order."""
 
     def __init__(self, count: int, contracts: Iterable[Contract], settle: bool = True) -> None:
         self.now = 0.0
@@ -67,9 +67,9 @@
         self.cuts: set[tuple[str, str]] = set()
         self.admitted: list[tuple[float, str, str]] = []
         self.refused: list[tuple[float, str, EgretError]] = []
-        self.contract_by_account = {one.account: one for one in contracts}
+        self.contract_by_account = {contract.account: contract for contract in contracts}
         self.node_by_name: dict[InstanceId, Node] = {}
-        self._pending: list = []
+        self._queries_in_flight: list = []
         for number in range(count):
             self._add(InstanceId(f"entry-{number}"))
         self.refresh_views()
@@ -87,60 +87,60 @@
         )
 
     def nodes(self) -> list[Node]:
-        """Give every node in order."""
+        """Return all nodes in order."""
         return list(self.node_by_name.values())
 
     def zone(self, name: InstanceId) -> ZoneName:
-        """Give the zone of a node."""
+        """Return the availability zone of a node."""
         return ZoneName(f"zone-{int(name.partition('-')[2]) % ZONES}")
 
     def set_view(self, node: Node, live: Iterable[InstanceId]) -> None:
-        """Change a node's view of who is live."""
+        """Set a node's view of the live instances."""
         node.homes.update_view(self.now, {name: self.zone(name) for name in sorted(live)})
 
     def refresh_views(self) -> None:
-        """Give every running node the true view."""
+        """Set the view of every running node to the actual live instances."""
         live = [node.name for node in self.nodes() if node.alive]
         for node in self.nodes():
             if node.alive and not node.paused:
                 self.set_view(node, live)
 
-    def home_of(self, account: str, asker: Node | None = None) -> Node:
-        """Give the home of an account in a node's view."""
-        asker = asker or next(node for node in self.nodes() if node.alive)
-        return self.node_by_name[asker.homes.home(AccountId(account))]
+    def home_of(self, account: str, viewer: Node | None = None) -> Node:
+        """Return the home of an account in a node's view."""
+        viewer = viewer or next(node for node in self.nodes() if node.alive)
+        return self.node_by_name[viewer.homes.home(AccountId(account))]
 
     def others(self, node: Node) -> list[Node]:
-        """Give every other node."""
-        return [one for one in self.nodes() if one is not node]
+        """Return all other nodes."""
+        return [other for other in self.nodes() if other is not node]
 
     def cut(self, side: Iterable[Node], other: Iterable[Node], both: bool = True) -> None:
-        """Cut the ways from one side to another."""
+        """Drop all messages from one side to the other, or in both directions."""
         others = list(other)
-        for one in side:
-            for two in others:
-                self.cuts.add((one.name, two.name))
+        for left in side:
+            for right in others:
+                self.cuts.add((left.name, right.name))
                 if both:
-                    self.cuts.add((two.name, one.name))
+                    self.cuts.add((right.name, left.name))
 
     def kill(self, node: Node) -> None:
-        """End a node at once, with its requests."""
+        """Kill a node with its requests."""
         node.alive = False
         node.ends.clear()
         node.waiting.clear()
         node.inbox.clear()
 
     def open_total(self, account: str = "acme") -> int:
-        """Count the open requests of an account at every node that lives."""
+        """Return the number of open requests of an account on all live nodes."""
         return sum(1 for node in self.nodes() for end in node.ends if end[1] == account)
 
     def request(self, node: Node, account: str = "acme", hold_s: float = 0.0) -> None:
-        """Let a caller send a request that stays open for a time."""
+        """Send a request to a node; if admitted, it stays open for `hold_s`."""
         if node.alive and not node.paused:
             node.waiting.append([self.now + MAX_READY_WAIT_S, account, hold_s, False])
 
     def run(self, seconds: float, each_step=None) -> None:
-        """Let time pass; `each_step` is called before every step."""
+        """Advance the time; `each_step` is called before every step."""
         for _ in range(round(seconds / STEP_S)):
             if each_step is not None:
                 each_step()
@@ -151,21 +151,21 @@
         self.now = round(self.steps * STEP_S, 6)
         for node in self.nodes():
             if node.alive and not node.paused:
-                self._step_node(node)
-        self._time_out()
+                self._run_node(node)
+        self._fail_overdue_queries()
 
-    def _step_node(self, node: Node) -> None:
+    def _run_node(self, node: Node) -> None:
         inbox, node.inbox = node.inbox, []
         for deliver in inbox:
             deliver()
         self._end_requests(node)
         self._decide(node)
-        beat = self.steps % BEAT_STEPS == 0
-        if beat:
+        is_tick = self.steps % TICK_STEPS == 0
+        if is_tick:
             node.home.tick(self.now)
-        if beat or node.waiting:
-            for ask in node.entry.due_queries(self.now):
-                self._send(node, ask)
+        if is_tick or node.waiting:
+            for query in node.entry.due_queries(self.now):
+                self._send(node, query)
 
     def _end_requests(self, node: Node) -> None:
         ended = [end for end in node.ends if end[0] <= self.now]
@@ -178,59 +178,63 @@
         waiting, node.waiting = node.waiting, []
         for request in waiting:
             deadline, account, hold_s, counted = request
-            known = node.contract_by_account.get(account)
-            if known is None:
+            contract_here = node.contract_by_account.get(account)
+            if contract_here is None:
                 continue
             if counted:
                 node.entry.count_waiting(account, -1)
-            if node.entry.should_wait(self.now, known):
+            if node.entry.should_wait(self.now, contract_here):
                 if self.now < deadline:
                     node.entry.count_waiting(account, 1)
                     node.waiting.append([deadline, account, hold_s, True])
                     continue
                 node.entry.on_wait_timeout(self.now, account)
-            self._open(node, known, hold_s)
+            self._open(node, contract_here, hold_s)
 
-    def _open(self, node: Node, known: Contract, hold_s: float) -> None:
+    def _open(self, node: Node, contract_here: Contract, hold_s: float) -> None:
         try:
-            node.entry.open(self.now, known)
+            node.entry.open(self.now, contract_here)
         except EgretError as error:
             self.refused.append((self.now, node.name, error))
             return
-        self.admitted.append((self.now, known.account, node.name))
-        node.ends.append((self.now + hold_s, known.account))
+        self.admitted.append((self.now, contract_here.account, node.name))
+        node.ends.append((self.now + hold_s, contract_here.account))
 
-    def _send(self, node: Node, ask: HomeQuery) -> None:
-        home = self.node_by_name[ask.home]
+    def _send(self, node: Node, query: HomeQuery) -> None:
+        home = self.node_by_name[query.home]
         if home is node:
-            answer = home.home.answer(self.now, node.name, ask.message, home.contract_by_account)
-            node.entry.on_answer(self.now, ask, answer)
+            answer = home.home.answer(self.now, node.name, query.message, home.contract_by_account)
+            node.entry.on_answer(self.now, query, answer)
             return
-        flight = [self.now + QUERY_TIMEOUT_S, node, ask, False]
-        self._pending.append(flight)
-        message = self._over_wire(node, ask.message)
+        in_flight = [self.now + QUERY_TIMEOUT_S, node, query, False]
+        self._queries_in_flight.append(in_flight)
+        message = self._over_wire(node, query.message)
         if (node.name, home.name) not in self.cuts and home.alive:
-            home.inbox.append(lambda: self._receive(home, node, flight, message))
+            home.inbox.append(lambda: self._receive(home, node, in_flight, message))
 
-    def _receive(self, home: Node, node: Node, flight: list, message) -> None:
+    def _receive(self, home: Node, node: Node, in_flight: list, message) -> None:
         answer = home.home.answer(self.now, node.name, message, home.contract_by_account)
         back = self._over_wire(home, answer)
         if (home.name, node.name) not in self.cuts and node.alive:
-            node.inbox.append(lambda: self._deliver(node, flight, back))
-
-    def _deliver(self, node: Node, flight: list, answer) -> None:
-        if not flight[3]:
-            flight[3] = True
-            node.entry.on_answer(self.now, flight[2], answer)
-
-    def _time_out(self) -> None:
-        for flight in self._pending:
-            node = flight[1]
-            runs = node.alive and not node.paused
-            if not flight[3] and self.now >= flight[0] and runs:
-                flight[3] = True
-                node.entry.on_failure(self.now, flight[2])
-        self._pending = [flight for flight in self._pending if not flight[3] and flight[1].alive]
+            node.inbox.append(lambda: self._deliver(node, in_flight, back))
+
+    def _deliver(self, node: Node, in_flight: list, answer) -> None:
+        if not in_flight[3]:
+            in_flight[3] = True
+            node.entry.on_answer(self.now, in_flight[2], answer)
+
+    def _fail_overdue_queries(self) -> None:
+        for in_flight in self._queries_in_flight:
+            node = in_flight[1]
+            is_running = node.alive and not node.paused
+            if not in_flight[3] and self.now >= in_flight[0] and is_running:
+                in_flight[3] = True
+                node.entry.on_failure(self.now, in_flight[2])
+        self._queries_in_flight = [
+            in_flight
+            for in_flight in self._queries_in_flight
+            if not in_flight[3] and in_flight[1].alive
+        ]
 
     @staticmethod
     def _over_wire(node: Node, message):
@@ -240,17 +244,17 @@
         return decode(msgpack.unpackb(body))
 
     def change_contract(self, changed: Contract, nodes: Iterable[Node] | None = None) -> None:
-        """Put another contract in force on some nodes, or on all."""
+        """Put a changed contract in force on some nodes, or on all."""
         for node in nodes if nodes is not None else self.nodes():
             node.contract_by_account[changed.account] = replace(changed)
 
 
 def required_burst(times: list[float], rate: float) -> float:
-    """Give the least burst with which a token bucket of `rate` lets all these times pass."""
-    level = most = 0.0
+    """Return the minimum burst of a token bucket of `rate` that admits all these times."""
+    level = burst = 0.0
     last = times[0] if times else 0.0
     for time in times:
         level = max(0.0, level - (time - last) * rate) + 1
         last = time
-        most = max(most, level)
-    return most
+        burst = max(burst, level)
+    return burst
--- a/tests/test_limits_messages.py
+++ b/tests/test_limits_messages.py
@@ -1,4 +1,4 @@
-"""Messages about limits: what passes the codec, and what a faulty peer may not do."""
+"""Limits messages: what the codec preserves, and what is refused from a faulty peer."""
 
 import msgpack
 
@@ -44,7 +44,7 @@
     check.assertEqual((read.share, read.tokens), (Share(0.001, 0.001, 0), 0.001))
 
 
-def test_a_faulty_ask_is_refused():
+def test_a_malformed_query_is_refused():
     faulty_rows = [
         7,
         [],
@@ -63,7 +63,7 @@
             parse_query(LimitsAsk("entry-a", 1, [row]))
 
 
-def test_an_ask_with_too_many_rows_or_no_sender_is_refused():
+def test_a_query_with_too_many_rows_or_no_sender_is_refused():
     with check.assertRaises(MessageError):
         parse_query(LimitsAsk("entry-a", 1, [PACKED] * (MAX_ROWS + 1)))
     with check.assertRaises(MessageError):
@@ -72,7 +72,7 @@
         parse_query(LimitsAsk("a" * 64, 1, [PACKED]))
 
 
-def test_an_answer_to_another_ask_is_refused():
+def test_an_answer_to_another_query_is_refused():
     grant = Grant(GrantStatus.GRANTED, Share(), 0.0, 0, 0.0)
     with check.assertRaises(MessageError):
         parse_answer(make_answer([grant]), 2)
@@ -81,7 +81,7 @@
             parse_answer(LimitsAnswer([row]), 1)
 
 
-def test_unknown_accounts_cost_a_home_no_memory():
+def test_unknown_accounts_use_no_memory_of_a_home():
     homes = HomeLocator(0.0)
     own = InstanceId("entry-a")
     homes.update_view(0.0, {own: "zone"})
@@ -96,7 +96,7 @@
     check.assertEqual(home.account_count, 0)
 
 
-def test_a_home_lends_to_a_bounded_number_of_entries():
+def test_a_home_grants_to_a_bounded_number_of_entries():
     homes = HomeLocator(0.0)
     own = InstanceId("entry-a")
     homes.update_view(0.0, {own: "zone"})
--- a/tests/test_limits_properties.py
+++ b/tests/test_limits_properties.py
@@ -1,4 +1,4 @@
-"""Limits under random demand, cuts, deaths and freezes: the stated bounds always hold."""
+"""Limits under random demand, cuts, kills and pauses: the stated bounds always hold."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 load_tests = tests_of(globals())
 
-LONGEST_HOLD_S = 4.0
+MAX_HOLD_S = 4.0
 ROUNDING = 0.01
 
 CONTRACTS = st.builds(
@@ -29,24 +29,24 @@
 
 
 class Demand:
-    """Requests at random nodes, at a strength that changes every few seconds."""
+    """Requests at random nodes at an intensity that changes every few seconds."""
 
     def __init__(self, fleet, seed):
         self.fleet = fleet
         self.rng = random.Random(seed)
-        self.most = 0
-        self._strength = []
+        self.peak_open = 0
+        self._intensities = []
 
     def __call__(self):
-        if self.fleet.steps % 40 == 0 or not self._strength:
-            self._strength = [
+        if self.fleet.steps % 40 == 0 or not self._intensities:
+            self._intensities = [
                 self.rng.choice((0, 0, 0.05, 0.3, 3)) for _ in self.fleet.node_by_name
             ]
-        for node, strength in zip(self.fleet.nodes(), self._strength, strict=True):
-            count = int(strength) + (self.rng.random() < strength % 1)
+        for node, intensity in zip(self.fleet.nodes(), self._intensities, strict=True):
+            count = int(intensity) + (self.rng.random() < intensity % 1)
             for _ in range(count):
-                self.fleet.request(node, hold_s=self.rng.choice((0, 0.2, 1, LONGEST_HOLD_S)))
-        self.most = max(self.most, self.fleet.open_total())
+                self.fleet.request(node, hold_s=self.rng.choice((0, 0.2, 1, MAX_HOLD_S)))
+        self.peak_open = max(self.peak_open, self.fleet.open_total())
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
@@ -55,7 +55,7 @@
     fleet = Fleet(count, [acme])
     demand = Demand(fleet, seed)
     fleet.run(25, demand)
-    check.assertLessEqual(demand.most, acme.concurrency)
+    check.assertLessEqual(demand.peak_open, acme.concurrency)
     times = [time for time, _, _ in fleet.admitted]
     burst = required_burst(times, acme.requests_per_s)
     check.assertLessEqual(burst, acme.burst + ROUNDING)
@@ -64,31 +64,31 @@
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(acme=CONTRACTS, faults=FAULTS, seed=st.integers(0, 10**6))
 def test_faults_never_exceed_the_bound_and_the_contract_holds_again_after_them(acme, faults, seed):
-    # Each fault may take one lending of the whole contract out of the home's sight; the
-    # conservative shares add one more. When all is mended and settled, the contract holds.
+    # Each fault may hide grants of one whole contract from the home; the conservative shares add
+    # one more. When all faults are repaired and the fleet has settled, the contract holds.
     fleet = Fleet(6, [acme])
     demand = Demand(fleet, seed)
     fleet.run(5, demand)
     for fault in faults:
-        inflict(fleet, fault, demand.rng)
+        inject(fleet, fault, demand.rng)
         fleet.run(4, demand)
         if demand.rng.random() < 0.7:
             fleet.refresh_views()
         fleet.run(4, demand)
-    check.assertLessEqual(demand.most, (2 + len(faults)) * acme.concurrency)
-    mend(fleet)
-    fleet.run(WARM_UP_S + HOLD_TTL_S + LONGEST_HOLD_S, demand)
-    demand.most = 0
+    check.assertLessEqual(demand.peak_open, (2 + len(faults)) * acme.concurrency)
+    repair(fleet)
+    fleet.run(WARM_UP_S + HOLD_TTL_S + MAX_HOLD_S, demand)
+    demand.peak_open = 0
     fleet.admitted.clear()
     fleet.run(10, demand)
-    check.assertLessEqual(demand.most, acme.concurrency)
+    check.assertLessEqual(demand.peak_open, acme.concurrency)
     times = [time for time, _, _ in fleet.admitted]
     burst = required_burst(times, acme.requests_per_s)
     check.assertLessEqual(burst, acme.burst + ROUNDING)
 
 
-def inflict(fleet, fault, rng):
-    """Bring one fault about."""
+def inject(fleet, fault, rng):
+    """Inject one fault."""
     running = [node for node in fleet.nodes() if node.alive]
     some = rng.sample(running, max(1, len(running) // 3))
     rest = [node for node in running if node not in some]
@@ -106,8 +106,8 @@
         fleet.kill(some[0] if fault == "kill" else fleet.home_of("acme", running[0]))
 
 
-def mend(fleet):
-    """End every fault but the deaths."""
+def repair(fleet):
+    """End every fault except kills."""
     fleet.cuts.clear()
     for node in fleet.nodes():
         node.paused = False
--- a/tests/test_limits_views.py
+++ b/tests/test_limits_views.py
@@ -1,6 +1,6 @@
-"""How much later than a new home an old one, or an entry, learns that the home has moved.
+"""How much later than a new home an old one, or an entry, learns that the home has changed.
 
-Limits take VIEW_LAG_S for it. Here the views come from membership itself, not from a test.
+Limits assume at most MAX_VIEW_LAG_S. Here the views come from membership itself, not from a test.
 """
 
 from egretstack.ids import InstanceId
@@ -18,20 +18,20 @@
 
 
 def learning_times(fleet: Fleet, subject: InstanceId, live: bool) -> list[float]:
-    """Give when each other running instance learns that one is live, or is not any more."""
+    """Return after what time each other running instance learns that one is live, or is not."""
     began_s = fleet.now_s
-    learnt_s_by_id: dict[InstanceId, float] = {}
+    learned_s_by_id: dict[InstanceId, float] = {}
     others = {
         name: node for name, node in fleet.node_by_id.items() if name != subject and not node.down
     }
-    while len(learnt_s_by_id) < len(others) and fleet.now_s - began_s < LONGEST_S:
+    while len(learned_s_by_id) < len(others) and fleet.now_s - began_s < LONGEST_S:
         fleet.run(STEP_S)
         for name, node in others.items():
             seen = subject in {member.id for member in node.state.live(fleet.now_s)}
             if seen is live:
-                learnt_s_by_id.setdefault(name, fleet.now_s - began_s)
-    check.assertEqual(len(learnt_s_by_id), len(others))
-    return sorted(learnt_s_by_id.values())
+                learned_s_by_id.setdefault(name, fleet.now_s - began_s)
+    check.assertEqual(len(learned_s_by_id), len(others))
+    return sorted(learned_s_by_id.values())
 
 
 def settled(size: int, seed: int) -> tuple[Fleet, list]:
@@ -41,7 +41,7 @@
 
 
 def each_fleet():
-    """Give settled fleets of several sizes and seeds, as the cases of one test."""
+    """Yield settled fleets of several sizes and seeds as subtests."""
     for size in SIZES:
         for seed in range(SEEDS):
             fleet, listed = settled(size, seed)
@@ -49,9 +49,10 @@
                 yield fleet, listed, size
 
 
-def test_all_learn_of_a_death_nearly_together():
-    # An instance is killed. Each other learns it seconds later, one as the new home, which lends
-    # 6 s after that. An entry that learnt it still later would not have told what is open.
+def test_all_learn_of_a_killed_instance_at_nearly_the_same_time():
+    # An instance is killed. The others learn of it seconds later; one of them is the new home and
+    # grants 6 s after that. An entry that learned of it later than that would not have reported its
+    # open requests.
     for fleet, _, size in each_fleet():
         fleet.node(size - 1).down = True
         times = learning_times(fleet, InstanceId(f"entry-{size - 1}"), live=False)
@@ -59,7 +60,7 @@
 
 
 def test_all_learn_of_a_leaving_home_soon():
-    # A home that leaves stops to lend at once; the others, the new home among them, learn it.
+    # A leaving home stops granting at once; the others, including the new home, learn of it.
     for fleet, _, size in each_fleet():
         fleet.of(size - 1).leave()
         times = learning_times(fleet, InstanceId(f"entry-{size - 1}"), live=False)
@@ -67,8 +68,8 @@
 
 
 def test_an_old_home_learns_soon_of_a_new_instance():
-    # A new instance is the home in its own view from its start. The old home lends until it
-    # learns of it; the new one waits for that, and for the life of the last slice.
+    # A new instance is the home in its own view from its start. The old home grants until it
+    # learns of it; the new one waits for that and until the last slice has expired.
     for fleet, listed, size in each_fleet():
         own = instance(size)
         fleet.start(own, [*listed, own])
--- a/tests/test_limits_whole.py
+++ b/tests/test_limits_whole.py
@@ -1,4 +1,4 @@
-"""Limits while nothing fails: use of the whole contract, never more, and truthful refusals."""
+"""Limits without faults: the whole contract is used, never more, and retry delays are right."""
 
 import random
 
@@ -9,14 +9,14 @@
 
 load_tests = tests_of(globals())
 
-LONG_S = 1000.0
+LONG_HOLD_S = 1000.0
 
 
 def test_one_entry_gets_every_slot_of_an_account():
     fleet = Fleet(6, [contract(rate=1000, burst=1000, concurrency=50)])
     node = fleet.nodes()[2]
     for _ in range(60):
-        fleet.request(node, hold_s=LONG_S)
+        fleet.request(node, hold_s=LONG_HOLD_S)
     fleet.run(5)
     check.assertEqual(len(fleet.admitted), 50)
     check.assertEqual({error.kind for _, _, error in fleet.refused}, {ErrorKind.OVER_CONCURRENCY})
@@ -38,7 +38,7 @@
     check.assertLessEqual(required_burst(times, 20), 20)
 
 
-def test_a_burst_after_a_quiet_time_is_let_in_at_once():
+def test_a_burst_after_a_quiet_time_is_admitted_at_once():
     fleet = Fleet(6, [contract(rate=1, burst=20, concurrency=50)])
     fleet.run(30)
     for _ in range(20):
@@ -59,28 +59,28 @@
     fleet = Fleet(6, [contract(rate=1000, burst=1000, concurrency=50)])
     busy, quiet = fleet.nodes()[:2]
     for _ in range(8):
-        fleet.request(quiet, hold_s=LONG_S)
+        fleet.request(quiet, hold_s=LONG_HOLD_S)
     fleet.run(3)
     for _ in range(60):
-        fleet.request(busy, hold_s=LONG_S)
-    fleet.run(10, lambda: fleet.request(busy, hold_s=LONG_S))
+        fleet.request(busy, hold_s=LONG_HOLD_S)
+    fleet.run(10, lambda: fleet.request(busy, hold_s=LONG_HOLD_S))
     check.assertEqual(len(quiet.ends), 8)
     check.assertEqual(len(busy.ends), 42)
 
 
-def test_an_entry_gives_back_what_it_does_not_use():
+def test_an_entry_returns_what_it_does_not_use():
     fleet = Fleet(6, [contract(rate=1000, burst=1000, concurrency=50)])
     first, second = fleet.nodes()[:2]
     for _ in range(50):
         fleet.request(first, hold_s=1.0)
     fleet.run(2 * SLICE_TTL_S)
     for _ in range(50):
-        fleet.request(second, hold_s=LONG_S)
+        fleet.request(second, hold_s=LONG_HOLD_S)
     fleet.run(SLICE_RENEW_S)
     check.assertEqual(len(second.ends), 50)
 
 
-def test_the_advice_to_come_back_is_truthful_for_a_rate():
+def test_a_request_is_admitted_after_the_retry_delay():
     fleet = Fleet(6, [contract(rate=0.5, burst=2, concurrency=50)])
     node = fleet.nodes()[3]
     for _ in range(3):
@@ -96,7 +96,7 @@
     check.assertEqual(len(fleet.admitted), 3)
 
 
-def test_the_advice_to_come_back_is_bounded():
+def test_the_retry_delay_is_bounded():
     fleet = Fleet(6, [contract(rate=0.01, burst=1, concurrency=50)])
     node = fleet.nodes()[3]
     for _ in range(3):
@@ -107,17 +107,17 @@
         check.assertLessEqual(error.retry_after_s, 60)
 
 
-def test_a_refusal_is_not_held_back():
-    # An account far over its limits is refused by what the home said last; no request of it
-    # waits for another answer, and the home is not asked for each of them.
+def test_a_refusal_is_not_delayed():
+    # An account far over its limits is refused according to the home's last answer; none of its
+    # requests waits for another one, and the home is not queried for each of them.
     fleet = Fleet(6, [contract(rate=1, burst=5, concurrency=5)])
     node = fleet.nodes()[3]
     fleet.run(2, lambda: fleet.request(node, hold_s=0.1))
-    before = sum(one.sent_messages for one in fleet.nodes())
+    before = sum(sender.sent_messages for sender in fleet.nodes())
     refused = len(fleet.refused)
     fleet.run(10, lambda: [fleet.request(node) for _ in range(20)])
     check.assertGreater(len(fleet.refused) - refused, 3900)
-    check.assertLess(sum(one.sent_messages for one in fleet.nodes()) - before, 80)
+    check.assertLess(sum(sender.sent_messages for sender in fleet.nodes()) - before, 80)
 
 
 def test_a_burst_of_one_account_does_not_delay_another():
@@ -143,8 +143,8 @@
 
 
 def test_a_lowered_limit_holds_as_soon_as_the_configuration_is_in_force():
-    # The entries hold slices of the old contract. Each cuts its own slice to the same part of
-    # the new contract when it has it, and does not wait for the home.
+    # The entries hold slices of the old contract. Each scales its own slice to the new contract
+    # when it receives it, without waiting for the home.
     fleet = Fleet(6, [contract(rate=1000, burst=1000, concurrency=60)])
     nodes = fleet.nodes()[:3]
 
@@ -159,37 +159,37 @@
     fleet.run(3, demand)
     fleet.change_contract(contract(rate=1000, burst=1000, concurrency=6))
     fleet.run(0.15)
-    most = [0]
+    peak_open = [0]
 
     def watch():
         demand()
-        most[0] = max(most[0], fleet.open_total())
+        peak_open[0] = max(peak_open[0], fleet.open_total())
 
     fleet.run(10, watch)
-    check.assertGreater(most[0], 3)
-    check.assertLessEqual(most[0], 6)
+    check.assertGreater(peak_open[0], 3)
+    check.assertLessEqual(peak_open[0], 6)
 
 
-def test_a_raised_limit_is_used_after_the_next_ask():
+def test_a_raised_limit_is_used_after_the_next_query():
     fleet = Fleet(6, [contract(rate=1000, burst=1000, concurrency=10)])
     node = fleet.nodes()[0]
-    fleet.run(2, lambda: fleet.request(node, hold_s=LONG_S))
+    fleet.run(2, lambda: fleet.request(node, hold_s=LONG_HOLD_S))
     check.assertEqual(len(node.ends), 10)
     fleet.change_contract(contract(rate=1000, burst=1000, concurrency=30))
-    fleet.run(SLICE_RENEW_S + 2, lambda: fleet.request(node, hold_s=LONG_S))
+    fleet.run(SLICE_RENEW_S + 2, lambda: fleet.request(node, hold_s=LONG_HOLD_S))
     check.assertEqual(len(node.ends), 30)
 
 
-def test_requests_of_a_removed_account_end_in_peace():
-    # An operator removes an account while its streams run. The home does not know it any more;
-    # the entry goes on counting what is open, and the end of each stream is counted out.
+def test_requests_of_a_removed_account_end_normally():
+    # An operator removes an account while its streams run. The home no longer knows it; the entry
+    # keeps counting the open requests and the end of each stream.
     fleet = Fleet(6, [contract()])
     node = fleet.nodes()[0]
     for _ in range(3):
         fleet.request(node, hold_s=30.0)
     fleet.run(1)
-    for one in fleet.nodes():
-        one.contract_by_account.clear()
+    for instance in fleet.nodes():
+        instance.contract_by_account.clear()
     fleet.run(20)
     check.assertEqual(node.entry.open_count("acme"), 3)
     fleet.run(15)
@@ -199,8 +199,8 @@
 def test_an_entry_forgets_idle_accounts():
     contracts = [contract(f"a{number}") for number in range(100)]
     fleet = Fleet(2, contracts)
-    for one in contracts:
-        fleet.request(fleet.nodes()[0], one.account)
+    for known in contracts:
+        fleet.request(fleet.nodes()[0], known.account)
     fleet.run(1)
     check.assertEqual(fleet.nodes()[0].entry.account_count, 100)
     fleet.run(60)
@@ -217,12 +217,12 @@
     check.assertEqual(sum(node.sent_messages for node in fleet.nodes()), before)
 
 
-def test_one_ask_carries_all_accounts_of_a_home():
+def test_one_query_carries_all_accounts_of_a_home():
     contracts = [contract(f"a{number}") for number in range(100)]
     fleet = Fleet(2, contracts)
     asker = fleet.nodes()[0]
-    for one in contracts:
-        fleet.request(asker, one.account, hold_s=LONG_S)
+    for known in contracts:
+        fleet.request(asker, known.account, hold_s=LONG_HOLD_S)
     fleet.run(5)
     before = asker.sent_messages
     fleet.run(90)
--- a/tests/test_limits_world.py
+++ b/tests/test_limits_world.py
@@ -1,4 +1,4 @@
-"""Limits through whole programs: cuts, deaths and outages between real services."""
+"""Limits in whole programs: cuts, kills and outages between real services."""
 
 import trio
 
@@ -23,11 +23,11 @@
 
 
 async def admit(process, count, gap_s=0.0):
-    """Send requests that stay open; give how many were let in, and the refusals."""
+    """Send requests that stay open; return how many were admitted, and the refusals."""
     accounts = process.kernel.get(Accounts)
     refusals = []
 
-    async def one():
+    async def admit_one():
         try:
             await accounts.ready(contract_of(process))
             accounts.open(contract_of(process))
@@ -36,27 +36,27 @@
 
     async with trio.open_nursery() as nursery:
         for _ in range(count):
-            nursery.start_soon(one)
+            nursery.start_soon(admit_one)
             await trio.sleep(gap_s)
     return count - len(refusals), refusals
 
 
 def home_and_others(entries):
-    """Give the process that is the home of acme, and the others."""
+    """Return the process that is the home of acme, and the others."""
     home = entries[0].kernel.get(Limits)._homes.home("acme")
     return (
-        next(one for one in entries if one.name == home),
-        [one for one in entries if one.name != home],
+        next(process for process in entries if process.name == home),
+        [process for process in entries if process.name != home],
     )
 
 
 def home_of(process):
-    """Give the home of acme as a process sees it."""
+    """Return the home of acme in a process's view."""
     return process.kernel.get(Limits)._homes.home("acme")
 
 
 def open_at(process):
-    """Tell how many requests are open at a process."""
+    """Return how many requests are open at a process."""
     return process.kernel.get(Limits).entry.open_count("acme")
 
 
@@ -83,16 +83,16 @@
             check.assertGreaterEqual(refusal.retry_after_s, 1)
 
 
-async def test_a_fresh_site_serves_by_the_conservative_shares():
-    # The whole site has just started. No home lends yet, and nobody is refused for that.
+async def test_a_new_deployment_serves_by_the_conservative_shares():
+    # The whole deployment has just started. No home grants yet, and nobody is refused for that.
     async with small_site(entries=2) as (_, entries):
         admitted, _ = await admit(entries[0], 5)
         check.assertEqual(admitted, 5)
 
 
 async def test_a_killed_home_is_replaced_and_open_requests_stay_counted():
-    # Forty requests are open when the home is killed. The instance list drops it; another
-    # instance becomes the home, and lends what is left of the contract.
+    # Forty requests are open when the home is killed and dropped from the instance list. Another
+    # instance becomes the home and grants what is left of the contract.
     async with small_site(entries=3) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
@@ -100,16 +100,16 @@
         home.kill()
         del world.listed.by_id[home.name]
         with trio.fail_after(60):
-            while any(home_of(one) == home.name for one in others):
+            while any(home_of(process) == home.name for process in others):
                 await trio.sleep(0.5)
         await trio.sleep(WARM_UP_S + SLICE_TTL_S)
         await admit(others[1], 40, gap_s=0.11)
         check.assertEqual(open_at(others[0]) + open_at(others[1]), SLOTS)
 
 
-async def test_an_entry_cut_off_serves_by_its_share_and_comes_back():
-    # The way between an entry and the home loses everything in both directions. Callers of the
-    # entry get a share of the contract; after the mend they get all of it again.
+async def test_an_entry_cut_off_serves_by_its_share_and_recovers():
+    # All messages between an entry and the home are lost in both directions. The entry's callers
+    # get a share of the contract; when the connection is restored, they get all of it again.
     async with small_site(entries=3) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
@@ -132,7 +132,7 @@
         check.assertIn(open_at(others[0]), (16, 17))
 
 
-async def test_limits_go_on_while_the_platform_is_away():
+async def test_limits_continue_while_the_platform_is_unavailable():
     async with small_site(entries=3) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
         world.store.down = True
@@ -175,7 +175,7 @@
         check.assertLessEqual(open_at(others[0]), 12)
 
 
-async def test_the_end_of_a_request_is_counted_out():
+async def test_the_end_of_a_request_is_counted():
     async with small_site(entries=2) as (_, entries):
         await admit(entries[0], 3)
         check.assertEqual(open_at(entries[0]), 3)
@@ -183,20 +183,20 @@
         check.assertEqual(open_at(entries[0]), 2)
 
 
-async def one_call(process):
-    """Make one short request; give its refusal, or None."""
+async def call_once(process):
+    """Make one short request; return its refusal, or None."""
     admitted, refusals = await admit(process, 1)
     if admitted:
         process.kernel.get(Accounts).close("acme")
     return refusals[0] if refusals else None
 
 
-async def call_all_along(process, time_s, gap_s):
-    """Make short requests for some time; give the refusals."""
+async def call_repeatedly(process, time_s, gap_s):
+    """Make short requests for some time; return the refusals."""
     end_s = trio.current_time() + time_s
     refusals = []
     while trio.current_time() < end_s:
-        refusal = await one_call(process)
+        refusal = await call_once(process)
         if refusal is not None:
             refusals.append(refusal)
         await trio.sleep(gap_s)
@@ -204,70 +204,70 @@
 
 
 async def test_a_cold_entry_admits_a_caller_whose_home_was_killed():
-    # The account's home is killed and still listed. The caller goes to an entry that never held
-    # a slice, waits for the home in vain, and gets the entry's conservative share.
+    # The account's home is killed and still listed. The caller uses an entry that never held a
+    # slice, waits for the home without an answer, and gets the entry's conservative share.
     async with small_site(entries=3) as (_, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
         home.kill()
-        check.assertEqual(await call_all_along(others[0], 30, 1.0), [])
+        check.assertEqual(await call_repeatedly(others[0], 30, 1.0), [])
 
 
 async def test_an_entry_with_a_spent_slice_admits_a_caller_whose_home_was_killed():
-    # A caller with little demand holds a slice without a token left when the home is killed. No
-    # home gives another token, for as long as the slice lasts or a new home is warming up.
+    # A caller with little demand has a slice without a token left when the home is killed. No
+    # home gives another token while the slice is valid or a new home is warming up.
     async with small_site(entries=3) as (_, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
-        check.assertIsNone(await one_call(others[0]))
+        check.assertIsNone(await call_once(others[0]))
         home.kill()
-        check.assertEqual(await call_all_along(others[0], 30, 0.7), [])
+        check.assertEqual(await call_repeatedly(others[0], 30, 0.7), [])
 
 
 async def test_the_survivor_of_two_entries_admits_a_caller_within_its_contract():
-    # Two entries; the home is killed while the other holds a slice without a token left. The
-    # survivor becomes the home and lends nothing while it warms up.
+    # Of two entries the home is killed while the other holds a slice without a token left. The
+    # survivor becomes the home and grants nothing while it warms up.
     async with small_site(entries=2) as (_, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
-        check.assertIsNone(await one_call(others[0]))
+        check.assertIsNone(await call_once(others[0]))
         home.kill()
-        check.assertEqual(await call_all_along(others[0], 30, 0.7), [])
+        check.assertEqual(await call_repeatedly(others[0], 30, 0.7), [])
 
 
-async def test_the_first_call_at_a_fresh_entry_is_admitted():
-    # One more instance starts and may become the home. Each entry, the new one included, has a
-    # caller within the contract all along; one of them asks for the first time at each moment.
+async def test_the_first_call_at_a_new_entry_is_admitted():
+    # One more instance starts and may become the home. Every entry, including the new one, has a
+    # caller within the contract throughout; at any moment one of them makes its first request.
     async with small_site(entries=2) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
-        check.assertIsNone(await one_call(entries[0]))
+        check.assertIsNone(await call_once(entries[0]))
         fresh = await world.start("entry-9", Program.ENTRY)
         for process in [fresh, *entries]:
-            check.assertEqual(await call_all_along(process, 8, 0.9), [])
+            check.assertEqual(await call_repeatedly(process, 8, 0.9), [])
 
 
-async def test_a_peer_cannot_ask_in_the_name_of_another():
-    # A peer asks the home in another entry's name, with a serial above all of that entry's, and
-    # says that nothing is open there. The home would lend the open requests' slots once more,
-    # and take every later ask of that entry for an old one.
+async def test_a_peer_cannot_query_in_the_name_of_another():
+    # A peer queries the home in another entry's name, with a greater serial than that entry's, and
+    # states that nothing is open there. The home would grant the slots of the open requests again
+    # and treat every later query of that entry as outdated.
     async with small_site(entries=3) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
         await admit(others[0], 10)
-        loans = home.kernel.get(Limits).home._grants_by_account[AccountId("acme")]
-        before = loans._grant_by_entry[InstanceId(others[0].name)]
+        grants = home.kernel.get(Limits).home._grants_by_account[AccountId("acme")]
+        before = grants._grant_by_entry[InstanceId(others[0].name)]
         row = GrantRequest(AccountId("acme"), 0, 0, Share(), Share(), 0.0)
         ask = make_query(InstanceId(others[0].name), 10**15, [row])
         port = others[1].kernel.get(PeerPort)
         answer = await port.ask(InstanceId(home.name), home.host, PORTS["peer"], ask)
         check.assertIsInstance(answer, Nothing)
-        check.assertEqual(loans._grant_by_entry[InstanceId(others[0].name)], before)
+        check.assertEqual(grants._grant_by_entry[InstanceId(others[0].name)], before)
 
 
-async def test_no_ask_counts_a_request_that_an_answer_has_just_let_in():
-    # Requests arrive one after the other while answers come. An answer has given a token for a
-    # request that waits, and before that request runs, another arrival makes the entry ask once
-    # more. Counted there again, it would take a second token, and a later caller be refused.
+async def test_no_query_counts_a_request_that_an_answer_has_just_admitted():
+    # Requests arrive while answers arrive. An answer brings a token for a waiting request, and
+    # before that request continues, another arrival makes the entry send a query. If the request
+    # were counted there again, it would use up a second token and a later caller be refused.
     async with small_site(entries=3) as (_, entries):
         await trio.sleep(WARM_UP_S + 3)
         _, others = home_and_others(entries)
@@ -276,9 +276,9 @@
         counted_twice = []
 
         def due(now_s):
-            held = entry._state_by_account.get(AccountId("acme"))
-            if held is not None and held.waiting:
-                counted_twice.append(entry._refusal(now_s, AccountId("acme"), held) is None)
+            state = entry._state_by_account.get(AccountId("acme"))
+            if state is not None and state.waiting:
+                counted_twice.append(entry._refusal(now_s, AccountId("acme"), state) is None)
             return inner(now_s)
 
         entry.due_queries = due
@@ -291,41 +291,41 @@
         check.assertEqual(sum(counted_twice), 0)
 
 
-async def test_a_third_entry_is_served_when_a_new_home_opens():
-    # One of four entries, the home, is killed. Callers at two others are served by their shares
-    # while the new home warms up. The last entry is asked for the first time as it opens: what
-    # the others kept makes up the contract, though they hardly use it.
+async def test_a_third_entry_is_served_when_a_new_home_starts_granting():
+    # One of four entries, the home, is killed. Callers of the others are served by their shares
+    # while the new home warms up. A new entry gets its first request when the home starts to
+    # grant: what the others keep adds up to the contract, though they hardly use it.
     async with small_site(entries=4) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
         home.kill()
-        while any(home_of(one) == home.name for one in others):
-            for one in others:
-                check.assertIsNone(await one_call(one))
+        while any(home_of(process) == home.name for process in others):
+            for process in others:
+                check.assertIsNone(await call_once(process))
             await trio.sleep(0.5)
         fresh = await world.start("entry-9", Program.ENTRY)
         refusals = []
-        for _turn in range(16):
-            for one in others:
-                refusals.append(await one_call(one))
-            refusals.append(await one_call(fresh))
+        for _ in range(16):
+            for process in others:
+                refusals.append(await call_once(process))
+            refusals.append(await call_once(fresh))
             await trio.sleep(1.0)
-        check.assertEqual([one for one in refusals if one], [])
+        check.assertEqual([process for process in refusals if process], [])
 
 
 async def test_a_call_after_a_quiet_time_is_not_refused():
-    # A caller sends two requests soon after a start, when the new home lends nothing and counts
-    # the share that its entry keeps: all of the contract at a site of one entry. The next request
-    # comes a quarter of a minute later. The tokens since the share's end are there for it.
+    # A caller sends two requests soon after the start, when the new home grants nothing and counts
+    # the share that its entry keeps: the whole contract in a deployment of one entry. The next
+    # request comes 15 s later; the tokens since the share expired have to be available for it.
     contract = {
         **CONTRACT,
         "limits": {"requests_per_s": "1000", "burst": "1000", "concurrency": "1000"},
     }
     async with small_site(entries=1, contract=contract) as (_, entries):
         limits = entries[0].kernel.get(Limits)
-        held = contract_of(entries[0])
+        contract_in_force = contract_of(entries[0])
         for quiet_s in (0.1, 15, 0):
-            await limits.ready(held)
-            limits.open(held)
-            limits.close(held.account)
+            await limits.ready(contract_in_force)
+            limits.open(contract_in_force)
+            limits.close(contract_in_force.account)
             await trio.sleep(quiet_s)
