--- a/egretstack/fleet/__init__.py
+++ b/egretstack/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The instances of one fleet and the runners before them, as each instance knows them."""
+"""The fleet as each instance sees it: the instances, and the runners that they send requests to."""
 
 from egretstack.fleet._configuration_link import fetch_text, pack_text, send_packed, unpack_text
 from egretstack.fleet._evacuations import EvacuationChange, Evacuations
--- a/egretstack/fleet/_evacuations.py
+++ b/egretstack/fleet/_evacuations.py
@@ -1,7 +1,7 @@
 """The availability zones that an operator has evacuated; pure, with the time passed in.
 
-The store's revision orders all views, as it does for runners: whoever read later knows better.
-What was read last holds on while neither the store nor a home is heard.
+Views are ordered by the store's revision, as they are for runners: the later reading wins. The last
+reading stays in effect while neither the store nor a home can be reached.
 """
 
 from collections.abc import Iterable
@@ -19,24 +19,24 @@
 
 
 class Evacuations:
-    """The zones whose runners get nothing more until the operator takes it back."""
+    """The zones whose runners get no more requests until the operator ends the evacuation."""
 
     def __init__(self) -> None:
         self.zones: frozenset[ZoneName] = frozenset()
         self.revision = 0
-        """Revision of the store as of which the zones are known; 0 if they are not."""
+        """Revision of the store that `zones` was read at; 0 if it was never read."""
         self.read_s = float("-inf")
-        """When they were last read, by whomever, on this process's clock."""
+        """When the zones were last read, by any instance, on this process's clock."""
 
     @property
     def is_known(self) -> bool:
-        """Tell whether the zones were ever read, by this instance or for it."""
+        """Return whether the zones were ever read, by this instance or by another one for it."""
         return self.revision > 0
 
     def apply_reading(
         self, zones: Iterable[ZoneName], revision: int, read_s: float
     ) -> EvacuationChange | None:
-        """Take a reading; give what it changed, None if nothing. Older readings change nothing."""
+        """Apply a reading; return what it changed, None if nothing. Older ones are ignored."""
         if revision < max(1, self.revision):
             return None
         before, self.zones = self.zones, frozenset(zones)
@@ -47,5 +47,5 @@
         return EvacuationChange(self.zones - before, before - self.zones)
 
     def age_s(self, now_s: float) -> float:
-        """Give how old the last reading is."""
+        """Return the age of the last reading."""
         return now_s - self.read_s
--- a/egretstack/fleet/_fleet.py
+++ b/egretstack/fleet/_fleet.py
@@ -1,9 +1,10 @@
-"""Who is in the fleet, who lives, and which instance is the home; pure, with the time passed in.
+"""Which instances there are, which are live, and which is the home; pure, time is passed in.
 
-The home is the first living instance by rendezvous hash. Every instance reports to the home and
-to the next in line; the home tells all. So each instance sends and gets a fixed number of messages
-in each period, however large the fleet, and a new home knows everything at once. Two homes for a
-moment, or none, make decisions worse and break no promise.
+The home is the first live instance by rendezvous hash. Every instance reports to the home and to
+the next in line; the home sends updates to all. So each instance sends and receives a fixed number
+of messages in each period, however large the fleet, and a new home has the complete state at once.
+Two homes at the same time, or none, make placement worse for a moment and break no guarantee to
+clients.
 """
 
 from collections.abc import Iterable
@@ -14,59 +15,63 @@
 from egretstack.ids import InstanceId
 
 REPORT_PERIOD_S = 0.25
-"""How often instances report and the home tells; also the grain of all that is learned so."""
+"""How often instances report and the home sends updates; also the resolution of everything that is
+learned from them."""
 INSTANCE_TIMEOUT_S = 1.1
-"""Four reports missed: datagrams are lost now and then, rarely four in a row."""
+"""Four missed reports: datagrams get lost now and then, rarely four in a row."""
 HOME_TIMEOUT_S = 0.8
-"""Three tellings missed; then the next in line is asked."""
+"""Three missed updates; then the next in line is used as the home."""
 HOME_EXCLUSION_S = 3.0
-"""How long a silent home is left out of the choice, unless it is heard again."""
+"""How long an unresponsive home is excluded from the election, unless a message of it arrives."""
 REFERRAL_AGE_S = 0.5
-"""How old second-hand word of an instance is taken to be."""
+"""Assumed age of second-hand information about an instance."""
 HOME_LIVENESS_TTL_S = 2.5
-"""How long the word of a home counts after its last telling: until it is taken for silent, and the
-next one has been heard of, told everybody, and perhaps had to tell again. Callers would meanwhile
-be sent to the few instances that this one hears itself."""
+"""How long the home's list of live instances is valid after its last update: until the home counts
+as unresponsive, and the next home has been found, has sent updates to everybody and perhaps had to
+resend them. With a shorter time, callers would meanwhile be sent only to the few instances that
+report to this one directly."""
 LISTED_CANDIDATE_S = 1.5
-"""How long an instance that is only listed somewhere counts as a possible home."""
+"""How long an instance that is only listed in the store counts as a candidate for home."""
 STORE_PROBES = 2
 """Instances that try the store while the home does not reach it, beside the next in line."""
 OUTAGE_THRESHOLD_S = 2.0
-"""How long nobody reads the store in an outage of all. A home that is cut off alone is replaced
-sooner than that: one of a few others is asked to read, and does."""
+"""Time without any instance reading the store from which on this counts as an outage for all. A
+home that alone is cut off is replaced sooner: one of a few others is asked to read the store, and
+succeeds."""
 STORE_RETURN_GRACE_S = 1.5
-"""Time for the home to read the store after such an outage, before whoever reads takes its place:
-its call that is under way may hang for a second, and then it asks again."""
+"""Time that the home gets to read the store after such an outage, before an instance that reads it
+takes over: the home's call in progress may hang for a second before it tries again."""
 RANKING_TTL_S = 0.05
-"""How long a ranking is kept while nobody's rank changes. It is asked for at each
-message, and sorting a large fleet each time takes the time that messages need. An instance that
-fell silent is noticed this much later."""
+"""How long a ranking is cached while nobody's rank changes. It is needed for each message, and
+sorting a large fleet each time takes the time that messages need. An instance that stops responding
+is noticed this much later."""
 MAX_INSTANCES = 4096
 
 
 Rank = tuple[int, int, bytes, InstanceId]
-"""Handicap, strength, digest and id; the lowest is home."""
+"""Handicap, negated strength, digest and id; the lowest is home."""
 
 
 @dataclass(slots=True)
 class _Record:
     known: KnownInstance
     digest: bytes
-    """Its place by hash."""
+    """Rendezvous hash of its id."""
     rank: Rank
-    """Worked out when what is known of it changes, which is far less often than it is asked for."""
+    """Computed when the instance's status changes, which is far less often than it is needed."""
     last_seen_s: float
-    """When its own report last came, or a home that hears it told of it."""
+    """When its own report last came, or a home that receives its reports last listed it."""
     last_report_s: float = float("-inf")
-    """When its own report last came. But for its first moments a home vouches by this alone, or two
-    homes would keep an instance alive by telling each other of it."""
+    """When its own report last came. A home lists an instance as live by this alone, but for the
+    first moments after it became home: otherwise two homes would keep a dead instance alive by
+    listing it to each other."""
     live_per_home: bool = False
-    """Whether the home last told that it lives."""
+    """Whether the home's last update listed it as live."""
     excluded_until_s: float = float("-inf")
 
 
 class Fleet:
-    """The instances, by id, this one among them."""
+    """The instances by id, including this one."""
 
     def __init__(self, own: KnownInstance, now_s: float) -> None:
         self.own = own
@@ -75,35 +80,35 @@
         self._home: InstanceId | None = None
         self._home_since_s = now_s
         self._home_update_s = float("-inf")
-        """When the present home last told."""
+        """When the current home last sent an update."""
         self._home_liveness_s = float("-inf")
-        """When a home last told which instances live, or that this has not changed."""
+        """When a home last sent which instances are live, or that this has not changed."""
         self._newest_config = 0
         self._newest_config_holders: tuple[InstanceId, ...] = ()
         self._outage_since_s: float | None = None
-        """Since when no instance is known to reach the store, and some tried."""
+        """Since when no instance is known to reach the store though some tried."""
         self._store_returned_s = float("-inf")
-        """When the store was back after an outage of all."""
+        """When the store was reachable again after an outage for all."""
         self._cached_ranking: list[InstanceId] = []
         self._cached_for_own: KnownInstance | None = None
-        """What was known of this instance when the kept ranking was made; None if it is void."""
+        """This instance's status when the ranking was cached; None if the cache is invalid."""
         self._cached_s = now_s
 
     def add_listed(self, now_s: float, instances: Iterable[KnownInstance]) -> None:
-        """Note instances that the store lists; they may be long gone."""
+        """Add instances that the store lists; they may have ended long ago."""
         for known in instances:
             if known.instance.id not in self._record_by_id:
                 self._upsert(now_s - INSTANCE_TIMEOUT_S, known)
 
     def record_referral(self, now_s: float, instances: Iterable[KnownInstance]) -> None:
-        """Note the living instances that one which is not the home pointed to."""
+        """Record the live instances that an instance which is not the home referred this one to."""
         for known in instances:
             record = self._upsert(now_s, known)
             if record is not None:
                 record.last_seen_s = max(record.last_seen_s, now_s - REFERRAL_AGE_S)
 
     def record_report(self, now_s: float, known: KnownInstance) -> None:
-        """Note a report that an instance sent itself."""
+        """Record a report that came from the instance itself."""
         record = self._upsert(now_s, known)
         if record is not None:
             record.last_report_s = now_s
@@ -112,7 +117,7 @@
     def record_live_instances(
         self, now_s: float, sender: InstanceId, rows: Iterable[KnownInstance]
     ) -> None:
-        """Note which instances live, all of them, as one that takes itself for the home told."""
+        """Record the complete list of live instances of one that takes itself for the home."""
         live = {sender}
         for known in rows:
             if self._upsert(now_s, self._with_reported_config(now_s, known)) is not None:
@@ -124,7 +129,7 @@
         self.record_home_alive(now_s, sender)
 
     def record_home_alive(self, now_s: float, sender: InstanceId) -> None:
-        """Note that the home told that the instances it vouched for still live."""
+        """Record that the home sent that the instances it listed as live are still live."""
         record = self._record_by_id.get(sender)
         if record is not None:
             self._mark_seen(now_s, record)
@@ -132,7 +137,7 @@
             self._home_update_s = self._home_liveness_s = now_s
 
     def record_home(self, now_s: float, known: KnownInstance) -> None:
-        """Note an instance that tells as the home."""
+        """Record an instance that sends updates as the home."""
         record = self._upsert(now_s, known)
         if record is not None:
             self._mark_seen(now_s, record)
@@ -140,12 +145,12 @@
             self._home_update_s = now_s
 
     def record_newest_config(self, version: int, holders: Iterable[InstanceId]) -> None:
-        """Note the newest configuration of the fleet, and some instances that have it."""
+        """Record the fleet's newest configuration, and some instances that have it."""
         self._newest_config = version
         self._newest_config_holders = tuple(holders)
 
     def home(self, now_s: float) -> InstanceId:
-        """Give the instance that is asked for decisions of the whole fleet."""
+        """Return the instance that decides for the whole fleet."""
         ranked = self._ranked(now_s)
         first = ranked[0]
         if first == self._home and self._is_home_unresponsive(now_s):
@@ -158,13 +163,13 @@
         return first
 
     def is_home(self, now_s: float) -> bool:
-        """Tell whether this instance is the home."""
+        """Return whether this instance is the home."""
         return self.home(now_s) == self.own.instance.id
 
     def is_watcher(self, now_s: float) -> bool:
-        """Tell whether this instance is the home or next in line, or hears of no home.
+        """Return whether this instance is the home or next in line, or receives updates of no home.
 
-        These read what changes seldom; the others hear of it from them.
+        These read from the store what changes seldom; the others receive it from them.
         """
         self.home(now_s)
         own = self.own.instance.id
@@ -172,22 +177,22 @@
         return silent or own in self.watchers(now_s)
 
     def watchers(self, now_s: float) -> set[InstanceId]:
-        """Give the instances that watch the store for all, as far as is known here."""
+        """Return the instances that watch the store for all, as far as is known here."""
         ranked = self._ranked(now_s)
         return {*ranked[:2], *self._store_probes(ranked)}
 
     def _store_probes(self, ranked: list[InstanceId]) -> list[InstanceId]:
-        """Give who tries the store because the home does not reach it.
+        """Return the instances that try the store because the home does not reach it.
 
         A few at a time: one that reaches it becomes home. If all tried, an outage of the store
-        would cost as many calls as there are instances, again and again.
+        would repeatedly cost as many calls as there are instances.
         """
         if self._store_reachability(ranked[0]) is not StoreReachability.UNREACHABLE:
             return []
         return [
-            one
-            for one in ranked
-            if self._store_reachability(one) is not StoreReachability.UNREACHABLE
+            instance
+            for instance in ranked
+            if self._store_reachability(instance) is not StoreReachability.UNREACHABLE
         ][:STORE_PROBES]
 
     def _store_reachability(self, instance: InstanceId) -> StoreReachability:
@@ -195,23 +200,23 @@
         return self.own.store if own else self._record_by_id[instance].known.store
 
     def report_targets(self, now_s: float) -> list[Instance]:
-        """Give the home and the next in line, but for this instance itself."""
+        """Return the home and the next in line, without this instance itself."""
         self.home(now_s)
         ranked = [one for one in self._ranked(now_s) if one != self.own.instance.id]
         return [self._record_by_id[one].known.instance for one in ranked[:2]]
 
     def live(self, now_s: float) -> list[KnownInstance]:
-        """Give the instances that were heard of lately, this one first."""
+        """Return the live instances, this one first."""
         others = [
             record.known for record in self._record_by_id.values() if self._is_live(now_s, record)
         ]
         return [self.own, *others]
 
     def recently_reported(self, now_s: float) -> list[KnownInstance]:
-        """Give the instances that a home may vouch for: those whose own reports came lately.
+        """Return the instances that a home may list as live: those whose own reports came lately.
 
-        A new home also takes the former one's word for as long as a report may take to come: it was
-        not next in line for all of them if two homes died.
+        A new home also trusts the list of its predecessor for as long as a report may take to come:
+        if two homes died, it was not next in line for all reports.
         """
         is_new = now_s - self._home_since_s < INSTANCE_TIMEOUT_S
         return [
@@ -222,7 +227,7 @@
         ]
 
     def not_live(self, now_s: float) -> list[Instance]:
-        """Give the instances that are known and do not live, as far as is heard here."""
+        """Return the known instances that are not live, as far as is known here."""
         return [
             record.known.instance
             for record in self._record_by_id.values()
@@ -230,34 +235,35 @@
         ]
 
     def has_live_home(self, now_s: float) -> bool:
-        """Tell whether this instance hears a home other than itself."""
+        """Return whether this instance receives updates of a home other than itself."""
         home = self.home(now_s)
         return home != self.own.instance.id and now_s - self._home_update_s <= HOME_TIMEOUT_S
 
     def last_known(self, instance: InstanceId) -> KnownInstance | None:
-        """Give what was last said of another instance."""
+        """Return the last known status of another instance."""
         record = self._record_by_id.get(instance)
         return None if record is None else record.known
 
     def configuration_holders(self, now_s: float) -> tuple[int, list[InstanceId]]:
-        """Give the newest configuration that a living instance has, and which ones have it."""
+        """Return the newest configuration version of the live instances, and which ones have it."""
         live = self.live(now_s)
         newest = max(known.config_version for known in live)
         return newest, [one.instance.id for one in live if one.config_version == newest]
 
     def known_instances(self) -> list[Instance]:
-        """Give every instance ever heard of, but for this one."""
+        """Return every other instance that was ever seen."""
         return [record.known.instance for record in self._record_by_id.values()]
 
     def find(self, instance: InstanceId) -> Instance | None:
-        """Give another instance that was heard of."""
+        """Return another instance that was ever seen."""
         record = self._record_by_id.get(instance)
         return None if record is None else record.known.instance
 
     def newer_config_holders(self, now_s: float) -> list[KnownInstance]:
-        """Give the live instances with the newest configuration, if it is newer than this one's.
+        """Return the live instances with the newest configuration, if it is newer than this one's.
 
-        All of them: whoever needs it draws one, and the first to have it does not serve all alone.
+        All of them: whoever needs it picks one at random, so that the first to have it does not
+        serve everybody.
         """
         live = self.live(now_s)
         newest = max(known.config_version for known in live)
@@ -269,7 +275,7 @@
         return [known for known in live if known.config_version == newest]
 
     def _with_reported_config(self, now_s: float, known: KnownInstance) -> KnownInstance:
-        """Give an instance that a home told of, with the configuration that it reported itself."""
+        """Return an instance of the home's list, with the configuration that it reported itself."""
         record = self._record_by_id.get(known.instance.id)
         if record is None or now_s - record.last_report_s >= INSTANCE_TIMEOUT_S:
             return known
@@ -324,20 +330,20 @@
         return self._cached_ranking
 
     def _is_candidate(self, now_s: float, record: _Record) -> bool:
-        """Tell whether an instance is not shunned, and was heard of lately."""
+        """Return whether an instance is not excluded, and was seen lately."""
         if record.excluded_until_s > now_s:
             return False
         recent = now_s - record.last_seen_s < INSTANCE_TIMEOUT_S + LISTED_CANDIDATE_S
         return recent or (record.live_per_home and self._is_home_liveness_fresh(now_s))
 
     def _rank_all(self, now_s: float) -> list[InstanceId]:
-        """Give all that may be home, the first to be it in front.
+        """Return all candidates for home, the preferred one first.
 
-        Not reaching the store counts only while somebody is known to reach it. The home would else
-        go from one to the next through the whole fleet, and each one find out anew that the store
-        is away. After an outage it counts only once the home has had time to read: those that the
-        store answers first, a few in each tenth of a second, would take its place one after the
-        other, and generations be placed by several of them.
+        Not reaching the store counts only while some instance is known to reach it. Otherwise the
+        role would pass through the whole fleet, and each home in turn would find out that the store
+        is unavailable. After an outage it counts only once the home has had time to read: otherwise
+        the instances that the store answers first, a few in each tenth of a second, would replace
+        the home one after the other, and several of them would place generations at once.
         """
         records = [one for one in self._record_by_id.values() if self._is_candidate(now_s, one)]
         stores = {one.known.store for one in records} | {self.own.store}
@@ -351,9 +357,9 @@
             and not returning
         ):
             away = {
-                one.known.instance.id
-                for one in records
-                if one.known.store is StoreReachability.UNREACHABLE
+                record.known.instance.id
+                for record in records
+                if record.known.store is StoreReachability.UNREACHABLE
             }
             if self.own.store is StoreReachability.UNREACHABLE:
                 away.add(self.own.instance.id)
@@ -362,7 +368,7 @@
         return [row[3] for row in rows]
 
     def _track_outage(self, now_s: float, stores: set[StoreReachability]) -> None:
-        """Note when nobody reaches the store, and when that is over."""
+        """Record when no instance reaches the store, and when that ends."""
         if StoreReachability.REACHABLE in stores:
             began_s, self._outage_since_s = self._outage_since_s, None
             if began_s is not None and now_s - began_s >= OUTAGE_THRESHOLD_S:
@@ -376,7 +382,7 @@
 
 
 def _rank(known: KnownInstance, digest: bytes) -> Rank:
-    # An instance that leaves can be home, but is the last choice.
+    # An instance that is leaving can be home, but only as the last choice.
     handicap = {InstanceState.READY: 0, InstanceState.STARTING: 1}.get(known.state, 2)
-    # The home talks to everyone: on the slowest links of a mixed fleet it would choke.
+    # The home sends to everyone, which would saturate the slowest links of a mixed fleet.
     return handicap, -known.instance.strength, digest, known.instance.id
--- a/egretstack/fleet/_instance.py
+++ b/egretstack/fleet/_instance.py
@@ -1,4 +1,4 @@
-"""An instance of the system, as others know it."""
+"""An instance of egretstack, as the others know it."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,38 +10,39 @@
     """Whether clients may be sent to an instance."""
 
     STARTING = 0
-    """It lacks the configuration or the runners."""
+    """The configuration or the list of runners is still missing."""
     READY = 1
     LEAVING = 2
-    """It was asked to stop and serves only what it has."""
+    """It was asked to stop, and serves only the requests that it has."""
 
 
 class StoreReachability(Enum):
     """Whether an instance reaches the store."""
 
     UNKNOWN = 0
-    """It has not asked lately; most need not."""
+    """It has not tried lately; most instances need not."""
     REACHABLE = 1
-    """It was answered a moment ago."""
+    """The store answered it a moment ago."""
     UNREACHABLE = 2
-    """It asked and was not answered, or too late."""
+    """The store did not answer it, or answered too late."""
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """Where one instance is."""
+    """Identity and addresses of one instance."""
 
     id: InstanceId
     zone: ZoneName
     front_address: str
     peer_address: str
     strength: int = 0
-    """How much it can carry, in doublings: of instances of different sizes, the strong decide."""
+    """Binary logarithm of its link rate in Mbit/s: in a fleet of mixed sizes the home is a strong
+    one."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownInstance:
-    """What was last said of an instance."""
+    """Last known status of an instance."""
 
     instance: Instance
     incarnation: int
--- a/egretstack/fleet/_messages.py
+++ b/egretstack/fleet/_messages.py
@@ -1,7 +1,7 @@
-"""What instances tell and ask each other in datagrams; numbers 70 to 89.
+"""Datagrams between instances; numbers 70 to 89.
 
-Rows are lists, in the order of the fields that the functions here name. Whatever is lost is told
-again within a period, or asked again; nothing that callers were promised rests on any of it.
+Rows are lists, in the order of the fields that the functions here name. Whatever is lost is sent or
+requested again within a period; no guarantee to clients depends on any of it.
 """
 
 from collections.abc import Iterable
@@ -18,61 +18,62 @@
 
 @dataclass(frozen=True)
 class InstanceReport(Message):
-    """An instance tells the home, and the next in line, of itself and of what it runs."""
+    """An instance reports its status and its runs to the home and to the next in line."""
 
     number: ClassVar[int] = 70
     sender: list
-    """One row as `instance_row` makes it."""
+    """One row as made by `instance_row`."""
     home: str
-    """Whom the sender takes for the home."""
+    """The instance that the sender takes for the home."""
     held: list
-    """Epoch and version of the news that the sender holds, and whether it missed some."""
+    """Epoch and version of the updates that the sender holds, and whether it missed some."""
     runs: list
     answers: list
-    """What plain runners made of its calls of the last moment, a row each."""
+    """Outcomes of the sender's recent calls to plain runners, a row each."""
     strikes: list
-    """Runners that ended while they ran its requests, a row each."""
+    """Runners that ended while they ran the sender's requests, a row each."""
     clears: list
-    """Requests that runners have answered since some ended under them: content and round."""
+    """Requests that were answered after runners had ended while running them: content id and
+    round."""
     leaving: list
-    """Ids of runners that are known to leave, whatever the store says."""
+    """Ids of runners that are known to be leaving, whatever the store lists."""
     limits: list
-    """What runners said lately of how many requests they take, a row each."""
+    """Rate limits that runners lately gave, a row each."""
 
 
 @dataclass(frozen=True)
 class FleetNews(Message):
-    """The home tells an instance what changed of the instances and runners since a version."""
+    """The home sends an instance the changes of instances and runners after a version."""
 
     number: ClassVar[int] = 71
     home: list
-    """The sender's own row, as `instance_row` makes it."""
+    """The sender's own row, as made by `instance_row`."""
     epoch: int
-    """Whose versions these are: drawn at random by each home when it becomes one."""
+    """Whose versions these are: drawn at random by each home when it becomes home."""
     continued_epoch: int
-    """The epoch whose versions this one goes on from."""
+    """The epoch whose versions this one continues."""
     continued_version: int
-    """The last version of it that the sender had."""
+    """The last version of that epoch that the sender had."""
     base: int
     upto: int
     latest: int
-    """The version that the sender has itself."""
+    """The sender's own version."""
     rows: bytes
     """Packed changes after the version `base`, up to `upto`."""
     runners_revision: int
     runners_age_ms: int
     evacuations_revision: int
-    """Revision of the store as of which the sender knows the evacuated zones; 0 if it does not."""
+    """Revision of the store at which the sender knows the evacuated zones; 0 if it does not."""
     evacuations_age_ms: int
     config_version: int
-    """The newest that any instance reports."""
+    """The newest version that any instance reports."""
     config_holders: list
     """Ids of some instances that have it."""
 
 
 @dataclass(frozen=True)
 class FleetLoads(Message):
-    """The home tells the loads of some engines, for whoever places alone when it falls silent."""
+    """The home sends the loads of some engines, for instances that place without it if it fails."""
 
     number: ClassVar[int] = 81
     home: str
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True)
 class FleetView(Message):
-    """An instance that is not the home points a peer that follows another one to its home."""
+    """An instance that is not the home refers a peer that follows another home to the right one."""
 
     number: ClassVar[int] = 77
     instances: list
@@ -89,7 +90,7 @@
 
 @dataclass(frozen=True)
 class PlaceAsk(Message):
-    """Asks the home for a runner for one generation."""
+    """Requests a runner for one generation from the home."""
 
     number: ClassVar[int] = 72
     sender: str
@@ -98,7 +99,7 @@
 
 @dataclass(frozen=True)
 class PlaceAnswer(Message):
-    """The runner; without one the work waits at the home, and this forecasts for how long."""
+    """The runner; without one the request is queued at the home, with a forecast of the wait."""
 
     number: ClassVar[int] = 73
     attempt: str
@@ -106,14 +107,14 @@
     backup: str
     retry_after_ms: int
     runners: list
-    """Rows of the runners named, for an asker that has not heard of them yet."""
+    """Rows of the runners named, for a requester that does not know them yet."""
     refused: bool
-    """Whether no engine may take the work in time; then it does not wait."""
+    """Whether no engine can accept the request in time; it is not queued then."""
 
 
 @dataclass(frozen=True)
 class PlaceDrop(Message):
-    """Nobody waits for this place any more."""
+    """The request for a place is cancelled."""
 
     number: ClassVar[int] = 80
     attempt: str
@@ -121,7 +122,7 @@
 
 @dataclass(frozen=True)
 class BackupAsk(Message):
-    """Asks the home where a run that goes on at another runner is copied from now on."""
+    """Requests from the home where to back up a run that goes on at another runner."""
 
     number: ClassVar[int] = 78
     sender: str
@@ -134,7 +135,7 @@
 
 @dataclass(frozen=True)
 class BackupAnswer(Message):
-    """The runner for the copy; empty if there is no room."""
+    """The runner for the backup; empty if there is no capacity."""
 
     number: ClassVar[int] = 79
     attempt: str
@@ -143,21 +144,21 @@
 
 @dataclass(frozen=True)
 class MoveAsk(Message):
-    """Asks the home for this run's turn to be copied off its runner."""
+    """Requests the permit to copy this run off its runner now."""
 
     number: ClassVar[int] = 74
     sender: str
     attempt: str
     source: str
     order: float
-    """The lowest goes first."""
+    """The run with the lowest value goes first."""
     refused: list
-    """Engines that had no room for its copy a moment ago."""
+    """Engines that had no capacity for its copy a moment ago."""
 
 
 @dataclass(frozen=True)
 class MoveTurn(Message):
-    """Where to copy the run to."""
+    """Grants the permit, and names the runner to copy the run to."""
 
     number: ClassVar[int] = 75
     attempt: str
@@ -167,7 +168,7 @@
 
 @dataclass(frozen=True)
 class MoveDone(Message):
-    """The turn is over, however it went."""
+    """Returns the permit, whatever the outcome."""
 
     number: ClassVar[int] = 76
     sender: str
@@ -176,7 +177,7 @@
 
 
 def instance_row(known: KnownInstance) -> list:
-    """Give the row of an instance."""
+    """Return the row of an instance."""
     instance = known.instance
     return [
         instance.id,
@@ -192,10 +193,10 @@
 
 
 def broadcast_instance_row(known: KnownInstance, *, watches: bool) -> list:
-    """Give the row of an instance for all others, without what changes in all at the same time.
+    """Return an instance's row for all others, without what changes in all instances at once.
 
-    That is the configuration, and whether it reaches the store; of those that watch the store for
-    the others all have to know that.
+    These are the configuration version and whether it reaches the store. The latter stays in for
+    those that watch the store for the others, since all have to know it.
     """
     store = (
         known.store
@@ -206,7 +207,7 @@
 
 
 def instance_from_row(row: object) -> KnownInstance:
-    """Read the row of an instance. Raises MessageError."""
+    """Parse the row of an instance. Raises MessageError."""
     try:
         name, zone, front, peer, strength, incarnation, state, store, version = row
         instance = Instance(
@@ -216,11 +217,11 @@
             instance, int(incarnation), InstanceState(state), StoreReachability(store), int(version)
         )
     except (TypeError, ValueError) as error:
-        raise MessageError(f"not an instance: {error}") from error
+        raise MessageError(f"invalid instance row: {error}") from error
 
 
 def runner_row(runner: Runner) -> list:
-    """Give the row of a runner."""
+    """Return the row of a runner."""
     return [
         runner.incarnation.name,
         runner.incarnation.started_ms,
@@ -235,7 +236,7 @@
 
 
 def runner_from_row(row: object) -> Runner:
-    """Read the row of a runner. Raises MessageError."""
+    """Parse the row of a runner. Raises MessageError."""
     try:
         name, started_ms, service, address, zone, slots, state, cold_ms, confirmed_at = row
         return Runner(
@@ -249,12 +250,12 @@
             int(confirmed_at),
         )
     except (TypeError, ValueError) as error:
-        raise MessageError(f"not a runner: {error}") from error
+        raise MessageError(f"invalid runner row: {error}") from error
 
 
 def parse_rows(rows: Iterable, parse_row) -> list:
-    """Read the rows of a message; raise MessageError if there are too many or one is bad."""
+    """Parse the rows of a message. Raises MessageError if there are too many or one is invalid."""
     rows = list(rows)
     if len(rows) > MAX_ROWS:
-        raise MessageError(f"{len(rows)} rows")
+        raise MessageError(f"{len(rows)} rows are too many")
     return [parse_row(row) for row in rows]
--- a/egretstack/fleet/_nearest.py
+++ b/egretstack/fleet/_nearest.py
@@ -12,7 +12,7 @@
     region: RegionName,
     allowed_regions: Collection[RegionName],
 ) -> list[Instance]:
-    """Give the instances of the callers' region, else of the homes of what they ask, else all.
+    """Return the instances of the callers' region, else of the allowed regions, else all.
 
     Bodies of requests that are bound to regions then go to no others, as long as an instance is
     ready in one of them.
--- a/egretstack/fleet/_news.py
+++ b/egretstack/fleet/_news.py
@@ -1,8 +1,8 @@
-"""The fleet's news by version: what the home tells to whom, and what an instance makes of it; pure.
+"""Versioned updates: what the home sends to whom, and how an instance applies them; pure.
 
-Each report carries the version that its sender holds; the home sends what changed since. Whole
-lists to everybody at each change grow with the square of the fleet: in a large one a leaving runner
-is known to many only after its notice.
+Each report carries the version that its sender holds; the home sends what changed since then.
+Sending the whole list to everybody at each change grows with the square of the fleet: in a large
+fleet many instances would know of a leaving runner only after its notice has run out.
 """
 
 import zlib
@@ -19,28 +19,28 @@
 
 MAX_PACKED_BYTES = 1_100
 """Packed rows of one datagram. With its other fields and headers it stays below 1,400 bytes, so
-that it goes in one packet: one of several packets is lost if any of them is."""
+that it fits in one packet: a datagram of several packets is lost if any of them is."""
 MAX_ROWS_BYTES = 65_536
-"""Rows of one datagram, unpacked; more is no news of an instance of this system."""
+"""Unpacked rows of one datagram; no instance of egretstack sends more."""
 MAX_KEYS = 16_384
-"""Rows that are held in all: several times the instances and runners of the largest fleet."""
+"""Rows held in all: several times the instances and runners of the largest fleet."""
 MAX_REMOVED = 1_024
-"""Removed rows that a home remembers, some 40 bytes each, before it begins anew. A fleet of 195
+"""Removed rows that a home remembers, about 40 bytes each, before it starts over. A fleet of 195
 instances and 35 runners that all restart at once removes 230."""
 RESEND_AFTER_S = 0.3
-"""How long news are taken to be on their way, from the first that is not reported to be held: a
-little more than a report's period. Whoever misses some asks at once."""
+"""How long an update counts as in flight, from the first one that is not acknowledged: a little
+more than the report period. An instance that misses one requests it at once."""
 ACK_TIMEOUT_S = 0.1
-"""Time after which an instance's report shows what was told before, many times a round trip. One
-that does not has lost it: a later report need not be waited for."""
+"""Time after which an instance's report acknowledges what was sent before, many times a round trip.
+If it does not, the update was lost, and is sent again without waiting for another report."""
 REPEAT_AFTER_S = 0.05
-"""When urgent news go out once more, before the reports can tell who has lost them."""
+"""When urgent updates are sent once more, before the reports can show who has lost them."""
 _COMPRESSION_LEVEL = 1
 
 
 @dataclass(frozen=True, slots=True)
 class HeldVersion:
-    """What an instance holds: a version, as one home numbered them."""
+    """What an instance holds: a version, in the numbering of one home."""
 
     epoch: int = 0
     """Drawn anew by each home; 0 if nothing is held."""
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdatePart:
-    """What one datagram tells: the changes after `base`, up to `upto`."""
+    """Contents of one datagram: the changes after `base`, up to `upto`."""
 
     base: int
     upto: int
     packed: bytes
 
     def fill(self, update: FleetNews) -> FleetNews:
-        """Give news with these rows."""
+        """Return an update with these rows."""
         return replace(update, base=self.base, upto=self.upto, rows=self.packed)
 
 
@@ -65,17 +65,17 @@
     held: int = 0
     sent: int = 0
     first_sent_s: float = float("-inf")
-    """When the first of what is sent and not held yet went out. Were it the last, a part that was
-    lost would never be sent again while other rows change."""
+    """When the first update that is not acknowledged yet was sent. If this were the last one, a
+    part that was lost would never be resent while other rows change."""
     last_sent_s: float = float("-inf")
-    """When the last of it went out."""
+    """When the last update was sent."""
 
 
 class UpdatePublisher:
-    """The home's side: the rows, and what each instance has of them.
+    """The home's side: the rows, and which version each instance has.
 
-    A new home goes on from the version that it held under the former one, so that the others need
-    only what changed since and not everything.
+    A new home continues from the version that it held under its predecessor, so that the others
+    need only what changed since and not everything.
     """
 
     def __init__(
@@ -89,11 +89,10 @@
         self._parts_by_base: dict[int, list[UpdatePart]] = {}
         self._parts_version: tuple[int, int] | None = None
         self._urgent_since: int | None = None
-        """The version before the urgent changes that have been told once; None if all were told
-        again."""
+        """The version before the urgent changes that were sent once; None if all were repeated."""
 
     def replace_rows(self, row_by_key: Mapping[str, Row]) -> bool:
-        """Take the rows that there are now; tell whether any changed."""
+        """Replace the rows with the current ones and return whether any changed."""
         if self.rows.removed > MAX_REMOVED:
             self.epoch, self.continued, self.rows = (
                 self._draw_epoch(),
@@ -105,20 +104,21 @@
         return self.rows.replace_all(row_by_key)
 
     def mark_urgent(self, since: int) -> None:
-        """Take the changes after a version for urgent: `repeats_for` gives them once more."""
+        """Mark the changes after a version as urgent: `urgent_parts_for` returns them once more."""
         before = self._urgent_since
         self._urgent_since = since if before is None else min(before, since)
 
     def urgent_repeated(self) -> None:
-        """Note that the urgent news went out once more to all."""
+        """Record that the urgent updates were sent once more to all."""
         self._urgent_since = None
 
     def urgent_parts_for(self, instance: InstanceId) -> list[UpdatePart]:
-        """Give the urgent news that an instance has not reported to hold; may be none.
+        """Return the urgent updates that an instance has not acknowledged; may be none.
 
-        A runner that leaves gives some 1.5 s. Where the links lose packets, some instances of a
-        large fleet lose the one that says so. They would hear of it from the answer to a later
-        report, when what they run there has to be moved already. Two are rarely lost.
+        A leaving runner gives about 1.5 s of notice. On links that lose packets, some instances of
+        a large fleet lose the datagram with the notice. They would get it with the answer to a
+        later report, when the runs that they have there should already be moving. Two such
+        datagrams are rarely both lost.
         """
         if self._urgent_since is None:
             return []
@@ -127,26 +127,26 @@
         return [] if base >= self.rows.version else self._parts(base)
 
     def record_held(self, instance: InstanceId, held: HeldVersion, *, missed: bool = False) -> None:
-        """Note what an instance reports to hold; `missed` if it could not use what came later."""
+        """Record what an instance reports to hold; `missed` if it could not apply later updates."""
         progress = self._progress(instance)
         progress.held = self._translate_version(held)
         if missed:
             progress.sent = progress.held
 
     def retain(self, kept: set[InstanceId]) -> None:
-        """Forget instances that are not among those kept."""
+        """Drop the state of all instances but those given."""
         for instance in self._progress_by_instance.keys() - kept:
             del self._progress_by_instance[instance]
 
     def is_behind(self, now_s: float, instance: InstanceId) -> bool:
-        """Tell whether an instance that has just reported lacks something not on its way."""
+        """Return whether an instance that just reported lacks something not in flight."""
         progress = self._progress(instance)
         if now_s - progress.last_sent_s >= ACK_TIMEOUT_S:
             progress.sent = progress.held
         return self._base(now_s, instance) < self.rows.version
 
     def parts_for(self, now_s: float, instance: InstanceId) -> list[UpdatePart]:
-        """Give what to send to an instance now, and take it as sent; at least one part."""
+        """Return the parts to send to an instance now, at least one, and record them as sent."""
         base = self._base(now_s, instance)
         progress = self._progress(instance)
         if base == progress.held:
@@ -165,10 +165,10 @@
         return max(progress.held, progress.sent) if in_flight else progress.held
 
     def _translate_version(self, held: HeldVersion) -> int:
-        """Give a version of another home in this one's numbers; 0 if it tells nothing here."""
+        """Return a version of another home in this one's numbering; 0 if there is none."""
         continued = self.continued
-        goes_on = held.epoch == continued.epoch and held.version <= continued.version
-        if held.epoch != self.epoch and not goes_on:
+        continues = held.epoch == continued.epoch and held.version <= continued.version
+        if held.epoch != self.epoch and not continues:
             return 0
         return min(held.version, self.rows.version)
 
@@ -184,42 +184,42 @@
 
 
 class ApplyResult(Enum):
-    """What became of news."""
+    """Outcome of applying an update."""
 
     WHOLE = "whole"
-    """All that the home has told is held now."""
+    """All that the home has sent is held now."""
     PART = "part"
-    """More has to come first."""
+    """More parts have to come first."""
     GAP = "gap"
-    """Something before was lost; it is asked for by the next report."""
+    """An earlier update was lost; the next report requests it."""
 
 
 class UpdateFollower:
-    """An instance's side: the rows as the home told them."""
+    """An instance's side: the rows as the home sent them."""
 
     def __init__(self) -> None:
         self.rows = VersionedRows()
         self._epoch = 0
         self._changed: set[str] = set()
         self.missed = False
-        """Whether news came that build on others which are not held."""
+        """Whether an update came that builds on a version which is not held."""
 
     @property
     def held(self) -> HeldVersion:
-        """What this instance holds."""
+        """The version that this instance holds."""
         return HeldVersion(self._epoch, self.rows.version)
 
     def adopt(self, publisher: UpdatePublisher) -> None:
-        """Hold what this instance told itself as the home it was until now."""
+        """Adopt the rows that this instance sent as the home, which it was until now."""
         self.rows, self._epoch = publisher.rows, publisher.epoch
 
     def apply(self, update: FleetNews) -> ApplyResult:
-        """Take news of the home. Raises MessageError."""
+        """Apply an update of the home. Raises MessageError."""
         changes = unpack_changes(update.rows)
         if not 0 <= update.base <= update.upto <= update.latest:
-            raise MessageError("news with versions out of order")
+            raise MessageError("an update with versions out of order")
         if len(self.rows) + len(changes) > MAX_KEYS:
-            raise MessageError("news of more than any fleet has")
+            raise MessageError("an update with too many rows")
         same_epoch = update.epoch == self._epoch or self._switch_epoch(update)
         self.missed = not same_epoch or update.base > self.rows.version
         if self.missed:
@@ -228,14 +228,14 @@
         return ApplyResult.WHOLE if self.rows.version >= update.latest else ApplyResult.PART
 
     def pop_changed(self) -> set[str]:
-        """Give the keys of the rows that changed since they were last asked for."""
+        """Return the keys of the rows that changed since the last call."""
         changed, self._changed = self._changed, set()
         return changed
 
     def _switch_epoch(self, update: FleetNews) -> bool:
-        """Take another home's numbers for the rows held, or begin anew; False if neither can be."""
-        goes_on = update.continued_epoch == self._epoch != 0
-        if goes_on and self.rows.version <= update.continued_version:
+        """Renumber the held rows for another home, or start over; False if neither works."""
+        continues = update.continued_epoch == self._epoch != 0
+        if continues and self.rows.version <= update.continued_version:
             self._epoch = update.epoch
             return True
         if update.base > 0:
@@ -246,7 +246,7 @@
 
 
 class UpdateReplica:
-    """One instance's news, in either role; it changes roles without agreement with anybody."""
+    """One instance's updates, in either role; roles change without agreement with anybody."""
 
     def __init__(self, draw_epoch: Callable[[], int]) -> None:
         self._draw_epoch = draw_epoch
@@ -255,15 +255,16 @@
 
     @property
     def publisher(self) -> UpdatePublisher | None:
-        """The home's side, only while this instance is the home."""
+        """The home's side, None unless this instance is the home."""
         return self._publisher
 
     @property
     def held(self) -> HeldVersion:
-        """What this instance holds.
+        """The version that this instance holds.
 
-        A home has versions of its own. Told under its former home's epoch, they would look like
-        that one's, and another heir of it would leave out what this instance lacks.
+        A home has a numbering of its own. If it reported its versions under its predecessor's
+        epoch, they would look like the predecessor's, and another successor would leave out what
+        this instance lacks.
         """
         if self._publisher is not None:
             return HeldVersion(self._publisher.epoch, self._publisher.rows.version)
@@ -271,18 +272,18 @@
 
     @property
     def missed(self) -> bool:
-        """Whether this instance missed news of the home it follows."""
+        """Whether this instance missed updates of the home that it follows."""
         return self._publisher is None and self._follower.missed
 
     def lead(self) -> UpdatePublisher:
-        """Give the home's side, from now on this instance's."""
+        """Return the home's side and take on that role."""
         if self._publisher is None:
             held, rows = self._follower.held, self._follower.rows
             self._publisher = UpdatePublisher(self._draw_epoch, held, rows)
         return self._publisher
 
     def follow(self) -> UpdateFollower:
-        """Give the other side; what this instance told as the home is what it holds."""
+        """Return the follower's side and take on that role, with the rows sent as home."""
         if self._publisher is not None:
             self._follower.adopt(self._publisher)
             self._publisher = None
@@ -290,26 +291,26 @@
 
 
 def pack_changes(changes: list[RowChange]) -> bytes:
-    """Give changes as one datagram carries them."""
+    """Return changes packed for one datagram."""
     return zlib.compress(msgpack.packb(changes), _COMPRESSION_LEVEL) if changes else b""
 
 
 def unpack_changes(packed: bytes) -> list[RowChange]:
-    """Give the changes that were packed. Raises MessageError, also for too many of them."""
+    """Return the changes that were packed. Raises MessageError, also if there are too many."""
     if not packed:
         return []
     inflater = zlib.decompressobj()
     try:
         rows = msgpack.unpackb(inflater.decompress(packed, MAX_ROWS_BYTES))
     except (zlib.error, ValueError, msgpack.UnpackException) as error:
-        raise MessageError(f"changes that can't be unpacked: {error!r}") from error
+        raise MessageError(f"cannot unpack changes: {error!r}") from error
     if not inflater.eof or not isinstance(rows, list) or len(rows) > MAX_ROWS:
-        raise MessageError("changes cut short, or too many")
+        raise MessageError("packed changes are truncated or too many")
     return [change_from_row(row) for row in rows]
 
 
 def _split_changes(base: int, latest: int, changes: list[RowChange]) -> Iterator[UpdatePart]:
-    """Give parts that each fit a datagram; the last one reaches the latest version."""
+    """Yield parts that each fit a datagram; the last one reaches the latest version."""
     packed = pack_changes(changes)
     if len(packed) <= MAX_PACKED_BYTES or len(changes) == 1:
         yield UpdatePart(base, latest, packed)
--- a/egretstack/fleet/_runner_limits.py
+++ b/egretstack/fleet/_runner_limits.py
@@ -1,8 +1,8 @@
-"""What runners say of how many requests a second they take, as one instance knows it; pure.
+"""Request rate limits that runners give, as one instance knows them; pure.
 
-A runner names its limit in each of its answers, and takes it back by an answer without one. Answers
-reach different instances, and pass each other on different connections: the latest word counts,
-whoever heard it.
+A runner names its limit in each of its answers, and withdraws it by an answer without one. Answers
+reach different instances and overtake each other on different connections: the latest statement
+counts, whichever instance received it.
 """
 
 from collections.abc import Container, Mapping
@@ -12,11 +12,12 @@
 from egretstack.messages import MessageError
 
 WITHDRAWAL_REPEAT_S = 2.0
-"""How long it goes with each report that a limit was taken back."""
+"""How long each report repeats that a limit was withdrawn."""
 MAX_REPORTED = 32
-"""Words in one report, some 40 bytes each."""
+"""Limits in one report, about 40 bytes each."""
 HOME_LIMIT_AGE_S = 1.0
-"""Age of what the home tells: an instance's own word of the last second may not have reached it."""
+"""Assumed age of the limits that the home sends: what this instance received in the last second may
+not have reached the home."""
 MAX_PER_S = 1_000_000.0
 MAX_AGE_MS = 3_600_000
 
@@ -26,13 +27,13 @@
     per_s: float | None
     reported_s: float
     since_s: float
-    """When it was first known here that the runner names a limit, or none."""
+    """When this instance first knew that the runner names a limit, or none."""
     is_own: bool
-    """Whether this instance heard it from the runner itself."""
+    """Whether this instance received it from the runner itself."""
 
 
 class RunnerLimits:
-    """The latest word of each runner that named a limit."""
+    """The latest statement of each runner that has named a limit."""
 
     def __init__(self) -> None:
         self._report_by_id: dict[RunnerId, _LimitReport] = {}
@@ -40,12 +41,12 @@
     def record_answer(
         self, now_s: float, runner_id: RunnerId, per_s: float | None, sent_s: float
     ) -> bool:
-        """Take what an answer says, whose request went out at `sent_s`.
+        """Record what an answer says, whose request was sent at `sent_s`.
 
-        Tells whether the runner is limited now and was not before, or is not any more.
+        Returns whether the runner became limited or unlimited by it.
 
-        An answer without a limit may have been on its way when the runner named one. It counts if
-        its request was sent after this was known.
+        An answer without a limit may have been in flight when the runner named one. It counts only
+        if its request was sent after the limit was known.
         """
         known = self._report_by_id.get(runner_id)
         if per_s is None and (known is None or not _is_later(sent_s, known)):
@@ -55,7 +56,7 @@
     def record_reported(
         self, now_s: float, runner_id: RunnerId, per_s: float | None, reported_s: float
     ) -> bool:
-        """Take another instance's word of what a runner said at a time; tells what `heard` does."""
+        """Record what another instance received of a runner; returns what `record_answer` does."""
         known = self._report_by_id.get(runner_id)
         if reported_s <= (known.reported_s if known is not None else float("-inf")):
             return False
@@ -66,10 +67,10 @@
     def apply_home_limits(
         self, now_s: float, per_s_by_id: Mapping[RunnerId, float]
     ) -> set[RunnerId]:
-        """Take all limits that the home knows of; give the runners that are limited or free now.
+        """Apply all limits known to the home; return the runners that became limited or unlimited.
 
-        What is known already becomes no newer by this: the next home would believe it rather than
-        who has heard since that the limit is over.
+        Limits that are known already do not become newer by this: otherwise the next home would
+        prefer them to the statement of an instance that knows since then that the limit has ended.
         """
         changed = set()
         for runner_id in {*per_s_by_id, *self.limited()}:
@@ -81,35 +82,38 @@
         return changed
 
     def per_s(self, runner_id: RunnerId) -> float | None:
-        """Give how many requests a second a runner takes; None if it names no limit."""
+        """Return how many requests a second a runner accepts; None if it names no limit."""
         report = self._report_by_id.get(runner_id)
         return None if report is None else report.per_s
 
     def limited(self) -> dict[RunnerId, float]:
-        """Give the limits of the runners that name one."""
-        words = self._report_by_id.items()
-        return {one: word.per_s for one, word in words if word.per_s is not None}
+        """Return the limits of the runners that name one."""
+        reports = self._report_by_id.items()
+        return {
+            runner_id: report.per_s for runner_id, report in reports if report.per_s is not None
+        }
 
     def rows(self, now_s: float) -> list:
-        """Give the rows of all limits, and of those lately taken back, for a report.
+        """Return the rows of all limits, and of those lately withdrawn, for a report.
 
-        Whoever becomes home next may have started a moment ago, and know of none.
+        The next home may have started a moment ago and know of none.
         """
-        words = [
-            (word.reported_s, one, word.per_s)
-            for one, word in self._report_by_id.items()
-            if word.per_s is not None
-            or (word.is_own and now_s - word.reported_s <= WITHDRAWAL_REPEAT_S)
+        reports = [
+            (report.reported_s, runner_id, report.per_s)
+            for runner_id, report in self._report_by_id.items()
+            if report.per_s is not None
+            or (report.is_own and now_s - report.reported_s <= WITHDRAWAL_REPEAT_S)
         ]
-        words.sort(key=lambda one: -one[0])
+        reports.sort(key=lambda report: -report[0])
         return [
-            [one, per_s, _age_ms(now_s - said_s)] for said_s, one, per_s in words[:MAX_REPORTED]
+            [runner_id, per_s, _age_ms(now_s - reported_s)]
+            for reported_s, runner_id, per_s in reports[:MAX_REPORTED]
         ]
 
     def retain(self, kept: Container[RunnerId]) -> None:
-        """Forget runners that are not among those kept."""
-        for gone in [one for one in self._report_by_id if one not in kept]:
-            del self._report_by_id[gone]
+        """Drop the limits of all runners but those given."""
+        for removed in [runner_id for runner_id in self._report_by_id if runner_id not in kept]:
+            del self._report_by_id[removed]
 
     def _put(
         self,
@@ -120,32 +124,32 @@
         *,
         is_own: bool,
     ) -> bool:
-        """Keep a word; tell whether the runner is limited now and was not, or is not any more."""
+        """Store a statement; return whether the runner became limited or unlimited by it."""
         known = self._report_by_id.get(runner_id)
         was_limited = known is not None and known.per_s is not None
-        goes_on = known is not None and was_limited == (per_s is not None)
-        since_s = known.since_s if goes_on else now_s
+        unchanged = known is not None and was_limited == (per_s is not None)
+        since_s = known.since_s if unchanged else now_s
         self._report_by_id[runner_id] = _LimitReport(per_s, reported_s, since_s, is_own)
-        return not goes_on
+        return not unchanged
 
 
 def limit_from_row(row: object) -> tuple[RunnerId, float | None, float]:
-    """Read a row of a report: runner, limit, and how old the word is. Raises MessageError."""
+    """Parse a row of a report: runner, limit, age of the statement. Raises MessageError."""
     try:
         runner, per_s, age_ms = row
     except (TypeError, ValueError) as error:
-        raise MessageError(f"not a limit: {error}") from error
+        raise MessageError(f"invalid limit row: {error}") from error
     if not isinstance(runner, str) or not isinstance(age_ms, int):
-        raise MessageError("a limit of no runner or age")
+        raise MessageError("a limit without a valid runner or age")
     if not 0 <= age_ms <= MAX_AGE_MS:
-        raise MessageError(f"a limit of {age_ms} ms ago")
+        raise MessageError(f"a limit with an age of {age_ms} ms")
     return RunnerId(runner), None if per_s is None else checked_limit(per_s), age_ms / 1000
 
 
 def checked_limit(per_s: object) -> float:
-    """Give a limit of a message in requests a second. Raises MessageError."""
+    """Return a limit of a message in requests a second. Raises MessageError."""
     if not isinstance(per_s, int | float) or not 0 <= per_s <= MAX_PER_S:
-        raise MessageError("a limit that is no rate")
+        raise MessageError("a limit that is not a valid rate")
     return float(per_s)
 
 
--- a/egretstack/fleet/_runner_table.py
+++ b/egretstack/fleet/_runner_table.py
@@ -1,7 +1,8 @@
-"""Which runners there are and which may get work; pure, with the time passed in.
+"""Which runners there are and which may get requests; pure, with the time passed in.
 
-The store's revision orders all views: whoever read later knows better, whether this instance or
-a peer did. Among the starts of one runner the latest birth counts, whoever tells of it.
+Views are ordered by the store's revision: the later reading wins, whether this instance or a peer
+read it. Of several starts of one runner the one with the latest start time counts, whoever reports
+it.
 """
 
 from collections.abc import Container, Iterable
@@ -11,50 +12,51 @@
 from egretstack.ids import RunnerId, RunnerName, ServiceName, ZoneName
 
 STORE_UNAVAILABLE_AFTER_S = 1.5
-"""Without a reading for so long the store counts as away: entries may have lapsed meanwhile.
+"""Time without a reading after which the store counts as unavailable: entries may have lapsed
+meanwhile.
 
-A little over one heartbeat of the runners; an entry lapses after three.
+A little over one heartbeat interval of the runners; an entry lapses after three.
 """
 RETURN_GRACE_S = 2.2
-"""How long after the store's return a missing entry is still taken for a living runner.
+"""How long after the store's return a runner with a missing entry still counts as live.
 
-Living runners are back in the store within 2 s of its return; dropping all of them at once would
+Live runners are back in the store within 2 s of its return; dropping all of them at once would
 leave no runner at all for that time.
 """
 HOME_TRUST_DELAY_S = RETURN_GRACE_S + 0.8
-"""How long an instance keeps to its own reading of a missing entry against the home's word."""
+"""How long an instance keeps to its own reading of a missing entry when the home says otherwise."""
 REMOVED_RETENTION_S = 40.0
-"""How long a removed runner is remembered, for streams that still run there."""
+"""How long a removed runner is kept, for streams that still run there."""
 
 
 class RunnerTable:
-    """The runners, by id; each start of a runner has its own."""
+    """The runners by id; each start of a runner has its own."""
 
     def __init__(self) -> None:
         self.by_id: dict[RunnerId, Runner] = {}
         self.revision = 0
         self.read_s = float("-inf")
-        """When the store was last read, by whomever, on this process's clock."""
+        """When the store was last read, by any instance, on this process's clock."""
         self.unresponsive: frozenset[RunnerId] = frozenset()
-        """Runners that do not answer the home; they get no new work until they do."""
+        """Runners that do not answer the home; they get no new requests until they do."""
         self.suspects: frozenset[RunnerId] = frozenset()
-        """Runners that break what the fleet sends them; they get only what may be repeated."""
+        """Runners that break the requests they get; they only get requests that may be repeated."""
         self.evacuated: frozenset[ZoneName] = frozenset()
-        """Availability zones whose runners get nothing more until the operator takes it back."""
+        """Zones whose runners get no more requests until the operator ends the evacuation."""
         self._latest_by_name: dict[RunnerName, Incarnation] = {}
-        """The latest start of each runner that any news told of."""
+        """The latest known start of each runner."""
         self._missing_revision_by_id: dict[RunnerId, int] = {}
         """Revision of the first reading that did not list a runner."""
         self._stopped_since_s_by_id: dict[RunnerId, float] = {}
-        """When each runner that leaves, or is gone, was first known to."""
+        """Since when each runner that is leaving or missing is known to be so."""
         self._relisted: set[RunnerId] = set()
         """Missing runners that are listed as ready again."""
         self._grace_until_s = float("-inf")
         self._removed_s_by_id: dict[RunnerId, float] = {}
         self._cold_until_s_by_id: dict[RunnerId, float] = {}
-        """By the runner's own word."""
+        """As the runner itself stated it."""
         self._evacuation_ended_s_by_zone: dict[ZoneName, float] = {}
-        """When the evacuation of a zone was taken back."""
+        """When the evacuation of a zone was ended."""
 
     def apply_reading(
         self,
@@ -65,10 +67,10 @@
         *,
         from_home: bool = False,
     ) -> list[Runner]:
-        """Take a reading of the whole list; give the runners that may get no work from now on.
+        """Apply a reading of the whole list; return the runners that may get no more requests.
 
-        Older readings than the one known are left alone. `by_home`: it is what the home makes of
-        the list, which has seen and asked after all that was missing.
+        Readings older than the current one are ignored. `from_home`: the list as the home sent it,
+        which has noticed all that was missing and has sent health requests there.
         """
         if revision < self.revision:
             return []
@@ -90,13 +92,13 @@
         return stopped
 
     def record_unchanged(self, revision: int, read_s: float) -> None:
-        """Note that a reading of the store, at this revision, lists the same runners as before."""
+        """Record that the store, read at this revision, lists the same runners as before."""
         if revision >= self.revision:
             self.revision = revision
             self.read_s = max(self.read_s, read_s)
 
     def register(self, runner: Runner) -> bool:
-        """Take a runner that the home chose and that is not known here; tell whether it is news."""
+        """Add an unknown runner that the home chose; return whether it was added."""
         if runner.id in self.by_id or runner.incarnation.name in self._latest_by_name:
             return False
         self._latest_by_name[runner.incarnation.name] = runner.incarnation
@@ -104,10 +106,10 @@
         return True
 
     def record_start(self, runner_id: RunnerId, started_ms: int) -> Runner | None:
-        """Take a runner's own word of its start; give the former start if that has thereby ended.
+        """Record a start time that a runner stated; return the former start if it ended by that.
 
-        The store's entry may lag: until it tells more, the new start serves as the former did.
-        A runner whose entry tells no time of birth is not told apart by it.
+        The store's entry may lag: until it is updated, the new start takes the place of the former
+        one. A runner whose entry has no start time is not distinguished by it.
         """
         known = self.by_id.get(runner_id)
         if known is None or known.incarnation.started_ms is None:
@@ -120,7 +122,7 @@
         )
 
     def record_leaving(self, now_s: float, runner_id: RunnerId) -> bool:
-        """Note that a runner itself said that it leaves; tell whether that is news."""
+        """Record that a runner itself said that it is leaving; return whether that was unknown."""
         runner = self.by_id.get(runner_id)
         if runner is None or runner.state in (RunnerState.LEAVING, RunnerState.GONE):
             return False
@@ -130,39 +132,39 @@
         return True
 
     def stopped_since_s(self, runner_id: RunnerId) -> float | None:
-        """Give since when a runner is known to get no more work; None if it may, or is silent."""
+        """Return since when a runner may get no requests; None if it may or is unresponsive."""
         return self._stopped_since_s_by_id.get(runner_id)
 
     def is_leaving(self, runner_id: RunnerId) -> bool:
-        """Tell whether a runner leaves or has left; whoever says otherwise is late."""
+        """Return whether a runner is leaving or has ended; other sources that still list it lag."""
         runner = self.by_id.get(runner_id)
         return runner is not None and runner.state in (RunnerState.LEAVING, RunnerState.GONE)
 
     def leaving(self) -> list[RunnerId]:
-        """Give the runners that leave, in the order in which that was known."""
+        """Return the leaving runners, in the order in which that became known."""
         return [
-            one
-            for one in self._stopped_since_s_by_id
-            if self.by_id[one].state is RunnerState.LEAVING
+            runner_id
+            for runner_id in self._stopped_since_s_by_id
+            if self.by_id[runner_id].state is RunnerState.LEAVING
         ]
 
     def relisted(self) -> list[Runner]:
-        """Give the missing runners that are listed again; one that answers is to be confirmed."""
+        """Return the missing runners that are listed again; `confirm_alive` one that answers."""
         return [self.by_id[one] for one in self._relisted]
 
     def has_missing(self) -> bool:
-        """Tell whether runners are missing that the home's word may let back."""
+        """Return whether runners are missing that the home may readmit."""
         return bool(self._missing_revision_by_id)
 
     def confirm_alive(self, runner_id: RunnerId) -> bool:
-        """Note that a returned runner answered for itself; tell whether that is news."""
+        """Record that a relisted runner answered itself; return whether that was unknown."""
         if runner_id not in self._relisted:
             return False
         self._readmit(replace(self.by_id[runner_id], confirmed_at_revision=self.revision + 1))
         return True
 
     def ready(self, service: ServiceName) -> list[Runner]:
-        """Give the runners of a service that may get work."""
+        """Return the runners of a service that may get requests."""
         return [
             runner
             for runner in self.by_id.values()
@@ -170,21 +172,21 @@
         ]
 
     def is_ready(self, runner_id: RunnerId) -> bool:
-        """Tell whether a runner may get work."""
+        """Return whether a runner may get new requests."""
         runner = self.by_id.get(runner_id)
         if runner is None or runner_id in self.unresponsive or runner.zone in self.evacuated:
             return False
         return runner.state is RunnerState.READY
 
     def is_evacuated(self, runner_id: RunnerId) -> bool:
-        """Tell whether nothing more may be sent to a runner, what goes on there included."""
+        """Return whether nothing more may be sent to a runner, not even for its current runs."""
         runner = self.by_id.get(runner_id)
         return runner is not None and runner.zone in self.evacuated
 
     def has_only_evacuated(self, service: ServiceName, zones: Container[ZoneName] | None) -> bool:
-        """Tell whether a service has runners, but none where a request may run.
+        """Return whether a service has ready runners, but none in a zone where a request may run.
 
-        `zones` are those in which it may run; None if anywhere. In evacuated ones it may not.
+        `zones` are those in which it may run; None if in any. It may not run in evacuated ones.
         """
         ready = [
             runner.zone
@@ -195,16 +197,16 @@
         return bool(ready) and all(zone in self.evacuated for zone in allowed)
 
     def set_evacuated(self, now_s: float, zones: frozenset[ZoneName]) -> None:
-        """Take it that these zones are evacuated now, and no others."""
+        """Set the evacuated zones: these and no others."""
         for zone in self.evacuated - zones:
             self._evacuation_ended_s_by_zone[zone] = now_s
         self.evacuated = zones
 
     def is_cold(self, now_s: float, runner_id: RunnerId, start_s: float) -> bool:
-        """Tell whether a runner is cold; `start_s` is how long its service's runners are.
+        """Return whether a runner is cold; `start_s` is how long a cold start of its service takes.
 
-        Those of a zone whose evacuation was taken back may have become cold a moment before. Their
-        entries tell it at their next heartbeat; until then they are taken to be cold.
+        Runners of a zone whose evacuation has ended may have become cold a moment before. Their
+        entries show it at their next heartbeat; until then they count as cold.
         """
         runner = self.by_id.get(runner_id)
         if runner is None:
@@ -214,30 +216,30 @@
         return now_s < max(until_s, evacuation_ended_s + start_s)
 
     def record_cold(self, now_s: float, runner_id: RunnerId, cold_s: float) -> None:
-        """Take a runner's own word of how much longer it is cold."""
+        """Record how much longer a runner is cold, as it stated itself."""
         runner = self.by_id.get(runner_id)
         if runner is not None and cold_s > 0:
             self.by_id[runner_id] = replace(runner, cold_s=cold_s)
             self._cold_until_s_by_id[runner_id] = now_s + cold_s
 
     def is_gone(self, runner_id: RunnerId) -> bool:
-        """Tell whether a runner has surely ended, since a later start goes by its name."""
+        """Return whether a runner has certainly ended, because a later start uses its name."""
         runner = self.by_id.get(runner_id)
         return runner is not None and runner.state is RunnerState.GONE
 
     def age_s(self, now_s: float) -> float:
-        """Give how old the last reading is."""
+        """Return the age of the last reading."""
         return now_s - self.read_s
 
     def _record_cold_times(self, now_s: float, runners: Iterable[Runner]) -> None:
-        """Note how long runners stay cold, when their entries say something new of it."""
+        """Record how long runners stay cold, where their entries changed in this."""
         for runner in runners:
             known = self.by_id.get(runner.id)
             if runner.cold_s > 0 and (known is None or known.cold_s != runner.cold_s):
                 self._cold_until_s_by_id[runner.id] = now_s + runner.cold_s
 
     def _supersede_former_start(self, runner: Runner) -> Runner | None:
-        """Take the latest start of a runner for the only one; give the one that thereby ended."""
+        """Make the latest start of a runner the current one; return the start that ended by it."""
         name = runner.incarnation.name
         former = self._latest_by_name.get(name)
         if former is not None and not former.is_before(runner.incarnation):
@@ -252,9 +254,9 @@
         return ended
 
     def _listed_by_id(self, runners: list[Runner]) -> dict[RunnerId, Runner]:
-        """Give the runners by id; where an entry of an earlier start lags, the later one as known.
+        """Return the runners by id, with later known starts in place of former ones on the list.
 
-        What is told of a start that has ended stays as it is told.
+        Entries of starts that are listed as ended stay as they are.
         """
         listed: dict[RunnerId, Runner] = {}
         for runner in runners:
@@ -266,12 +268,13 @@
         return listed
 
     def _readmit_per_home(self, now_s: float, listed: Iterable[Runner]) -> None:
-        """Let back the missing runners that the home, by a later reading, takes for living.
+        """Readmit the missing runners that the home, by a later reading, lists as ready.
 
-        An instance that reads for itself may see an entry lapse that the home never missed. Nobody
-        would let the runner back here, and callers of this instance never get to it again. After
-        the store's return the home takes a missing entry for a living runner for a while; what this
-        instance has read itself binds it, so that it waits until that is over.
+        An instance that reads the store itself may see an entry lapse that the home never missed.
+        Nobody would readmit the runner here, and callers of this instance would never reach it
+        again. For a while after the store's return the home counts a missing entry as a live
+        runner; what this instance has read itself takes precedence, so it waits until that time is
+        over.
         """
         for runner in listed:
             missing_revision = self._missing_revision_by_id.get(runner.id, self.revision)
@@ -299,7 +302,7 @@
         return stopped
 
     def _merge_listed(self, known: Runner, listed: Runner | None) -> Runner:
-        """Give what is known of a runner once the list, or its silence, is taken in."""
+        """Return a known runner merged with its entry, or with the lack of one."""
         if listed is None:
             if known.state is not RunnerState.READY:
                 return known
@@ -309,7 +312,7 @@
         listed = replace(listed, confirmed_at_revision=confirmed_at)
         if known.state in (RunnerState.LEAVING, RunnerState.GONE):
             # A notice is final: one that came from the runner itself may be newer than this
-            # reading, and no runner takes a notice back.
+            # reading, and no runner withdraws a notice.
             final = RunnerState.GONE if listed.state is RunnerState.GONE else known.state
             return replace(listed, state=final)
         if known.state is RunnerState.READY:
@@ -319,10 +322,10 @@
         return self._merge_relisted(listed)
 
     def _merge_relisted(self, listed: Runner) -> Runner:
-        """Give what is known of a missing runner that is listed.
+        """Return a missing runner merged with the entry that lists it again.
 
-        Whether it lives has to be asked of itself: an entry also comes back by a heartbeat that
-        was long on its way, from a runner that is gone by then.
+        Whether it is live has to be requested from the runner itself: an entry also comes back by a
+        heartbeat that was long in flight, from a runner that has ended by then.
         """
         if listed.state is not RunnerState.READY:
             self._relisted.discard(listed.id)
@@ -340,7 +343,7 @@
         return self.by_id[runner.id]
 
     def _keep_or_forget(self, now_s: float, runner: Runner) -> bool:
-        """Tell whether a runner that is not listed stays as it is known, or is forgotten."""
+        """Return whether an unlisted runner needs no change; one removed long ago is dropped."""
         if now_s < self._grace_until_s and runner.state is not RunnerState.GONE:
             return True
         self._relisted.discard(runner.id)
@@ -351,7 +354,7 @@
         return False
 
     def _drop_reused_addresses(self, listed: dict[RunnerId, Runner]) -> None:
-        """Leave a returned runner alone while another one is listed at its address."""
+        """Send no health requests to a relisted runner whose address another listed runner uses."""
         used_addresses = {
             runner.address
             for runner in listed.values()
@@ -359,7 +362,9 @@
             and runner.id not in self._relisted
         }
         self._relisted = {
-            one for one in self._relisted if self.by_id[one].address not in used_addresses
+            runner_id
+            for runner_id in self._relisted
+            if self.by_id[runner_id].address not in used_addresses
         }
 
     def _forget(self, runner: Runner) -> None:
--- a/egretstack/fleet/_store_watch.py
+++ b/egretstack/fleet/_store_watch.py
@@ -1,15 +1,15 @@
-"""Whether an instance reaches the store, from how its calls went; pure, with the time passed in."""
+"""Whether an instance reaches the store, from the outcome of its calls; pure, time is passed in."""
 
 from egretstack.fleet._instance import StoreReachability
 
 REACHABLE_TTL_S = 2.5
-"""How long an answer of the store tells that an instance reaches it: two watches."""
+"""How long an answer of the store shows that an instance reaches it: two watch requests."""
 UNREACHABLE_TTL_S = 5.0
-"""How long a failure tells the opposite; after an outage of the store nobody would try else."""
+"""How long a failure shows the opposite; without an end nobody would try again after an outage."""
 
 
 class StoreWatch:
-    """What the calls of one instance tell of the store."""
+    """What the outcomes of one instance's calls show about the store."""
 
     def __init__(self) -> None:
         self.reachability = StoreReachability.UNKNOWN
@@ -19,15 +19,15 @@
         """Calls in a row that were not answered."""
 
     def record_answer(self, now_s: float) -> None:
-        """Note that the store answered a call."""
+        """Record that the store answered a call."""
         self._answered_s, self._failures = now_s, 0
         self.reachability = StoreReachability.REACHABLE
 
     def record_failure(self, now_s: float) -> None:
-        """Note that the store did not answer a call.
+        """Record that the store did not answer a call.
 
-        One that was answered a moment ago is believed to reach it until a second call fails: a
-        single lost answer would move the home.
+        After an answer a moment ago, the store counts as reachable until a second call fails:
+        otherwise a single lost answer would move the home.
         """
         self._failed_s = now_s
         self._failures += 1
@@ -35,12 +35,12 @@
             self.reachability = StoreReachability.UNREACHABLE
 
     def record_delay(self) -> None:
-        """Note that a home's calls take too long to hear of leaving runners in time."""
+        """Record that a home's calls take too long to learn of leaving runners in time."""
         if self.reachability is StoreReachability.REACHABLE:
             self.reachability = StoreReachability.UNREACHABLE
 
     def expire(self, now_s: float) -> None:
-        """Let go of what is too old to be told."""
+        """Reset a result that is too old to be reported."""
         lapsed = {
             StoreReachability.REACHABLE: now_s - self._answered_s > REACHABLE_TTL_S,
             StoreReachability.UNREACHABLE: now_s - max(self._failed_s, self._answered_s)
--- a/egretstack/fleet/_unanswered.py
+++ b/egretstack/fleet/_unanswered.py
@@ -1,38 +1,38 @@
-"""Which runners answer the home's questions; pure."""
+"""Which runners answer the home's health requests; pure."""
 
 from egretstack.ids import RunnerId
 
 UNRESPONSIVE_AFTER = 2
-"""Questions in a row without an answer: one may be lost with its connection."""
+"""Health requests in a row without an answer: one may be lost with its connection."""
 OWN_FAULT_SHARE = 0.5
-"""Share of silent runners above which the fault is taken to be this instance's own.
+"""Share of unresponsive runners above which the fault is assumed to be this instance's own.
 
-An instance that is cut off from the runners would else keep the whole fleet from using any.
+Otherwise an instance that is cut off from the runners would keep the whole fleet from using any.
 """
 
 
 class UnansweredQueries:
-    """Counts unanswered questions for each runner."""
+    """Counts unanswered health requests of each runner."""
 
     def __init__(self) -> None:
         self._missed_by_id: dict[RunnerId, int] = {}
 
     def record_answer(self, runner_id: RunnerId) -> None:
-        """Note an answer."""
+        """Record an answer."""
         self._missed_by_id.pop(runner_id, None)
 
     def record_miss(self, runner_id: RunnerId) -> None:
-        """Note a question without an answer."""
+        """Record a health request that got no answer."""
         self._missed_by_id[runner_id] = self._missed_by_id.get(runner_id, 0) + 1
 
     def record_ended(self, runner_id: RunnerId) -> None:
-        """Note that a runner was found to have ended; it is silent until it answers."""
+        """Record that a runner was found to have ended; it is unresponsive until it answers."""
         self._missed_by_id[runner_id] = max(
             UNRESPONSIVE_AFTER, self._missed_by_id.get(runner_id, 0)
         )
 
     def unresponsive(self, queried: set[RunnerId]) -> frozenset[RunnerId]:
-        """Give the silent ones among the runners asked; none if too many are."""
+        """Return the unresponsive ones among the runners queried; none if too many are."""
         for runner_id in set(self._missed_by_id) - queried:
             del self._missed_by_id[runner_id]
         unresponsive = {
--- a/egretstack/fleet/_versioned_rows.py
+++ b/egretstack/fleet/_versioned_rows.py
@@ -1,7 +1,7 @@
 """Rows by key, each with the version at which it last changed; pure.
 
-Whoever holds an earlier version gets only what changed since, in the order of the changes, so that
-any beginning of that list is a state that was once whole up to some version.
+An instance that holds an earlier version gets only what changed since, in the order of the changes,
+so that any prefix of that list is the complete state at some version.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,7 +15,7 @@
 
 
 class RowChange(NamedTuple):
-    """One row as it is since a version."""
+    """The state of one row since a version."""
 
     version: int
     key: str
@@ -30,13 +30,13 @@
         self.version = 0
         self._change_by_key: dict[str, RowChange] = {}
         self.removed = 0
-        """Removed rows, which are remembered to tell those who still hold them."""
+        """Removed rows, which are kept so that instances which still hold them can be informed."""
 
     def __len__(self) -> int:
         return len(self._change_by_key)
 
     def replace_all(self, row_by_key: Mapping[str, Row]) -> bool:
-        """Take the rows that there are now; tell whether any changed."""
+        """Replace all rows with the current ones; return whether any changed."""
         before = self.version
         for key, row in row_by_key.items():
             known = self._change_by_key.get(key)
@@ -48,7 +48,7 @@
         return self.version != before
 
     def apply(self, changes: Iterable[RowChange], version: int) -> list[str]:
-        """Take changes told by another holder, up to a version; give the keys that changed."""
+        """Apply changes up to a version that another holder sent; return the keys that changed."""
         changed = []
         for change in changes:
             if change.version <= self.version:
@@ -59,13 +59,13 @@
         return changed
 
     def changes_since(self, version: int) -> list[RowChange]:
-        """Give what changed after a version, in the order of the changes."""
+        """Return what changed after a version, in the order of the changes."""
         if version == self.version:
             return []
         return sorted(one for one in self._change_by_key.values() if one.version > version)
 
     def rows(self) -> dict[str, Row]:
-        """Give the rows that there are, by key."""
+        """Return the current rows by key."""
         return {key: one.row for key, one in self._change_by_key.items() if one.row is not None}
 
     def _put(self, key: str, row: Row | None) -> None:
@@ -80,15 +80,15 @@
 
 
 def change_from_row(row: object) -> RowChange:
-    """Read the change of a row. Raises MessageError."""
+    """Parse the change of a row. Raises MessageError."""
     try:
         version, key, content = row
     except (TypeError, ValueError) as error:
-        raise MessageError(f"not a change: {error}") from error
+        raise MessageError(f"invalid change: {error}") from error
     if not isinstance(version, int) or not isinstance(key, str):
-        raise MessageError("a change without a version or a key")
+        raise MessageError("a change without a valid version or key")
     if not 0 < len(key) <= MAX_KEY_LENGTH:
-        raise MessageError(f"a key of {len(key)} characters")
+        raise MessageError(f"a key with {len(key)} characters")
     if content is not None and not isinstance(content, list):
-        raise MessageError("a change of something that is no row")
+        raise MessageError("a change whose row is not a list")
     return RowChange(version, key, content)
