--- a/egretstack/membership/__init__.py
+++ b/egretstack/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which instances live and which runners leave: heartbeats to a few peers, and the list merged."""
+"""Which instances are live and which runners are leaving: heartbeats, and the merged list."""
 
 from egretstack.membership._choice import (
     ENTRIES_PER_ANSWER,
--- a/egretstack/membership/_choice.py
+++ b/egretstack/membership/_choice.py
@@ -10,16 +10,16 @@
 
 ENTRIES_PER_ANSWER = 5
 OTHER_ZONE_ENTRIES = 2
-"""Places kept for other availability zones: a caller that knew only its own would have nowhere
-to go for as long as it keeps the answer, should that zone fail."""
+"""Places reserved for other availability zones: a caller that knows only its own zone would have no
+entry left, for as long as it keeps the answer, if that zone fails."""
 MAX_REPORTS = 32
 """Load reports that one instance reads, over all services."""
 
 
 def rendezvous(key: str, name: str) -> bytes:
-    """Give the rank of a name for a key; the least comes first.
+    """Return the rank of a name for a key; the lowest comes first.
 
-    When a name goes, only the keys that had it first move to another.
+    When a name is removed, only the keys that it was first for move to another one.
     """
     return hashlib.blake2b(f"{key}/{name}".encode(), digest_size=8).digest()
 
@@ -27,9 +27,10 @@
 def entries_for(
     account: AccountId, zone: ZoneName, live: Iterable[Member], own: Member, own_leaves: bool
 ) -> list[Member]:
-    """Choose the entries a caller of an account should use, the best first; never none.
+    """Choose the entries for a caller of an account, best first; never none.
 
-    `live` are those that take work; `own` is named where there is no other, even if it leaves.
+    `live` are those that accept requests; `own` is included if there is no other, even if it is
+    leaving.
     """
     by_id = {member.id: member for member in live}
     by_id.pop(own.id, None)
@@ -47,11 +48,11 @@
 
     @abstractmethod
     def choose(self, runners: Iterable[RunnerInfo]) -> set[RunnerId]:
-        """Choose among the runners that take work; at most `MAX_REPORTS` are then read."""
+        """Choose among the runners that accept requests; at most `MAX_REPORTS` are then read."""
 
 
 class NearbyReports(ReportChooser):
-    """Chooses a stable subset for each instance: every service in turn, own zone first."""
+    """Chooses a stable subset for each instance: round-robin over services, own zone first."""
 
     def __init__(self, instance: InstanceId, zone: ZoneName, limit: int = MAX_REPORTS) -> None:
         self._instance = instance
@@ -59,18 +60,18 @@
         self._limit = limit
 
     def choose(self, runners: Iterable[RunnerInfo]) -> set[RunnerId]:
-        """Choose among the runners that take work."""
+        """Choose among the runners that accept requests."""
         by_service: dict[str, list[RunnerInfo]] = {}
         for runner in sorted(runners, key=self._rank):
             by_service.setdefault(runner.service, []).append(runner)
         chosen: set[RunnerId] = set()
-        place = 0
+        position = 0
         longest = max((len(found) for found in by_service.values()), default=0)
-        while len(chosen) < self._limit and place < longest:
+        while len(chosen) < self._limit and position < longest:
             for found in by_service.values():
-                if place < len(found) and len(chosen) < self._limit:
-                    chosen.add(found[place].id)
-            place += 1
+                if position < len(found) and len(chosen) < self._limit:
+                    chosen.add(found[position].id)
+            position += 1
         return chosen
 
     def _rank(self, runner: RunnerInfo) -> tuple[bool, bytes]:
--- a/egretstack/membership/_divergence.py
+++ b/egretstack/membership/_divergence.py
@@ -1,11 +1,11 @@
-"""Notices that what this process knows differs from what its neighbours know."""
+"""Detects that this process's table differs from those of its neighbours."""
 
 from dataclasses import dataclass, field
 
 from egretstack.ids import InstanceId
 
 DIVERGED_AFTER_S = 10.0
-"""Well above the time that news takes to reach everyone."""
+"""Well above the time that updates take to reach everyone."""
 REREAD_INTERVAL_S = 60.0
 
 
@@ -18,7 +18,7 @@
     _read_s: float = float("-inf")
 
     def record_comparison(self, now_s: float, peer: InstanceId, agrees: bool) -> None:
-        """Take note whether a neighbour's digest equals this process's."""
+        """Record whether a neighbour's digest equals this process's."""
         self._agrees_by_peer[peer] = agrees
         differing = sum(not one for one in self._agrees_by_peer.values())
         if differing * 2 <= len(self._agrees_by_peer):
@@ -27,20 +27,20 @@
             self._since_s = now_s
 
     def record_list_read(self, now_s: float) -> None:
-        """This process has read the list."""
+        """Record that this process has read the list."""
         self._read_s = now_s
 
     def needs_list(self, now_s: float) -> bool:
-        """Tell whether to read the list ahead of the plan.
+        """Return whether to read the list ahead of the plan.
 
-        The first reading of a process is sent to nobody. If it was an old one, nobody would
-        correct it until the next reading; most neighbours then disagree with this process.
+        The first reading of a process is not sent to others. If it was outdated, nobody would
+        correct it until the next reading; most neighbours then differ from this process.
         """
         if self._since_s is None or now_s - self._since_s < DIVERGED_AFTER_S:
             return False
         return now_s - self._read_s >= REREAD_INTERVAL_S
 
     def retain(self, peers: set[InstanceId]) -> None:
-        """Forget all neighbours but these."""
+        """Drop the state of all neighbours but those given."""
         for peer in self._agrees_by_peer.keys() - peers:
             del self._agrees_by_peer[peer]
--- a/egretstack/membership/_duplicates.py
+++ b/egretstack/membership/_duplicates.py
@@ -1,4 +1,4 @@
-"""Tells when two processes go by one instance id."""
+"""Detects that two processes use one instance id."""
 
 from collections import deque
 
@@ -9,10 +9,11 @@
 
 
 class DuplicateDetector:
-    """Counts rows that only another process of this id can have made; times in seconds.
+    """Counts rows that only another process with this id can have made; times in seconds.
 
-    Two such processes would overrule each other's rows once a second for ever, and every change
-    would go to the whole fleet. Each gives up after a few answers; the alarm tells the operator.
+    Two such processes would overrule each other's rows once a second without end, and every change
+    would be sent to the whole fleet. Each gives up after a few refutations; the alarm informs the
+    operator.
     """
 
     def __init__(self) -> None:
@@ -20,11 +21,13 @@
         self._refuted_s: deque[float] = deque(maxlen=MAX_REFUTATIONS)
 
     def may_refute(self, now_s: float, held: InstanceRow) -> bool:
-        """Tell whether to go above the row that the others hold of this instance."""
-        # Others only ever accuse; that is answered always, or a live instance would stay gone.
+        """Return whether to refute the row that the others hold of this instance."""
+        # Other instances only ever set these two states. They are always refuted, or a live
+        # instance would stay gone.
         if held.state in (InstanceState.SUSPECT, InstanceState.GONE):
             return True
-        # A former run may have left such a row behind, but not several in a row.
+        # An earlier run of this process may have left one such row behind, but not several in a
+        # row.
         if len(self._refuted_s) == MAX_REFUTATIONS and now_s - self._refuted_s[0] < WINDOW_S:
             return False
         self._refuted_s.append(now_s)
--- a/egretstack/membership/_exchange.py
+++ b/egretstack/membership/_exchange.py
@@ -1,4 +1,4 @@
-"""What a process and one neighbour have told each other, and what is still to be told."""
+"""What a process and each neighbour have sent each other, and what is still to be sent."""
 
 from dataclasses import dataclass, field
 
@@ -15,14 +15,14 @@
 @dataclass
 class _Progress:
     confirmed: int = 0
-    """Version of our table that the neighbour has confirmed."""
+    """Version of this process's table that the neighbour has confirmed."""
     seen_run: int = 0
     seen_version: int = 0
 
 
 @dataclass
 class Exchange:
-    """Makes heartbeats for neighbours and takes theirs in; one for each process."""
+    """Makes heartbeats for neighbours and applies theirs; one for each process."""
 
     process_run: int
     table: Table
@@ -30,7 +30,7 @@
     _progress_by_peer: dict[InstanceId, _Progress] = field(default_factory=dict)
 
     def has_updates(self, peer: InstanceId) -> bool:
-        """Tell whether a neighbour lacks a change, as far as is known."""
+        """Return whether a neighbour lacks a change, as far as is known."""
         confirmed = self._progress(peer).confirmed
         return confirmed < self.table.version and bool(
             self.table.changes_after(confirmed, self._source(peer), 1)[0]
@@ -54,7 +54,7 @@
         )
 
     def apply(self, peer: InstanceId, message: AnyHeartbeat) -> list[Row]:
-        """Take a neighbour's heartbeat in; give the rows that were news. Raises RowError."""
+        """Apply a neighbour's heartbeat and return the rows that were new. Raises RowError."""
         rows = [unpack_row(packed) for packed in message.rows[:MAX_ROWS_ACCEPTED]]
         progress = self._progress(peer)
         if progress.seen_run != message.run:
@@ -64,25 +64,25 @@
         self._record_seen(progress, message)
         progress.confirmed = message.seen_version if message.seen_run == self.process_run else 0
         if message.digest == self.table.digest:
-            # Equal tables need no rows. Without this, every first contact would send all.
+            # Equal tables need no rows. Without this, every first contact would send all rows.
             progress.confirmed = self.table.version
         return updates
 
     def retain(self, peers: set[InstanceId]) -> None:
-        """Forget all neighbours but these."""
+        """Drop the state of all neighbours but those given."""
         for peer in self._progress_by_peer.keys() - peers:
             del self._progress_by_peer[peer]
 
     def _record_seen(self, progress: _Progress, message: AnyHeartbeat) -> None:
-        # A sender may count on rows that an earlier run of this process had confirmed. Taking its
-        # version then would leave a hole that is never filled; so its base has to be known here.
+        # A sender may count on rows that an earlier run of this process had confirmed. Accepting
+        # its version then would leave a gap that is never filled, so its base has to be known here.
         if message.base <= progress.seen_version or message.digest == self.table.digest:
             progress.seen_version = message.version
 
     def _source(self, peer: InstanceId) -> str:
-        """Name a run of a neighbour; what it sent is not sent back to it.
+        """Return the name of a neighbour's run; what that run sent is not sent back to it.
 
-        A restarted neighbour has lost what its former run sent, its own end above all.
+        A restarted neighbour has lost what its earlier run sent, above all the news of its own end.
         """
         return f"{peer}/{self._progress(peer).seen_run}"
 
--- a/egretstack/membership/_failure_detector.py
+++ b/egretstack/membership/_failure_detector.py
@@ -1,4 +1,4 @@
-"""Finds neighbours that do not answer, with patience for those that were accused wrongly."""
+"""Detects neighbours that do not answer; waits longer for those that were suspected wrongly."""
 
 from dataclasses import dataclass, field
 
@@ -8,9 +8,10 @@
 """Heartbeats in a row without an answer after which a neighbour is suspected."""
 MAX_SUSPECT_MISSES = 48
 CALM_PERIOD_S = 60.0
-"""Time without a wrong suspicion after which the patience with a neighbour is halved."""
+"""Time without a wrong suspicion after which a raised limit of misses is halved."""
 ISOLATED_AFTER_S = 3.0
-"""Silence of all others after which this process takes itself for the one cut off."""
+"""Time without messages from any other instance after which this process assumes that it is the one
+cut off."""
 LIST_READ_TTL_S = 10.0
 
 
@@ -30,64 +31,69 @@
     _list_read_s: float = float("-inf")
 
     def record_message(self, now_s: float, peer: InstanceId) -> None:
-        """A message came from a peer."""
+        """Record that a message came from a peer."""
         self._last_message_s = now_s
 
     def record_answer(self, now_s: float, peer: InstanceId) -> None:
-        """A peer answered a heartbeat."""
+        """Record that a peer answered a heartbeat."""
         self._last_message_s = now_s
-        watch = self._state(peer)
-        watch.misses = 0
-        if watch.miss_limit > SUSPECT_MISSES and now_s - watch.limit_changed_s > CALM_PERIOD_S:
-            watch.miss_limit = max(SUSPECT_MISSES, watch.miss_limit // 2)
-            watch.limit_changed_s = now_s
+        state = self._state(peer)
+        state.misses = 0
+        if state.miss_limit > SUSPECT_MISSES and now_s - state.limit_changed_s > CALM_PERIOD_S:
+            state.miss_limit = max(SUSPECT_MISSES, state.miss_limit // 2)
+            state.limit_changed_s = now_s
 
     def record_list_read(self, now_s: float) -> None:
-        """The platform's list was read; since the silence began, that proves that the way out
-        of this process works."""
+        """Record that the platform's list was read.
+
+        If that was after the last message of a peer, it proves that the network connection of this
+        process works.
+        """
         self._list_read_s = now_s
 
     def record_miss(self, now_s: float, peer: InstanceId) -> bool:
-        """A heartbeat got no answer; True if the peer is to be suspected now."""
-        watch = self._state(peer)
-        watch.misses += 1
+        """Record that a heartbeat got no answer; return whether to suspect the peer now."""
+        state = self._state(peer)
+        state.misses += 1
         if self._is_isolated(now_s):
             return False
-        return watch.misses >= watch.miss_limit
+        return state.misses >= state.miss_limit
 
     def is_responsive(self, peer: InstanceId) -> bool:
-        """Tell whether the peer answered the last heartbeat, or has not been asked."""
+        """Return whether the peer answered the last heartbeat, or got none yet."""
         return self._state(peer).misses == 0
 
     def record_false_suspicion(self, now_s: float, peer: InstanceId) -> None:
-        """A peer that was suspected here answered the suspicion: be more patient with it.
+        """Double the limit of misses for a peer that refuted the suspicion of this process.
 
-        Where only the way between these two is cut, this one would accuse the other every few
-        seconds for as long as the cut lasts, and every accusation is news to the whole fleet.
+        Where only the path between these two is cut, this process would otherwise suspect the other
+        every few seconds for as long as the cut lasts, and every suspicion is sent to the whole
+        fleet.
         """
-        watch = self._state(peer)
-        watch.misses = 0
-        watch.miss_limit = min(MAX_SUSPECT_MISSES, watch.miss_limit * 2)
-        watch.limit_changed_s = now_s
+        state = self._state(peer)
+        state.misses = 0
+        state.miss_limit = min(MAX_SUSPECT_MISSES, state.miss_limit * 2)
+        state.limit_changed_s = now_s
 
     def reset_misses(self) -> None:
-        """This process was frozen: what it missed says nothing about the others."""
-        for watch in self._state_by_peer.values():
-            watch.misses = 0
+        """Reset the misses after a pause of this process: they say nothing about the others."""
+        for state in self._state_by_peer.values():
+            state.misses = 0
 
     def retain(self, peers: set[InstanceId]) -> None:
-        """Forget all peers but these."""
+        """Drop the state of all peers but those given."""
         for peer in self._state_by_peer.keys() - peers:
             del self._state_by_peer[peer]
 
     def _is_isolated(self, now_s: float) -> bool:
-        # Cut off from all, this process would accuse every neighbour, though the fault is its own.
-        quiet = now_s - self._last_message_s > ISOLATED_AFTER_S
-        reads = (
+        # A process that is cut off from all would suspect every neighbour, though the fault is its
+        # own.
+        no_messages = now_s - self._last_message_s > ISOLATED_AFTER_S
+        list_read = (
             self._list_read_s > self._last_message_s
             and now_s - self._list_read_s <= LIST_READ_TTL_S
         )
-        return quiet and not reads
+        return no_messages and not list_read
 
     def _state(self, peer: InstanceId) -> _PeerState:
         return self._state_by_peer.setdefault(peer, _PeerState())
--- a/egretstack/membership/_listing.py
+++ b/egretstack/membership/_listing.py
@@ -1,4 +1,4 @@
-"""Takes a reading of the platform's list into the table, in steps of bounded work."""
+"""Merges a reading of the platform's list into the table, in steps of bounded work."""
 
 from collections.abc import Iterator
 
@@ -7,10 +7,11 @@
 from egretstack.objectapi import Member
 
 FIRST_STAMP = 1
-"""Stamp of what a process's first reading finds. It is sent to nobody: a restart, or the start of
-the whole fleet, would else send around thousands of rows that everyone has long known."""
+"""Stamp of the entries in a process's first reading. They are not sent to others: otherwise a
+restart, or the start of the whole fleet, would send thousands of rows that everyone has long
+known."""
 STEP_ROWS = 32
-"""Members compared in one step: at 2,120 of them, in one piece they held the loop for 15 ms."""
+"""Members compared in one step: 2,120 of them at once blocked the event loop for 15 ms."""
 
 
 class Listing:
@@ -21,7 +22,7 @@
         self._has_read = False
 
     def steps(self, epoch_ms: int, members: list[Member]) -> Iterator[bool]:
-        """Take a reading; give after each step whether it changed anything."""
+        """Merge a reading; yield after each step whether it changed anything."""
         held = self._table.snapshot()
         listed: set[Key] = set()
         for batch in _batches(members):
@@ -29,8 +30,9 @@
             for member in batch:
                 key = ListedRow.key_of(member)
                 listed.add(key)
-                # Between two steps a neighbour may tell what was read after this reading. That
-                # row is newer; overruled, a runner that leaves would get work until the next one.
+                # Between two steps a neighbour may send a row that was read after this reading.
+                # That row is newer; if it were overwritten, a leaving runner would get requests
+                # until the next reading.
                 if self._table.get(key) is held.get(key):
                     changed |= self._update(key, member, epoch_ms)
             yield changed
@@ -66,7 +68,7 @@
 
 
 def _without_state(member: Member) -> Member:
-    """Give the member as rows hold it: the state stands beside it."""
+    """Return the member as rows hold it: its state is a separate field of the row."""
     return Member(
         member.id, member.service, member.zone, member.host, member.ports, type(member.state).LIVE
     )
--- a/egretstack/membership/_messages.py
+++ b/egretstack/membership/_messages.py
@@ -1,4 +1,4 @@
-"""What heartbeats carry between instances."""
+"""Heartbeat messages between instances."""
 
 from dataclasses import dataclass
 from typing import ClassVar
@@ -8,10 +8,10 @@
 
 @dataclass(frozen=True)
 class Heartbeat(Message):
-    """The sender lives; with it, news that the receiver has not confirmed yet.
+    """Shows that the sender is live, and carries updates that the receiver has not confirmed yet.
 
-    Versions count the changes of one process's own table, and mean something only together with
-    its `run`. Rows are packed by `egretstack.membership._rows`.
+    Versions count the changes of one process's own table, and have a meaning only together with its
+    `run`. Rows are packed by `egretstack.membership._rows`.
     """
 
     number: ClassVar[int] = 20
@@ -20,14 +20,14 @@
     revision: int
     """Applied configuration revision of the sender."""
     digest: int
-    """Digest of the sender's whole table; equal ones need no rows."""
+    """Digest of the sender's whole table; if equal, no rows are needed."""
     base: int
     version: int
     """The rows below are the sender's changes above `base` up to `version`."""
     seen_run: int
     """The receiver's run that `seen_version` belongs to; 0 if none is known."""
     seen_version: int
-    """What the sender holds of the receiver's table."""
+    """The version of the receiver's table that the sender holds."""
     rows: list
 
 
--- a/egretstack/membership/_reading.py
+++ b/egretstack/membership/_reading.py
@@ -1,6 +1,6 @@
 """When this process reads the whole list, so that few read it at a time.
 
-What one reader finds changed spreads with the heartbeats. The turns of the instances are spaced
+What one reader finds changed spreads with the heartbeats. The readings of the instances are spaced
 evenly over the period, so the fleet as a whole reads often though each instance reads rarely.
 """
 
@@ -8,12 +8,12 @@
 
 ROW_BYTES = 200
 MAX_READ_BYTES_PER_S = 1000
-"""What a process may spend on reading the list, on average."""
+"""Average rate that a process may spend on reading the list."""
 
 
 @dataclass(frozen=True)
 class ReadingPlan:
-    """The period of this process's reads, in seconds, and its turn within it."""
+    """The period of this process's readings, in seconds, and its offset within it."""
 
     period_s: float
     offset_s: float
@@ -25,7 +25,7 @@
         return cls(period_s, period_s * rank / max(1, readers))
 
     def wait_s(self, epoch_s: float) -> float:
-        """Give the time until the next turn. Clocks need to agree only for an even spacing."""
+        """Return the time until the next reading. Clocks need to agree only for even spacing."""
         wait_s = (self.offset_s - epoch_s) % self.period_s
-        # A read that began a little early must not be followed by one more in the same turn.
+        # A reading that began a little early must not be followed by one more in the same period.
         return wait_s if wait_s >= self.period_s / 2 else wait_s + self.period_s
--- a/egretstack/membership/_report_schedule.py
+++ b/egretstack/membership/_report_schedule.py
@@ -6,21 +6,23 @@
 from egretstack.ids import RunnerId
 
 JITTER = 0.1
-"""Share by which the time between two turns varies, so that instances do not fall into step."""
+"""Fraction by which the time between two readings varies, so that instances do not synchronize."""
 MAX_AHEAD = 7
-"""Turns that urgent readings may take ahead; the ones after them wait that much longer. Enough
-for one runner to be read every `RETRY_S` until it counts as silent, with the jitter of turns."""
+"""Readings by which urgent ones may run ahead of the rate; the ones after them wait that much
+longer. Enough for one runner to be read every `RETRY_INTERVAL_S` until it counts as unresponsive,
+with jitter."""
 RETRY_INTERVAL_S = 0.5
-"""Least time between two readings of one runner out of turn."""
+"""Minimum time between two urgent readings of one runner."""
 RETRY_PERIOD_S = 10.0
-"""How long after its first failure a runner is read out of turn; later it is read in its turn."""
+"""How long after its first failure a runner is read urgently; later it is read in its normal
+order."""
 
 
 class ReportSchedule:
-    """Shares a bounded rate of readings evenly among runners; doubtful ones are read first.
+    """Distributes a bounded rate of readings evenly over runners; urgent ones are read first.
 
-    Times are seconds on the runtime's clock. Over any longer time the readings stay below the
-    rate: an urgent one at once puts off the turns that follow.
+    Times are seconds on the runtime's clock. Over any longer time the readings stay below the rate:
+    an urgent one delays those that follow.
     """
 
     def __init__(self, rate_per_s: float, min_interval_s: float, rng: random.Random) -> None:
@@ -33,7 +35,7 @@
         self._failed_s: dict[RunnerId, float] = {}
 
     def set_runners(self, runners: Iterable[RunnerId]) -> None:
-        """Take turns among these runners; new ones come first, in a random order."""
+        """Schedule these runners; new ones come first, in a random order."""
         wanted = set(runners)
         for held in (self._read_s, self._urgent, self._failed_s):
             for runner in held.keys() - wanted:
@@ -43,23 +45,23 @@
         self._read_s |= dict.fromkeys(new, float("-inf"))
 
     def prioritize(self, runner: RunnerId) -> None:
-        """Read a runner out of turn: something else than its report says that it is away."""
+        """Read a runner urgently: something else than its report shows that it may be down."""
         if runner in self._read_s:
             self._urgent[runner] = None
 
     def record_failure(self, now_s: float, runner: RunnerId) -> None:
-        """Take note that a reading failed; the runner is read again soon, for some time."""
+        """Record that a reading failed; the runner is read again soon, for some time."""
         if runner not in self._read_s:
             return
         if now_s - self._failed_s.setdefault(runner, now_s) < RETRY_PERIOD_S:
             self._urgent[runner] = None
 
     def record_success(self, runner: RunnerId) -> None:
-        """Take note that a reading brought a report."""
+        """Record that a reading returned a report."""
         self._failed_s.pop(runner, None)
 
     def pop_due(self, now_s: float, busy: set[RunnerId]) -> RunnerId | None:
-        """Give the runner to read now, if one is due; not one of `busy`."""
+        """Return the runner to read now, if one is due, and count it as read; not one of `busy`."""
         runner = self._next(now_s, busy)
         if runner is None or self._due_s(now_s, runner) > now_s:
             return None
@@ -70,7 +72,7 @@
         return runner
 
     def wait_s(self, now_s: float, busy: set[RunnerId]) -> float:
-        """Give the time until `take` may give a runner; infinite where there is none."""
+        """Return the time until `pop_due` may return a runner; infinite if there is none."""
         runner = self._next(now_s, busy)
         return float("inf") if runner is None else max(0.0, self._due_s(now_s, runner) - now_s)
 
--- a/egretstack/membership/_rings.py
+++ b/egretstack/membership/_rings.py
@@ -1,7 +1,7 @@
-"""Who watches whom: a few rings over all instances, each in an order of its own.
+"""Which instance watches which: a few rings over all instances, each in an order of its own.
 
-In each ring an instance watches the next one. So each is watched by exactly as many others as
-there are rings, whatever the fleet's size, and the rings together reach everyone in a few steps.
+In each ring an instance watches the next one. So each is watched by exactly as many others as there
+are rings, whatever the fleet's size, and the rings together reach everyone in a few steps.
 """
 
 import hashlib
@@ -40,19 +40,19 @@
         self._watchers = self._neighbours(-1)
 
     def watched(self) -> list[InstanceId]:
-        """Give the instances that this one watches."""
+        """Return the instances that this one watches."""
         return self._watched
 
     def watchers(self) -> list[InstanceId]:
-        """Give the instances that watch this one."""
+        """Return the instances that watch this one."""
         return self._watchers
 
     def _neighbours(self, step: int) -> list[InstanceId]:
         found: dict[InstanceId, None] = {}
         for number, ring in enumerate(self._rings):
             own_position = bisect(ring, (_position(number, self._own), self._own)) - 1
-            # Two rings may give the same neighbour; the next one in the ring is taken instead,
-            # or an instance would be watched by one other alone.
+            # Two rings may yield the same neighbour; then the next one in the ring is used, or an
+            # instance could be watched by only one other.
             for distance in range(1, len(ring)):
                 name = ring[(own_position + step * distance) % len(ring)][1]
                 if name not in found:
--- a/egretstack/membership/_row_expiry.py
+++ b/egretstack/membership/_row_expiry.py
@@ -1,4 +1,4 @@
-"""Forgets rows of what is neither listed nor alive, a while after nobody needs them."""
+"""Removes rows of subjects that are neither listed nor live, some time after nobody needs them."""
 
 from dataclasses import dataclass, field
 
@@ -13,7 +13,7 @@
 from egretstack.membership._table import Key, Table
 
 RETENTION_S = 900.0
-"""How long such rows are kept, so that no late message brings back what they tell the end of."""
+"""How long such rows are kept, so that no late message restores what they state the end of."""
 SWEEP_INTERVAL_S = 30.0
 
 
@@ -25,7 +25,7 @@
     _obsolete_since_s: dict[Key, float] = field(default_factory=dict)
 
     def sweep(self, now_s: float, epoch_ms: int, table: Table, listed_ids: set[str]) -> bool:
-        """Sweep if it is time; True if a row was forgotten."""
+        """Sweep if it is time; return whether a row was removed."""
         if now_s - self.swept_s < SWEEP_INTERVAL_S:
             return False
         self.swept_s = now_s
--- a/egretstack/membership/_rows.py
+++ b/egretstack/membership/_rows.py
@@ -9,8 +9,8 @@
 MAX_PORTS = 16
 MAX_HOST_LENGTH = 45
 MAX_STAMP = 2**53
-"""Largest incarnation or stamp taken from a peer: with larger ones a faulty peer would win every
-comparison for ever."""
+"""Largest incarnation or stamp accepted from a peer: with larger ones a faulty peer would win every
+comparison from then on."""
 
 NO_EXPIRY = 0
 INSTANCE_KIND = "instance"
@@ -19,11 +19,11 @@
 
 
 class RowError(Exception):
-    """What a peer sent is not a row."""
+    """A peer sent something that is not a row."""
 
 
 class InstanceState(Enum):
-    """What is known of an instance; of two rows of one incarnation the later state wins."""
+    """State of an instance; of two rows of one incarnation the later state wins."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -36,9 +36,9 @@
 
 @dataclass(frozen=True)
 class InstanceRow:
-    """One instance: `incarnation` is raised at each start and by each answer to a suspicion.
+    """One instance: `incarnation` is raised at each start and by each refuted suspicion.
 
-    An instance that was only listed so far, and not heard of, has incarnation 0.
+    An instance that was only listed so far, and from which no message came, has incarnation 0.
     """
 
     member: Member
@@ -47,27 +47,27 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """Give the key of the row's subject."""
+        """Return the key of the row's subject."""
         return self.key_of(self.member.id)
 
     @staticmethod
     def key_of(name: str) -> tuple[str, str]:
-        """Give the key of an instance's row."""
+        """Return the key of an instance's row."""
         return (INSTANCE_KIND, name)
 
     @property
     def order(self) -> tuple[int, int]:
-        """Give what decides which of two rows is newer."""
+        """Return what decides which of two rows is newer."""
         return (self.incarnation, _RANK_BY_STATE[self.state])
 
     def with_state(self, state: InstanceState) -> "InstanceRow":
-        """Give the row with another state."""
+        """Return the row with another state."""
         return replace(self, state=state)
 
 
 @dataclass(frozen=True)
 class ListedRow:
-    """One member as the platform's list had it when it was read; `state` None: not listed.
+    """One member as last read from the platform's list; `state` is None if it is not listed.
 
     `stamp` is in milliseconds since the epoch, and above that of the row it replaced.
     """
@@ -78,49 +78,49 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """Give the key of the row's subject."""
+        """Return the key of the row's subject."""
         return self.key_of(self.member)
 
     @staticmethod
     def key_of(member: Member) -> tuple[str, str]:
-        """Give the key of a member's row."""
+        """Return the key of a member's row."""
         return ListedRow.key_at(member.service, member.id)
 
     @staticmethod
     def key_at(service: str, member_id: str) -> tuple[str, str]:
-        """Give the key of the row of a member of a service."""
+        """Return the key of the row of a member of a service."""
         return (LISTED_KIND, f"{service}/{member_id}")
 
     @property
     def order(self) -> tuple[int, str]:
-        """Give what decides which of two rows is newer."""
+        """Return what decides which of two rows is newer."""
         return (self.stamp, "" if self.state is None else self.state.value)
 
 
 @dataclass(frozen=True)
 class RunnerNotice:
-    """A runner said itself, or an operator said, that it leaves or that it takes work again."""
+    """A runner itself, or an operator, stated that it is leaving or accepts requests again."""
 
     runner: RunnerId
     leaving: bool
     stamp: int
     """In milliseconds since the epoch, and above that of the row it replaced."""
     until: int
-    """When the notice ends by itself, as `stamp`; `FOR_GOOD` if it does not."""
+    """When the notice expires, in the unit of `stamp`; `NO_EXPIRY` if it does not."""
 
     @property
     def key(self) -> tuple[str, str]:
-        """Give the key of the row's subject."""
+        """Return the key of the row's subject."""
         return self.key_of(self.runner)
 
     @staticmethod
     def key_of(runner: str) -> tuple[str, str]:
-        """Give the key of a runner's notice."""
+        """Return the key of a runner's notice."""
         return (NOTICE_KIND, runner)
 
     @property
     def order(self) -> tuple[int, bool]:
-        """Give what decides which of two rows is newer."""
+        """Return what decides which of two rows is newer."""
         return (self.stamp, self.leaving)
 
 
@@ -131,7 +131,7 @@
 
 
 def pack_row(row: Row) -> list:
-    """Give a row as a list that msgpack takes."""
+    """Return a row as a list for msgpack."""
     if isinstance(row, InstanceRow):
         return [_INSTANCE, row.incarnation, row.state.value, *_pack_member(row.member)]
     if isinstance(row, ListedRow):
@@ -141,7 +141,7 @@
 
 
 def unpack_row(packed: object) -> Row:
-    """Make a row of what a peer sent; raise RowError."""
+    """Parse a row from a peer. Raises RowError."""
     try:
         kind, stamp, state, *rest = packed
         if not (isinstance(stamp, int) and 0 <= stamp <= MAX_STAMP):
@@ -165,11 +165,11 @@
 
 def _unpack_member(name: object, service: object, zone: object, host: object, ports: object):
     if not (isinstance(host, str) and len(host) <= MAX_HOST_LENGTH):
-        raise RowError("a host that is none")
+        raise RowError("an invalid host")
     if not (isinstance(ports, dict) and len(ports) <= MAX_PORTS):
-        raise RowError("ports that are none")
+        raise RowError("invalid ports")
     if not all(is_name(port) and isinstance(number, int) for port, number in ports.items()):
-        raise RowError("a port that is none")
+        raise RowError("an invalid port")
     zone_name = ZoneName(_checked_name(zone) if zone else "")
     return Member(
         _checked_name(name),
@@ -183,5 +183,5 @@
 
 def _checked_name(text: object) -> str:
     if not is_name(text):
-        raise RowError("a name that is none")
+        raise RowError("an invalid name")
     return text
--- a/egretstack/membership/_runner_watch.py
+++ b/egretstack/membership/_runner_watch.py
@@ -1,4 +1,4 @@
-"""Which runners get new work: by list, by notice, and by their own load reports."""
+"""Which runners get new requests: by list, by notice, and by their own load reports."""
 
 from dataclasses import dataclass
 
@@ -6,7 +6,7 @@
 from egretstack.policy import RunnerInfo, RunnerLeft, RunnerSeen
 
 UNRESPONSIVE_AFTER_S = 2.0
-"""Time without a readable load report after which a runner gets no new work from here."""
+"""Time without a readable load report after which a runner gets no new requests from here."""
 
 
 @dataclass
@@ -26,29 +26,29 @@
 
 
 class RunnerWatch:
-    """Follows runners; whichever source first says that one leaves is believed.
+    """Tracks runners; the first source that reports one as leaving is believed.
 
-    Times are seconds on the runtime's clock. Each call gives the events for the policy.
+    Times are seconds on the runtime's clock. Each call returns the events for the policy.
     """
 
     def __init__(self) -> None:
         self._runner_by_id: dict[RunnerId, _Runner] = {}
 
     def usable(self) -> list[RunnerInfo]:
-        """Give the runners that get new work."""
+        """Return the runners that get new requests."""
         return [runner.info for runner in self._runner_by_id.values() if runner.usable]
 
     def known(self) -> list[RunnerInfo]:
-        """Give all runners that are listed, leaving ones too."""
+        """Return all listed runners, including leaving ones."""
         return [runner.info for runner in self._runner_by_id.values()]
 
     def is_unresponsive(self, runner_id: RunnerId) -> bool:
-        """Tell whether the runner's reports cannot be read."""
+        """Return whether the runner's reports cannot be read."""
         runner = self._runner_by_id.get(runner_id)
         return runner is not None and runner.unresponsive
 
     def on_list(self, live_by_info: dict[RunnerInfo, bool]) -> list[WatchEvent]:
-        """Take the list with notices applied: runners, and whether each is live there."""
+        """Apply the list with notices: runners, and whether each is live there."""
         events: list[WatchEvent] = []
         found = {info.id for info in live_by_info}
         for runner_id in self._runner_by_id.keys() - found:
@@ -59,7 +59,7 @@
         return events
 
     def on_report(self, runner_id: RunnerId, leaving: bool) -> list[WatchEvent]:
-        """Take a load report that was read."""
+        """Apply a load report that was read."""
         runner = self._runner_by_id.get(runner_id)
         if runner is None:
             return []
@@ -70,7 +70,7 @@
         return _transition(runner, before)
 
     def on_report_failed(self, now_s: float, runner_id: RunnerId) -> list[WatchEvent]:
-        """Take note that a load report could not be read."""
+        """Record that a load report could not be read."""
         runner = self._runner_by_id.get(runner_id)
         if runner is None:
             return []
--- a/egretstack/membership/_state.py
+++ b/egretstack/membership/_state.py
@@ -25,11 +25,11 @@
 from egretstack.objectapi import Member
 
 TICK_S = 0.2
-"""Time between calls of `tick`, and between two messages to one neighbour that carry news."""
+"""Time between calls of `tick`, and between two messages to one neighbour that carry updates."""
 HEARTBEAT_INTERVAL_S = 1.0
 ANSWER_TIMEOUT_S = 1.0
 SUSPICION_TIMEOUT_S = 4.0
-"""Time in which a suspect can answer the suspicion before it counts as gone."""
+"""Time in which a suspect can refute the suspicion before it counts as gone."""
 PAUSE_THRESHOLD_S = 2.0
 PROBE_INTERVAL_S = 5.0
 REFUTE_INTERVAL_S = 1.0
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class HeartbeatRequest:
-    """Send a heartbeat to a peer, and tell the state of the answer or that none came."""
+    """A heartbeat to send; call `on_answer` with the peer's answer, `on_timeout` if none comes."""
 
     peer: Member
     message: Heartbeat
@@ -48,8 +48,8 @@
 class MembershipState:
     """Membership as one process sees it.
 
-    `now_s` is the runtime's clock, `epoch_s` seconds since the Unix epoch. Calls that change
-    what is known raise `changes`.
+    `now_s` is the runtime's clock, `epoch_s` seconds since the Unix epoch. Calls that change the
+    state increment `changes`.
     """
 
     def __init__(self, own: Member, now_s: float, epoch_s: float, rng: random.Random) -> None:
@@ -81,25 +81,25 @@
 
     @property
     def digest(self) -> int:
-        """Give the digest of everything known; equal ones mean equal knowledge."""
+        """Return the digest of the whole table; equal digests mean equal tables."""
         return self._table.digest
 
     @property
     def duplicate_alarms(self) -> int:
-        """Give how often it was found that another process goes by this instance's id."""
+        """Return how often another process was found that uses this instance's id."""
         return self._duplicates.alarms
 
     @property
     def own_member(self) -> Member:
-        """Give this instance's own address."""
+        """Return this instance's own address."""
         return self._row.member
 
     def views(self) -> dict[InstanceId, InstanceView]:
-        """Give every instance known, this one too."""
+        """Return every known instance, including this one."""
         return self._views
 
     def live(self, now_s: float) -> list[Member]:
-        """Give the instances that take work and are not held back for coming and going."""
+        """Return the instances that accept requests and are not held down for flapping."""
         return [
             view.member
             for name, view in self._views.items()
@@ -107,25 +107,25 @@
         ]
 
     def members(self) -> list[Member]:
-        """Give the platform's list as it was last read by anyone."""
+        """Return the platform's list as any instance last read it."""
         return self._view_index.members()
 
     def neighbours(self) -> set[InstanceId]:
-        """Give the instances that this one exchanges heartbeats with."""
+        """Return the instances that this one exchanges heartbeats with."""
         return {*self._rings.watched(), *self._rings.watchers()}
 
     def set_revision(self, revision: Revision) -> None:
-        """Carry another applied configuration revision, from the next tick on."""
+        """Send another applied configuration revision, from the next tick on."""
         self._exchange.revision = revision
         self._sent_s.clear()
 
     def apply_list(self, now_s: float, members: list[Member]) -> None:
-        """Take a reading of the platform's list at once."""
+        """Merge a reading of the platform's list at once."""
         for _ in self.apply_list_steps(now_s, members):
             pass
 
     def apply_list_steps(self, now_s: float, members: list[Member]) -> Iterator[None]:
-        """Take a reading step by step; other calls may come between, another reading may not."""
+        """Merge a reading step by step; other calls may come between, another reading may not."""
         self._detector.record_list_read(now_s)
         self._divergence.record_list_read(now_s)
         for changed in self._listing.steps(self._epoch_ms(now_s), members):
@@ -134,23 +134,23 @@
             yield
 
     def wants_list(self, now_s: float) -> bool:
-        """Tell whether the list is to be read ahead of the plan."""
+        """Return whether the list is to be read ahead of the plan."""
         return self._divergence.needs_list(now_s)
 
     def leave(self) -> None:
-        """Let everyone know that this instance leaves, from the next tick on."""
+        """Inform everyone that this instance is leaving, from the next tick on."""
         self._set_own_state(InstanceState.LEAVING)
 
     def stop(self) -> None:
-        """Let everyone know that this instance is gone, from the next tick on."""
+        """Inform everyone that this instance is gone, from the next tick on."""
         self._set_own_state(InstanceState.GONE)
 
     def announce_runner(
         self, now_s: float, runner: RunnerId, leaving: bool, for_good: bool
     ) -> None:
-        """Spread that a runner leaves, or takes work again.
+        """Inform everyone that a runner is leaving, or accepts requests again.
 
-        A notice that is not for good ends after `NOTICE_S` unless it is given again.
+        A notice that is not for good expires after `NOTICE_TTL_S` unless it is repeated.
         """
         old = self._table.get(RunnerNotice.key_of(runner))
         if old is None and not leaving:
@@ -164,7 +164,7 @@
         self._refresh()
 
     def tick(self, now_s: float) -> list[HeartbeatRequest]:
-        """Give the heartbeats that are due; call it every `TICK_S`."""
+        """Return the heartbeats that are due; call it every `TICK_S`."""
         if now_s - self._ticked_s > PAUSE_THRESHOLD_S:
             self._on_resume(now_s)
         self._ticked_s = now_s
@@ -184,19 +184,19 @@
         return [self._request(now_s, peer) for peer in dict.fromkeys(due) if peer in self._views]
 
     def on_heartbeat(self, now_s: float, peer: InstanceId, message: Heartbeat) -> HeartbeatAnswer:
-        """Take a peer's heartbeat and give the answer. Raises RowError."""
+        """Apply a peer's heartbeat and return the answer. Raises RowError."""
         self._detector.record_message(now_s, peer)
         self._apply(now_s, peer, message)
         return self._exchange.message(peer, HeartbeatAnswer)
 
     def on_answer(self, now_s: float, peer: InstanceId, message: HeartbeatAnswer) -> None:
-        """Take a peer's answer. Raises RowError."""
+        """Apply a peer's answer. Raises RowError."""
         self._in_flight.discard(peer)
         self._detector.record_answer(now_s, peer)
         self._apply(now_s, peer, message)
 
     def on_timeout(self, now_s: float, peer: InstanceId) -> None:
-        """Take note that a heartbeat got no answer in time."""
+        """Record that a heartbeat got no answer in time."""
         self._in_flight.discard(peer)
         view = self._views.get(peer)
         if view is None or not self._detector.record_miss(now_s, peer):
@@ -210,11 +210,11 @@
         return peer not in self._in_flight and waited_s >= period_s - TICK_S / 2
 
     def _is_update_due(self, now_s: float, peer: InstanceId) -> bool:
-        """Tell whether to send news ahead of the next heartbeat."""
-        # One that does not answer gets heartbeats alone: refused connections fail at once, and
-        # the misses of a second would be counted in a fraction of it.
-        well = self._detector.is_responsive(peer)
-        return well and self._is_due(now_s, peer, TICK_S) and self._exchange.has_updates(peer)
+        """Return whether to send updates ahead of the next heartbeat."""
+        # A peer that does not answer gets regular heartbeats only: refused connections fail at
+        # once, and the misses of a second would be counted in a fraction of it.
+        responsive = self._detector.is_responsive(peer)
+        return responsive and self._is_due(now_s, peer, TICK_S) and self._exchange.has_updates(peer)
 
     def _request(self, now_s: float, peer: InstanceId) -> HeartbeatRequest:
         self._in_flight.add(peer)
@@ -222,7 +222,7 @@
         return HeartbeatRequest(self._views[peer].member, self._exchange.message(peer))
 
     def _probe(self, now_s: float) -> list[InstanceId]:
-        """Ask after one instance that is gone: two halves of a fleet find each other so."""
+        """Probe one instance that is gone: separated halves of a fleet find each other this way."""
         if now_s - self._probed_s < PROBE_INTERVAL_S:
             return []
         self._probed_s = now_s
@@ -265,15 +265,16 @@
         self._suspected_here.discard(name)
 
     def _refute(self, now_s: float) -> None:
-        """Answer what others say of this instance, by a higher incarnation."""
+        """Refute what others state of this instance, by a higher incarnation."""
         held = self._table.get(self._row.key)
         if held == self._row or now_s - self._refuted_s < REFUTE_INTERVAL_S:
             return
         self._refuted_s = now_s
         if not self._duplicates.may_refute(now_s, held):
             return
-        # A frozen process that thaws, or one that restarted on a machine whose clock is behind,
-        # finds its own row overruled; nobody would believe it until it is above that row.
+        # A process that resumes after a pause, or that restarted on a machine whose clock is
+        # behind, finds its own row overruled; nobody would believe it until its incarnation is
+        # above that of the row.
         self._row = InstanceRow(self._row.member, held.incarnation + 1, self._row.state)
         self._table.put(self._row)
         self._refresh()
@@ -313,11 +314,11 @@
             name for name, view in self._views.items() if view.state is not InstanceState.GONE
         }
         self._rings.update(present)
-        near = self.neighbours() | self._in_flight
-        self._exchange.retain(near)
-        self._detector.retain(near)
-        self._divergence.retain(near)
+        kept = self.neighbours() | self._in_flight
+        self._exchange.retain(kept)
+        self._detector.retain(kept)
+        self._divergence.retain(kept)
         self._flap_damping.retain(set(self._views))
-        for name in self._sent_s.keys() - near:
+        for name in self._sent_s.keys() - kept:
             del self._sent_s[name]
         self.changes += 1
--- a/egretstack/membership/_table.py
+++ b/egretstack/membership/_table.py
@@ -6,7 +6,7 @@
 from egretstack.membership._rows import Row, pack_row
 
 MAX_ROWS = 20_000
-"""Bound on the rows kept; new subjects beyond it are not taken from peers."""
+"""Bound on the rows kept; new subjects beyond it are not accepted from peers."""
 _DIGEST_BYTES = 8
 
 Key = tuple[str, str]
@@ -16,7 +16,7 @@
     """Rows by subject; the newest of each.
 
     Each change gets the next version. A neighbour is sent the rows above the version that it has
-    confirmed, so nothing is lost with a message, and a cut-off neighbour catches up by itself.
+    confirmed, so nothing is lost with a message, and a neighbour that was cut off catches up.
     """
 
     def __init__(self) -> None:
@@ -28,21 +28,21 @@
         self._changed: set[Key] = set()
 
     def get(self, key: Key) -> Row | None:
-        """Give the row of a subject."""
+        """Return the row of a subject."""
         return self._row_by_key.get(key)
 
     def rows(self) -> Iterator[Row]:
-        """Give every row."""
+        """Return every row."""
         return iter(self._row_by_key.values())
 
     def snapshot(self) -> dict[Key, Row]:
-        """Give a copy of the rows by subject."""
+        """Return a copy of the rows by subject."""
         return dict(self._row_by_key)
 
     def put(self, row: Row, source: str = "", *, is_shared: bool = True) -> bool:
-        """Take a row if it is newer than the one known; True if it was taken.
+        """Store a row if it is newer than the known one; return whether it was stored.
 
-        One that is no news is kept, and sent to nobody.
+        A row that is not shared is kept, but not sent to others.
         """
         old = self._row_by_key.get(row.key)
         if old is not None and old.order >= row.order:
@@ -62,7 +62,7 @@
         return True
 
     def remove(self, key: Key) -> None:
-        """Forget a subject."""
+        """Remove a subject."""
         row = self._row_by_key.pop(key)
         self._version_by_key.pop(key, None)
         self._source_by_key.pop(key, None)
@@ -70,14 +70,14 @@
         self.digest ^= _digest(row)
 
     def pop_changed(self) -> set[Key]:
-        """Give the subjects whose rows changed since the last call."""
+        """Return the subjects whose rows changed since the last call."""
         changed, self._changed = self._changed, set()
         return changed
 
     def changes_after(self, after: int, reader: str, limit: int) -> tuple[list[Row], int]:
-        """Give rows above a version, at most `most`, and the version they reach.
+        """Return rows above a version, at most `limit`, and the version they reach.
 
-        What came from the reader itself is left out.
+        Rows that came from the reader itself are left out.
         """
         rows: list[Row] = []
         for key in reversed(self._version_by_key):
--- a/egretstack/membership/_views.py
+++ b/egretstack/membership/_views.py
@@ -1,4 +1,4 @@
-"""What the rows together say of instances and runners."""
+"""The combined state of instances and runners, derived from the rows."""
 
 from bisect import bisect_left, insort
 from collections.abc import KeysView
@@ -16,7 +16,7 @@
 from egretstack.membership._table import Table
 from egretstack.objectapi import ENTRY_SERVICE, Member, MemberState
 
-_Place = tuple[str, str]
+_ListedKey = tuple[str, str]
 """The service and the id of a listed member."""
 
 
@@ -29,38 +29,38 @@
 
     @property
     def accepts_requests(self) -> bool:
-        """Tell whether callers may be sent there; a suspect may live, so it counts."""
+        """Return whether callers may be sent there; a suspect may be live, so it counts."""
         return self.state in (InstanceState.LIVE, InstanceState.SUSPECT)
 
 
 class Views:
-    """What the table says of instances and of the list, changed row by row.
+    """The state of instances and of the list, updated row by row from the table.
 
-    Worked out anew for each message, 420 instances and 1,700 runners would hold the loop that
-    passes tokens on for 17 ms; here a changed row costs the same at any size.
+    Computed anew for each message, 420 instances and 1,700 runners would block the event loop that
+    forwards tokens for 17 ms; here a changed row costs the same at any size.
     """
 
     def __init__(self, table: Table) -> None:
         self.by_id: dict[InstanceId, InstanceView] = {}
         self._table = table
-        self._member_by_place: dict[_Place, Member] = {}
-        self._places: list[_Place] = []
-        self._places_by_id: dict[str, set[_Place]] = {}
+        self._member_by_key: dict[_ListedKey, Member] = {}
+        self._listed_keys: list[_ListedKey] = []
+        self._keys_by_id: dict[str, set[_ListedKey]] = {}
 
     @property
     def listed_ids(self) -> KeysView[str]:
-        """Give the ids of the members that are listed."""
-        return self._places_by_id.keys()
+        """Return the ids of the members that are listed."""
+        return self._keys_by_id.keys()
 
     def members(self) -> list[Member]:
-        """Give the list as it was last read by anyone, with runners that leave marked so.
+        """Return the list as any instance last read it, with leaving runners marked as such.
 
         A member that did not change is the same object as before.
         """
-        return [self._member_by_place[place] for place in self._places]
+        return [self._member_by_key[key] for key in self._listed_keys]
 
     def follow(self) -> None:
-        """Take in the rows that changed in the table since the last call."""
+        """Apply the rows that changed in the table since the last call."""
         for kind, name in self._table.pop_changed():
             if kind == INSTANCE_KIND:
                 self._update_instance(InstanceId(name))
@@ -68,8 +68,8 @@
                 service, _, member_id = name.partition("/")
                 self._update_listed((service, member_id))
             else:
-                for place in list(self._places_by_id.get(name, ())):
-                    self._update_listed(place)
+                for key in list(self._keys_by_id.get(name, ())):
+                    self._update_listed(key)
 
     def _update_instance(self, name: InstanceId) -> None:
         listed = self._table.get(ListedRow.key_at(ENTRY_SERVICE, name))
@@ -81,27 +81,27 @@
         else:
             self.by_id.pop(name, None)
 
-    def _update_listed(self, place: _Place) -> None:
-        row = self._table.get(ListedRow.key_at(*place))
+    def _update_listed(self, key: _ListedKey) -> None:
+        row = self._table.get(ListedRow.key_at(*key))
         if row is None or row.state is None:
-            self._remove_listed(place)
+            self._remove_listed(key)
         else:
             state = MemberState.LEAVING if _has_leaving_notice(self._table, row) else row.state
-            if place not in self._member_by_place:
-                insort(self._places, place)
-                self._places_by_id.setdefault(place[1], set()).add(place)
-            self._member_by_place[place] = replace(row.member, state=state)
-        if place[0] == ENTRY_SERVICE:
-            self._update_instance(InstanceId(place[1]))
-
-    def _remove_listed(self, place: _Place) -> None:
-        if self._member_by_place.pop(place, None) is None:
+            if key not in self._member_by_key:
+                insort(self._listed_keys, key)
+                self._keys_by_id.setdefault(key[1], set()).add(key)
+            self._member_by_key[key] = replace(row.member, state=state)
+        if key[0] == ENTRY_SERVICE:
+            self._update_instance(InstanceId(key[1]))
+
+    def _remove_listed(self, key: _ListedKey) -> None:
+        if self._member_by_key.pop(key, None) is None:
             return
-        del self._places[bisect_left(self._places, place)]
-        same_id = self._places_by_id[place[1]]
-        same_id.remove(place)
+        del self._listed_keys[bisect_left(self._listed_keys, key)]
+        same_id = self._keys_by_id[key[1]]
+        same_id.remove(key)
         if not same_id:
-            del self._places_by_id[place[1]]
+            del self._keys_by_id[key[1]]
 
 
 _STATE_BY_LISTED = {
@@ -115,7 +115,7 @@
         return InstanceView(row.member, row.state)
     ports = listed.member.ports | row.member.ports
     member = replace(row.member, ports=ports)
-    # The list lags: what it says of an instance that has started since is about the run before.
+    # The list lags: what it says of an instance that has started since is about the earlier run.
     listed_leaving = listed.state is MemberState.LEAVING and listed.stamp >= row.incarnation
     if listed_leaving and row.state in (InstanceState.LIVE, InstanceState.SUSPECT):
         return InstanceView(member, InstanceState.LEAVING)
