--- a/tests/fleet_fixtures.py
+++ b/tests/fleet_fixtures.py
@@ -1,4 +1,4 @@
-"""Instances, runners and works for tests of the fleet and of placing."""
+"""Instances, runners and generation requests for tests of the fleet and of placement."""
 
 from egretstack.fleet import (
     Incarnation,
@@ -28,7 +28,7 @@
 
 
 def known_instance(number, state=InstanceState.READY, *, reads_store=True, version=1, strength=0):
-    """Give an instance as others know it."""
+    """Return an instance as others know it."""
     name = f"entry-{number}"
     instance = Instance(
         InstanceId(name),
@@ -53,7 +53,7 @@
     address=None,
     confirmed_at=0,
 ):
-    """Give a runner."""
+    """Return a runner."""
     address = address or f"10.2.0.{sum(name.encode()) % 250}:8442"
     start = Incarnation(RunnerName(name), started_ms)
     return Runner(start, service, address, ZoneName(zone), slots, state, cold_s, confirmed_at)
@@ -73,7 +73,7 @@
     account="",
     zones=None,
 ):
-    """Give a generation that wants an engine."""
+    """Return the request of a generation for an engine."""
     names = tuple(RunnerId(one) for one in excluded)
     terms = (patience_s, wait_s, prompt_id, names, account, zones)
     return Work(attempt, ENGINES, prompt, max_output, hint, rank, *terms)
--- a/tests/news_fixtures.py
+++ b/tests/news_fixtures.py
@@ -1,4 +1,4 @@
-"""A home that tells news and instances that follow it, without a network."""
+"""A home that sends updates and instances that follow it, without a network."""
 
 from itertools import count
 
@@ -28,7 +28,7 @@
 
 
 def message_with(home, part):
-    """Give a part as it goes out."""
+    """Return a part as the message that is sent."""
     news = FleetNews(
         home=instance_row(known_instance(0)),
         epoch=home.epoch,
@@ -49,17 +49,17 @@
 
 
 def deliver_all(home, follower):
-    """Tell a follower all that it lacks, without a loss; give what became of the last part."""
+    """Deliver all that a follower lacks, without loss; return the result of the last part."""
     name = InstanceId(f"follower-{id(follower)}")
     home.record_held(name, follower.held)
     for part in home.parts_for(0.0, name):
-        taken = follower.apply(message_with(home, part))
+        result = follower.apply(message_with(home, part))
     home.retain(set())
-    return taken
+    return result
 
 
 def fleet_rows(instances=INSTANCES, runners=RUNNERS):
-    """Give the rows of a whole fleet."""
+    """Return the rows of a whole fleet."""
     rows = {
         f"r{name}": [*runner_row(runner(name)), 0]
         for name in map("i-{:010x}".format, range(runners))
--- a/tests/test_fleet_news.py
+++ b/tests/test_fleet_news.py
@@ -1,4 +1,4 @@
-"""The fleet's news by version: losses, restarts, a new home, and a leaving runner."""
+"""Versioned updates of the fleet: losses, restarts, a new home, and a leaving runner."""
 
 import zlib
 from dataclasses import replace
@@ -38,7 +38,7 @@
 load_tests = tests_of(globals())
 
 
-def test_a_newcomer_gets_everything_and_then_what_changes():
+def test_a_new_instance_gets_everything_and_then_what_changes():
     home, follower = publisher(), UpdateFollower()
     home.replace_rows(fleet_rows())
     check.assertIs(deliver_all(home, follower), ApplyResult.WHOLE)
@@ -59,7 +59,7 @@
     check.assertLessEqual(max(sizes), MAX_DATAGRAM)
 
 
-def test_a_calm_fleet_costs_the_same_at_any_size():
+def test_an_update_without_changes_costs_the_same_at_any_size():
     # An instance on a link of 10 Mbit/s gets as many bytes in a fleet of 300 as in one of 30.
     sizes = set()
     for instances in (30, 100, 300):
@@ -73,14 +73,14 @@
     check.assertLess(max(sizes), min(sizes) + 8)
 
 
-def test_a_new_home_goes_on_where_the_former_one_was():
-    # The home dies. The next in line has the same rows; each of 195 instances needs the rows that
-    # differ, and not all of them at once.
-    former, heir, follower = publisher(), UpdateFollower(), UpdateFollower()
+def test_a_new_home_continues_the_versions_of_the_former_one():
+    # The home dies. The next in line has the same rows; each of 195 instances needs only the rows
+    # that differ, and not all of them at once.
+    former, successor, follower = publisher(), UpdateFollower(), UpdateFollower()
     former.replace_rows(fleet_rows())
-    deliver_all(former, heir)
+    deliver_all(former, successor)
     deliver_all(former, follower)
-    home = publisher(9, heir.held, heir.rows)
+    home = publisher(9, successor.held, successor.rows)
     rows = fleet_rows(INSTANCES - 1)
     home.replace_rows(rows)
     home.record_held(OTHER, follower.held)
@@ -91,22 +91,22 @@
     check.assertEqual(follower.held, HeldVersion(9, home.rows.version))
 
 
-def test_what_a_new_home_never_heard_is_dropped():
-    # The former home told this instance more than its heir. By the heir's numbers that can't be
-    # told apart, so that everything is told anew.
-    former, heir, follower = publisher(), UpdateFollower(), UpdateFollower()
+def test_what_a_new_home_never_received_is_dropped():
+    # The former home sent this instance more than its successor. The successor's version numbers do
+    # not show the difference, so everything is sent again.
+    former, successor, follower = publisher(), UpdateFollower(), UpdateFollower()
     former.replace_rows({"ia": [1]})
-    deliver_all(former, heir)
+    deliver_all(former, successor)
     former.replace_rows({"ia": [1], "ib": [2]})
     deliver_all(former, follower)
-    home = publisher(9, heir.held, heir.rows)
+    home = publisher(9, successor.held, successor.rows)
     home.replace_rows({"ia": [1], "ic": [3]})
     check.assertIs(deliver_all(home, follower), ApplyResult.WHOLE)
     check.assertEqual(follower.rows.rows(), {"ia": [1], "ic": [3]})
     check.assertIn("ib", follower.pop_changed())
 
 
-def test_a_home_that_started_again_begins_anew():
+def test_a_restarted_home_starts_over():
     follower = UpdateFollower()
     before = publisher()
     before.replace_rows(fleet_rows(3))
@@ -129,18 +129,18 @@
     check.assertEqual(follower.rows.rows(), {"ib": [1]})
 
 
-def test_two_heirs_of_one_home():
-    # An instance takes itself for home for a moment, as another heir of the same home does, and
-    # then follows that one. Its own versions must not pass for those of the home before: a runner
-    # that was told meanwhile would never be known here.
-    former, heir, own = publisher(), UpdateFollower(), UpdateReplica(lambda: 11)
+def test_two_successors_of_one_home():
+    # An instance takes itself for home for a moment, as another successor of the same home does,
+    # and then follows that one. Its own versions must not be mistaken for those of the former home:
+    # a runner that was sent meanwhile would never be known here.
+    former, successor, own = publisher(), UpdateFollower(), UpdateReplica(lambda: 11)
     former.replace_rows({"ra": [1]})
     deliver_all(former, own.follow())
     former.replace_rows({"ra": [1], "rb": [2]})
-    deliver_all(former, heir)
+    deliver_all(former, successor)
     own.lead().replace_rows({"ra": [3], "rc": [4], "rd": [5]})
     check.assertEqual(own.held, HeldVersion(11, 4))
-    home = publisher(9, heir.held, heir.rows)
+    home = publisher(9, successor.held, successor.rows)
     home.replace_rows({"ra": [1], "rb": [2], "re": [6]})
     home.record_held(OTHER, own.held)
     for part in home.parts_for(0.0, OTHER):
@@ -148,7 +148,7 @@
     check.assertEqual(own.follow().rows.rows(), home.rows.rows())
 
 
-def test_removed_rows_are_forgotten_in_the_end():
+def test_removed_rows_are_dropped_in_the_end():
     home, follower = publisher(), UpdateFollower()
     for number in range(MAX_REMOVED + 10):
         home.replace_rows({f"i{number}": [0], "ia": [0]})
@@ -159,7 +159,7 @@
     check.assertEqual(follower.rows.rows(), home.rows.rows())
 
 
-def test_bytes_that_are_no_news_are_refused():
+def test_invalid_packed_changes_are_rejected():
     good = zlib.compress(msgpack.packb([[1, "ia", [1]]]))
     for packed in (
         b"x",
@@ -183,9 +183,10 @@
 
 @settings(derandomize=True)
 @given(st.lists(_step, max_size=20))
-def test_any_losses_doubles_and_orders_of_arrival_give_a_state_that_was(steps):
-    # An instance would send requests to a runner that has left, or refuse them with runners free:
-    # datagrams are lost, come twice, late and in another order, and a home starts again.
+def test_any_losses_duplicates_and_orders_give_a_state_that_was(steps):
+    # Datagrams get lost, duplicated, delayed and reordered, and a home restarts. With a state that
+    # never was, an instance would send requests to a runner that has left, or refuse them with
+    # runners free.
     home, follower, sent, states = publisher(), UpdateFollower(), [], {(0, 0): {}, (7, 0): {}}
     for number, (rows, arrivals, restarts) in enumerate(steps):
         if restarts and number % 5 == 0:
@@ -205,10 +206,11 @@
 
 
 @on_real_clock
-async def test_rows_are_never_told_with_a_later_revision_than_theirs():
-    # A home has read that a runner is gone and not told it yet, when a report shows that its sender
-    # lacks something. It gets the rows as they were told last: with the new revision they would
-    # pass for the new list, and a home that has just begun would tell that all runners are missing.
+async def test_rows_are_never_sent_with_a_later_revision_than_theirs():
+    # A home has read that a runner is gone and has not sent it yet, when a report shows that its
+    # sender lacks something. That sender gets the rows as they were sent last: with the new
+    # revision they would count as the new list, and a home that has just started would send that
+    # all runners are missing.
     async with platform_site(entries=2, plain=2) as site:
         ports = [one.get(FleetPort) for one in site.kernels]
         await site.until(lambda: sum(one.is_home() for one in ports) == 1)
@@ -230,9 +232,9 @@
 
 
 @on_real_clock
-async def test_news_that_no_home_sends_end_no_process():
-    # Whoever reaches the port may send anything. Rows that name no runner, marks that are none and
-    # versions out of order are refused with a log line; the instance goes on as before.
+async def test_invalid_updates_end_no_process():
+    # Anyone who reaches the port may send anything. Rows that are no runner, invalid marks and
+    # versions out of order are rejected with a log line; the instance goes on as before.
     async with platform_site(entries=1, plain=1) as site:
         kernel = site.kernels[0]
         port = kernel.get(FleetPort)
--- a/tests/test_news_under_loss.py
+++ b/tests/test_news_under_loss.py
@@ -1,4 +1,4 @@
-"""News of the fleet where datagrams are lost: what goes out again, and how soon all know."""
+"""Updates of the fleet where datagrams get lost: what is resent, and how soon all know it."""
 
 import random
 from enum import Enum
@@ -27,9 +27,9 @@
 load_tests = tests_of(globals())
 
 
-def test_what_was_lost_is_told_again_and_nothing_after_it_is_used():
-    # A runner's notice is lost on the way. The next news says what it builds on: they change
-    # nothing, and the report after them brings both.
+def test_a_lost_update_is_resent_and_nothing_after_it_is_applied():
+    # A runner's notice is lost in transit. The next update names the version that it builds on: it
+    # changes nothing, and the answer to the next report brings both.
     home, follower = publisher(), UpdateFollower()
     home.replace_rows({"ra": ["ready"]})
     deliver_all(home, follower)
@@ -47,27 +47,27 @@
     check.assertEqual(follower.rows.rows(), {"ra": ["leaving"], "rb": ["ready"]})
 
 
-def test_what_was_lost_is_told_again_while_other_rows_change():
-    # A notice is lost, and the instance that misses it cannot say so. Rows go on changing ten times
-    # a second, and each change is told; the lost one goes out again all the same.
+def test_a_lost_update_is_resent_while_other_rows_change():
+    # A notice is lost, and the instance that misses it cannot report that. Rows go on changing ten
+    # times a second, and each change is sent; the lost one is resent all the same.
     home, follower = publisher(), UpdateFollower()
     home.replace_rows({"ra": ["ready"]})
     home.record_held(OTHER, HeldVersion())
     home.parts_for(0.0, OTHER)
-    told = []
+    bases = []
     for step in range(1, 6):
         home.replace_rows({"ra": ["ready"], "ib": [step]})
         (part,) = home.parts_for(step / 10, OTHER)
-        told.append(part.base)
-        taken = follower.apply(message_with(home, part))
-    check.assertEqual(told[0], 1)
-    check.assertIn(0, told)
-    check.assertIs(taken, ApplyResult.WHOLE)
+        bases.append(part.base)
+        result = follower.apply(message_with(home, part))
+    check.assertEqual(bases[0], 1)
+    check.assertIn(0, bases)
+    check.assertIs(result, ApplyResult.WHOLE)
 
 
-def test_urgent_news_go_out_once_more_to_whoever_has_not_reported_them():
-    # A runner's notice is lost on the way to one instance. It is sent there again 50 ms later, and
-    # not to the other one, whose report came meanwhile.
+def test_urgent_updates_are_repeated_until_acknowledged():
+    # A runner's notice is lost on the way to one instance. It is resent to that one 50 ms later,
+    # but not to one whose report acknowledged it meanwhile.
     home, follower = publisher(), UpdateFollower()
     home.replace_rows({"ra": ["ready"]})
     deliver_all(home, follower)
@@ -83,9 +83,10 @@
     check.assertEqual(home.urgent_parts_for(OTHER), [])
 
 
-def test_two_notices_at_short_intervals_both_go_out_once_more():
+def test_two_notices_at_a_short_interval_are_both_repeated():
     # A second runner leaves before the first notice was repeated, and both datagrams to one
-    # instance are lost. The repeat brings both: one that built on the first would be of no use.
+    # instance are lost. The repeated update brings both: one that builds on the first would be
+    # useless.
     home, follower = publisher(), UpdateFollower()
     home.replace_rows({"ra": ["ready"], "rb": ["ready"]})
     deliver_all(home, follower)
@@ -104,7 +105,7 @@
     check.assertEqual(home.urgent_parts_for(InstanceId("entry-9")), [])
 
 
-def test_a_report_after_the_answer_time_shows_what_was_lost():
+def test_a_report_after_the_acknowledgement_timeout_shows_a_loss():
     home, follower = publisher(), UpdateFollower()
     home.replace_rows({"ra": ["ready"]})
     home.parts_for(1.0, OTHER)
@@ -113,9 +114,9 @@
     check.assertTrue(home.is_behind(1.0 + 1.1 * ACK_TIMEOUT_S, OTHER))
 
 
-def test_a_report_that_crosses_news_is_not_answered():
-    # Rows change again and again. A report that left before the last of it came shows only what was
-    # before; sending that once more to each of a large fleet would double the bytes.
+def test_a_report_that_crosses_an_update_is_not_answered():
+    # Rows change again and again. A report that was sent before the last update arrived shows only
+    # what was before; resending that to each instance of a large fleet would double the bytes.
     home, follower = publisher(), UpdateFollower()
     for step in range(1, 4):
         home.replace_rows({"ia": [step]})
@@ -127,19 +128,19 @@
 
 
 def test_a_leaving_runner_is_known_to_all_before_its_notice_ends():
-    # Streams are lost at runners that announce their end 1.5 to 2 s before it, where an instance
-    # hears of that too late. Played: 195 instances, a home on a link of 200 Mbit/s, one datagram in
-    # fifty lost, 18 runners that leave at the same moment. With whole lists to everybody half of
-    # the instances heard 2.10 s late (a played day of that size); here all but those whose
-    # datagram was lost hear at once, and these with the answer to a later report.
-    # The aim is 99 in 100 within 0.15 s and all within 0.5 s, also from a link of 20 Mbit/s.
+    # Runners announce their end 1.5 to 2 s before it. Where an instance learns that too late,
+    # streams there are lost. Simulated: 195 instances, a home on a link of 200 Mbit/s, one datagram
+    # in fifty lost, 18 runners that leave at the same moment. With whole lists to everybody half of
+    # the instances learned it 2.10 s late (in a simulated deployment of that size); here all but
+    # those whose datagram was lost learn it at once, and these with the answer to a later report.
+    # The goal is 99 in 100 within 0.15 s and all within 0.5 s, also over a link of 20 Mbit/s.
     for bits_per_s in (200e6, 20e6):
-        lags_s = sorted(_lags_of_a_notice(bits_per_s))
-        check.assertLess(lags_s[int(0.99 * len(lags_s))], 0.15)
-        check.assertLess(lags_s[-1], 0.5)
+        delays_s = sorted(_notice_delays_s(bits_per_s))
+        check.assertLess(delays_s[int(0.99 * len(delays_s))], 0.15)
+        check.assertLess(delays_s[-1], 0.5)
 
 
-class _Telling(Enum):
+class _SendReason(Enum):
     """Why the home sends something to an instance."""
 
     FIRST = "first"
@@ -147,8 +148,8 @@
     REPORT = "report"
 
 
-def _lags_of_a_notice(bits_per_s, loss=0.02):
-    """Give how long after the home each instance knows of 18 leaving runners, in seconds."""
+def _notice_delays_s(bits_per_s, loss=0.02):
+    """Return how long after the home each instance knows of 18 leaving runners, in seconds."""
     rng = random.Random(5)
     home = publisher()
     names = [InstanceId(f"e-{number}") for number in range(INSTANCES)]
@@ -165,19 +166,19 @@
     before = home.rows.version
     home.replace_rows(rows)
     known_s, now_s = {}, 0.0
-    # At once to all, and once more to those that have not reported it; then to each when its
-    # report, 0.25 s later at most, shows that it lags.
+    # At once to all, and once more to those that have not acknowledged it; then to each when its
+    # report, 0.25 s later at most, shows that it is behind.
     home.mark_urgent(before)
-    due = [(0.0, name, _Telling.FIRST) for name in names]
-    due += [(REPEAT_AFTER_S, name, _Telling.REPEAT) for name in names]
+    due = [(0.0, name, _SendReason.FIRST) for name in names]
+    due += [(REPEAT_AFTER_S, name, _SendReason.REPEAT) for name in names]
     reports = [(t + rng.random() * REPORT_S, name) for t in (0, 0.25, 0.5) for name in names]
-    due += [(moment_s, name, _Telling.REPORT) for moment_s, name in reports]
-    for moment_s, name, telling in sorted(due, key=lambda one: one[:2]):
+    due += [(moment_s, name, _SendReason.REPORT) for moment_s, name in reports]
+    for moment_s, name, reason in sorted(due, key=lambda one: one[:2]):
         now_s = max(now_s, moment_s)
-        if telling is _Telling.REPORT:
+        if reason is _SendReason.REPORT:
             home.record_held(name, followers[name].held)
             parts = home.parts_for(now_s, name) if home.is_behind(now_s, name) else []
-        elif telling is _Telling.REPEAT:
+        elif reason is _SendReason.REPEAT:
             parts = home.urgent_parts_for(name)
         else:
             parts = home.parts_for(now_s, name)
--- a/tests/test_runner_entries.py
+++ b/tests/test_runner_entries.py
@@ -1,4 +1,4 @@
-"""Entries that another writer left in the store: they name no runner, and the others hold."""
+"""Invalid entries that another writer left in the store: they add no runner; the others stay."""
 
 import json
 
@@ -16,10 +16,10 @@
 load_tests = tests_of(globals())
 
 EXAMPLES = settings(deadline=None, max_examples=300)
-BORN = 1_700_000_000_000
-GOOD = runner_spec("llm", "10.1.1.1:80", born_ms=BORN)
+STARTED_MS = 1_700_000_000_000
+GOOD = runner_spec("llm", "10.1.1.1:80", born_ms=STARTED_MS)
 
-FOREIGN = {
+INVALID = {
     "no service": {"service": None},
     "service of another type": {"service": 7},
     "empty service": {"service": ""},
@@ -37,7 +37,7 @@
     "negative slots": {"slots": -4},
     "no slot": {"slots": 0},
     "half a slot": {"slots": 1.5},
-    "slots in words": {"slots": "24"},
+    "slots as text": {"slots": "24"},
     "slots that are true": {"slots": True},
     "slots without end": {"slots": float("inf")},
     "slots that are no number": {"slots": float("nan")},
@@ -49,77 +49,77 @@
     "negative sequence": {"seq-no": -1},
     "no cold time": {"cold-remaining-ms": None},
     "negative cold time": {"cold-remaining-ms": -5},
-    "cold time in words": {"cold-remaining-ms": "0"},
-    "birth in words": {"born": "yesterday"},
-    "broken birth": {"born": 1.5},
-    "huge birth": {"born": 1 << 60},
-    "no birth among others": {"born": None},
+    "cold time as text": {"cold-remaining-ms": "0"},
+    "start time as text": {"born": "yesterday"},
+    "fractional start time": {"born": 1.5},
+    "huge start time": {"born": 1 << 60},
+    "no start time among others": {"born": None},
 }
 
 
 def stored(name, spec, revision=3):
-    """Give an object as the store lists it."""
+    """Return an object as the store lists it."""
     return StoredObject(name, revision, spec)
 
 
-def taken(entries, *objects):
-    """Let objects be read as changes; give what is told of bad ones."""
+def apply_changes(entries, *objects):
+    """Apply objects as changes; return the invalid ones that are reported."""
     return entries.take(Change(one, False) for one in objects)
 
 
 def with_changes(changes):
-    """Give a good entry with fields changed, or left out where None."""
+    """Return a valid entry with fields changed, or left out where None."""
     spec = {name: value for name, value in (GOOD | changes).items() if value is not None}
     return spec
 
 
-def test_a_foreign_entry_names_no_runner_and_the_others_hold():
-    # Requests would be sent to an address that nobody serves, or every runner be lost with one bad
-    # entry: the store lists what any program wrote there.
-    for name, changes in FOREIGN.items():
+def test_an_invalid_entry_adds_no_runner_and_the_others_stay():
+    # The store lists what any program wrote there. Requests must not be sent to an address that
+    # nobody serves, nor all runners be lost with one invalid entry.
+    for name, changes in INVALID.items():
         entries = RunnerEntries()
         good = stored("i-1", GOOD)
-        bad = taken(entries, good, stored("i-2", with_changes(changes)))
+        bad = apply_changes(entries, good, stored("i-2", with_changes(changes)))
         names = [one.incarnation.name for one in entries.runners()]
         check.assertEqual(names, ["i-1"], name)
         check.assertEqual([one.name for one in entries.bad()], ["i-2"], name)
-        if name != "no birth among others":
+        if name != "no start time among others":
             check.assertEqual([one.name for one in bad], ["i-2"], name)
 
 
 def test_names_that_no_runner_can_have():
     for name in ("", "a b", "a\r\nx: y", "é", "x" * 200, "\0"):
         entries = RunnerEntries()
-        taken(entries, stored(name, GOOD))
+        apply_changes(entries, stored(name, GOOD))
         check.assertEqual(entries.runners(), [], name)
 
 
-def test_a_bad_entry_is_told_once_for_each_change():
+def test_an_invalid_entry_is_reported_once_for_each_change():
     entries = RunnerEntries()
     bad = stored("i-1", with_changes({"slots": -1}))
-    check.assertEqual(len(taken(entries, bad)), 1)
-    check.assertEqual(len(taken(entries, bad)), 0)
-    check.assertEqual(len(taken(entries, stored("i-1", with_changes({"state": "odd"})))), 1)
-    check.assertEqual(len(taken(entries, stored("i-1", GOOD), bad)), 1)
+    check.assertEqual(len(apply_changes(entries, bad)), 1)
+    check.assertEqual(len(apply_changes(entries, bad)), 0)
+    check.assertEqual(len(apply_changes(entries, stored("i-1", with_changes({"state": "odd"})))), 1)
+    check.assertEqual(len(apply_changes(entries, stored("i-1", GOOD), bad)), 1)
 
 
-def test_an_entry_that_is_overwritten_names_its_runner_no_more():
+def test_an_entry_that_becomes_invalid_removes_its_runner():
     entries = RunnerEntries()
-    taken(entries, stored("i-1", GOOD))
-    taken(entries, stored("i-1", with_changes({"service": None})))
+    apply_changes(entries, stored("i-1", GOOD))
+    apply_changes(entries, stored("i-1", with_changes({"service": None})))
     check.assertEqual(entries.runners(), [])
-    taken(entries, stored("i-1", GOOD))
+    apply_changes(entries, stored("i-1", GOOD))
     check.assertEqual(len(entries.runners()), 1)
 
 
-def test_runners_of_a_platform_without_births_are_used():
+def test_runners_of_a_platform_without_start_times_are_used():
     entries = RunnerEntries()
-    taken(entries, *(stored(f"i-{n}", with_changes({"born": None})) for n in range(3)))
+    apply_changes(entries, *(stored(f"i-{n}", with_changes({"born": None})) for n in range(3)))
     check.assertEqual(len(entries.runners()), 3)
     check.assertEqual(entries.bad(), [])
 
 
-def test_one_bad_item_does_not_spoil_a_list():
+def test_one_invalid_item_does_not_invalidate_a_list():
     good = {"metadata": {"name": "i-1", "revision": 3}, "spec": GOOD}
     for item in (None, 3, "x", [], {}, {"metadata": 1}, {"metadata": {"name": 4}}):
         listing, _ = _page({"items": [item, good], "as-of": 9})
@@ -132,14 +132,14 @@
     check.assertEqual(listing.objects[0].spec, {})
 
 
-def test_bytes_that_cannot_be_read_in_one_entry():
-    # A list of all runners would be lost with the bytes of one: text that is no UTF-8, and a number
-    # of more digits than the interpreter reads.
+def test_one_entry_with_bytes_that_cannot_be_parsed():
+    # One entry has text that is not UTF-8, or a number with more digits than the interpreter
+    # parses. The list of all runners must not be lost with it.
     page = {"items": [{"metadata": {"name": "i-1", "revision": 3}, "spec": GOOD}], "as-of": 9}
     text = json.dumps(page).encode()
-    spoilt = text.replace(b'"items": [', b'"items": [{"metadata": {"name": "\xff\xfe"}}, ')
+    corrupt = text.replace(b'"items": [', b'"items": [{"metadata": {"name": "\xff\xfe"}}, ')
     huge = text.replace(b'"items": [', b'"items": [{"n": ' + b"9" * 10_000 + b"}, ")
-    for data in (spoilt, huge):
+    for data in (corrupt, huge):
         listing, _ = _page(parse_object(data))
         check.assertIn("i-1", [one.name for one in listing.objects])
 
@@ -161,7 +161,9 @@
 @given(st.lists(st.tuples(st.text(max_size=6), _spec), max_size=6))
 def test_any_structure_is_decoded_or_refused(entries):
     known = RunnerEntries()
-    bad = taken(known, stored("i-good", GOOD), *(stored(n, GOOD | spec) for n, spec in entries))
+    bad = apply_changes(
+        known, stored("i-good", GOOD), *(stored(n, GOOD | spec) for n, spec in entries)
+    )
     names = {one.incarnation.name for one in known.runners()}
     check.assertTrue(names.isdisjoint({one.name for one in known.bad()}))
     if "i-good" not in dict(entries):
@@ -184,17 +186,17 @@
     check.assertIsInstance(body, dict)
 
 
-def test_a_service_that_no_route_names_gets_nothing():
+def test_a_runner_of_an_unknown_service_serves_no_other_one():
     entries = RunnerEntries()
-    taken(entries, stored("i-1", GOOD | {"service": "unheard-of"}))
+    apply_changes(entries, stored("i-1", GOOD | {"service": "unheard-of"}))
     table = RunnerTable()
     table.apply_reading(0.0, entries.runners(), 1, 0.0)
     check.assertEqual(table.ready(ServiceName("llm")), [])
 
 
-def test_an_instance_entry_of_a_stranger_names_no_instance():
-    # Every process would end: a report is sent to each instance that the store lists, and an
-    # address that is none cannot be sent to.
+def test_an_invalid_instance_entry_adds_no_instance():
+    # A report is sent to each instance that the store lists, and an invalid address cannot be sent
+    # to. Every process would end on such an entry.
     good = {"zone": "a", "front": "10.1.0.1:80", "peer": "10.1.0.1:7200", "strength": 3}
     check.assertIsNotNone(_listed(stored("e-1", good)))
     for changes in (
--- a/tests/test_runner_incarnations.py
+++ b/tests/test_runner_incarnations.py
@@ -1,4 +1,4 @@
-"""A runner that starts again under its name: what was believed of the former start ends."""
+"""A runner that starts again under its name: state of the former start is not applied to it."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -14,8 +14,8 @@
 NAMES = ("a", "b")
 
 
-def ready_births(table):
-    """Give name and birth of each runner that may get work."""
+def ready_starts(table):
+    """Return name and start time of each runner that may get requests."""
     return {
         (one.incarnation.name, one.incarnation.started_ms)
         for one in table.by_id.values()
@@ -23,49 +23,49 @@
     }
 
 
-def test_a_runner_that_starts_again_gets_work_at_once():
-    # The engine would stand idle for as long as its name is remembered: it had announced its end,
-    # and a notice is final. It is final for that start only.
+def test_a_restarted_runner_gets_requests_at_once():
+    # The runner had announced its end, and a notice is final, but for that start only. Otherwise
+    # the engine would be idle for as long as its name is kept.
     table = RunnerTable()
     table.apply_reading(0.0, [runner("a", started_ms=100)], 10, 0.0)
     table.record_leaving(0.1, RunnerId("a@100"))
     stopped = table.apply_reading(0.2, [runner("a", started_ms=200)], 11, 0.2)
     check.assertEqual([one.state for one in stopped], [RunnerState.GONE])
-    check.assertEqual(ready_births(table), {("a", 200)})
+    check.assertEqual(ready_starts(table), {("a", 200)})
     check.assertTrue(table.is_gone(RunnerId("a@100")))
 
 
-def test_a_runner_tells_of_its_start_before_the_store_does():
-    # Its report comes from the new process while the store still lists the former one: each later
-    # reading of the old entry would undo the news.
+def test_a_runner_reports_its_start_before_the_store_lists_it():
+    # Its report comes from the new process while the store still lists the former one: without care
+    # each later reading of the old entry would undo the update.
     table = RunnerTable()
     table.apply_reading(0.0, [runner("a", started_ms=100)], 10, 0.0)
     check.assertEqual(table.record_start(RunnerId("a@100"), 200).id, "a@100")
     check.assertIsNone(table.record_start(RunnerId("a@100"), 200))
     table.apply_reading(0.2, [runner("a", started_ms=100)], 11, 0.2)
-    check.assertEqual(ready_births(table), {("a", 200)})
+    check.assertEqual(ready_starts(table), {("a", 200)})
     table.apply_reading(0.3, [runner("a", started_ms=100, state=RunnerState.LEAVING)], 12, 0.3)
-    check.assertEqual(ready_births(table), {("a", 200)})
+    check.assertEqual(ready_starts(table), {("a", 200)})
 
 
-def test_silence_of_the_former_start_is_not_the_new_ones():
+def test_an_unresponsive_former_start_does_not_count_for_the_new_one():
     table = RunnerTable()
     table.apply_reading(0.0, [runner("a", started_ms=100)], 10, 0.0)
     table.unresponsive = frozenset({RunnerId("a@100")})
     check.assertEqual(table.ready(ENGINES), [])
     table.apply_reading(0.2, [runner("a", started_ms=200)], 11, 0.2)
-    check.assertEqual(ready_births(table), {("a", 200)})
+    check.assertEqual(ready_starts(table), {("a", 200)})
 
 
 def test_two_entries_of_one_name():
     table = RunnerTable()
     table.apply_reading(0.0, [runner("a", started_ms=200), runner("a", started_ms=100)], 10, 0.0)
-    check.assertEqual(ready_births(table), {("a", 200)})
+    check.assertEqual(ready_starts(table), {("a", 200)})
     table.apply_reading(0.1, [runner("a", started_ms=100), runner("a", started_ms=300)], 11, 0.1)
-    check.assertEqual(ready_births(table), {("a", 300)})
+    check.assertEqual(ready_starts(table), {("a", 300)})
 
 
-def test_peers_learn_of_both_starts():
+def test_peers_receive_both_starts():
     home, peer, newcomer = RunnerTable(), RunnerTable(), RunnerTable()
     home.apply_reading(0.0, [runner("a", started_ms=100)], 10, 0.0)
     peer.apply_reading(0.0, [runner("a", started_ms=100)], 10, 0.0)
@@ -73,20 +73,21 @@
     rows = [runner_from_row(runner_row(one)) for one in home.by_id.values()]
     for table in (peer, newcomer):
         table.apply_reading(0.1, rows, 10, 0.1)
-        check.assertEqual(ready_births(table), {("a", 200)})
+        check.assertEqual(ready_starts(table), {("a", 200)})
         check.assertFalse(table.is_ready(RunnerId("a@100")))
 
 
-def test_a_runner_without_births_is_told_apart_by_its_name_only():
+def test_a_runner_without_start_times_is_identified_by_its_name_only():
     table = RunnerTable()
     table.apply_reading(0.0, [runner("a")], 10, 0.0)
     check.assertIsNone(table.record_start(RunnerId("a"), 200))
     check.assertEqual([one.id for one in table.ready(ENGINES)], ["a"])
 
 
-def test_a_missing_runner_that_is_back_gets_work_once_it_answers():
-    # A third of a service would be lost for good: the runner was cut off from the store for some
-    # seconds, its entry lapsed, and it went on serving. Its entry alone does not let it back.
+def test_a_missing_runner_that_is_back_gets_requests_once_it_answers():
+    # The runner was cut off from the store for some seconds, its entry lapsed, and it went on
+    # serving. Without readmission a third of a service would be lost for good. Its entry alone does
+    # not readmit it.
     home, peer = RunnerTable(), RunnerTable()
     for table in (home, peer):
         table.apply_reading(0.0, [runner("a"), runner("b")], 10, 0.0)
@@ -107,8 +108,8 @@
 
 
 def test_a_late_heartbeat_of_a_runner_that_was_replaced():
-    # The store lists a runner again that is gone, by a heartbeat long on its way; another one has
-    # its address. Nobody asks there in its name.
+    # By a heartbeat long in flight the store lists a runner again that is gone, and another one has
+    # its address. That one must not be sent health requests in the former one's name.
     table = RunnerTable()
     table.apply_reading(0.0, [runner("a", address="10.2.0.9:80")], 10, 0.0)
     table.apply_reading(1.0, [], 11, 1.0)
@@ -118,7 +119,7 @@
     check.assertEqual([one.id for one in table.ready(ENGINES)], ["b"])
 
 
-def test_a_runner_that_said_it_leaves_is_not_asked_again():
+def test_a_runner_that_gave_notice_gets_no_health_requests():
     table = RunnerTable()
     table.apply_reading(0.0, [runner("a", state=RunnerState.LEAVING)], 10, 0.0)
     table.apply_reading(0.5, [], 11, 0.5)
@@ -127,9 +128,9 @@
     check.assertEqual(table.ready(ENGINES), [])
 
 
-def test_a_returned_runner_that_then_leaves_is_not_let_back():
-    # The home's question is on its way when the entry tells that the runner leaves; an answer that
-    # comes after it is older news.
+def test_a_relisted_runner_that_then_leaves_is_not_readmitted():
+    # The home's health request is in flight when the entry shows that the runner is leaving; an
+    # answer that comes after that is older.
     table = RunnerTable()
     table.apply_reading(0.0, [runner("a")], 10, 0.0)
     table.apply_reading(0.5, [], 11, 0.5)
@@ -151,39 +152,40 @@
 
 @EXAMPLES
 @given(st.lists(_step, max_size=25))
-def test_older_news_never_undoes_a_later_start(steps):
-    # Work would go to an engine in the belief that it holds the memory of a start before: whatever
-    # order births, notices, lapses and stale readings come in, the latest birth known stands.
+def test_older_information_never_undoes_a_later_start(steps):
+    # In whatever order start times, notices, lapses and outdated readings come in, the latest known
+    # start stands. Otherwise requests would go to an engine as if it held the memory of an earlier
+    # start.
     table = RunnerTable()
     newest, told = {}, set()
     for second, (kind, *rest) in enumerate(steps):
         if kind == "reading":
             revision, entries = rest
             if revision >= table.revision:
-                for name, born, _ in entries:
-                    newest[name] = max(newest.get(name, 0), born)
+                for name, started, _ in entries:
+                    newest[name] = max(newest.get(name, 0), started)
             state = {True: RunnerState.LEAVING, False: RunnerState.READY}
             listed = [runner(name, started_ms=b, state=state[left]) for name, b, left in entries]
             table.apply_reading(float(second), listed, revision, float(second))
         elif kind == "born" and rest[0] in newest:
-            name, born = rest
-            table.record_start(RunnerId(f"{name}@{newest[name]}"), born)
-            newest[name] = max(newest[name], born)
+            name, started = rest
+            table.record_start(RunnerId(f"{name}@{newest[name]}"), started)
+            newest[name] = max(newest[name], started)
         elif kind == "notice":
-            name, born = rest
-            if RunnerId(f"{name}@{born}") in table.by_id:
-                table.record_leaving(float(second), RunnerId(f"{name}@{born}"))
-                told.add((name, born))
+            name, started = rest
+            if RunnerId(f"{name}@{started}") in table.by_id:
+                table.record_leaving(float(second), RunnerId(f"{name}@{started}"))
+                told.add((name, started))
         elif kind == "silent":
             table.unresponsive = frozenset({RunnerId(f"{rest[0]}@{rest[1]}")})
-        ready = ready_births(table)
-        check.assertTrue(all(newest[name] == born for name, born in ready), ready)
+        ready = ready_starts(table)
+        check.assertTrue(all(newest[name] == started for name, started in ready), ready)
         check.assertFalse(ready & told)
 
 
 @EXAMPLES
 @given(st.lists(_step, max_size=15), st.integers(5, 9))
-def test_a_new_start_gets_work_whatever_was_known_before(steps, born):
+def test_a_new_start_gets_requests_whatever_was_known_before(steps, started):
     table = RunnerTable()
     for second, (kind, *rest) in enumerate(steps):
         if kind == "reading":
@@ -191,5 +193,5 @@
             table.apply_reading(float(second), listed, rest[0], float(second))
         elif kind == "notice":
             table.record_leaving(float(second), RunnerId(f"{rest[0]}@{rest[1]}"))
-    table.apply_reading(99.0, [runner("a", started_ms=born)], 99, 99.0)
-    check.assertIn(("a", born), ready_births(table))
+    table.apply_reading(99.0, [runner("a", started_ms=started)], 99, 99.0)
+    check.assertIn(("a", started), ready_starts(table))
--- a/tests/test_runner_leaving.py
+++ b/tests/test_runner_leaving.py
@@ -1,4 +1,4 @@
-"""Runners that say beside an answer that they leave: no way leads to them any more."""
+"""Runners that state beside an answer that they are leaving get no more requests."""
 
 import trio
 
@@ -12,23 +12,23 @@
 
 load_tests = tests_of(globals())
 
-HEARD_S = 0.3
-"""Time after the first answer that says it, in which requests under way still reach the runner."""
+IN_FLIGHT_S = 0.3
+"""Time after the first such answer in which requests in flight still reach the runner."""
 
 
-def first_heard_s(runner):
-    """Give when a runner first said that it leaves."""
+def first_stated_s(runner):
+    """Return when a runner first stated that it is leaving."""
     return runner.said_leaving_s[0]
 
 
-def late(runner):
-    """Give how many requests reached a runner after it had said that it leaves."""
-    until_s = first_heard_s(runner) + HEARD_S
+def late_requests(runner):
+    """Return how many requests reached a runner after it had stated that it is leaving."""
+    until_s = first_stated_s(runner) + IN_FLIGHT_S
     return sum(at > until_s for at in runner.arrived_s)
 
 
-def sees_leaving(site, runner, entry=0):
-    """Tell whether an instance knows that a runner leaves."""
+def knows_leaving(site, runner, entry=0):
+    """Return whether an instance knows that a runner is leaving."""
     return site.kernels[entry].get(FleetPort).runners.stopped_since_s(runner.runner_id) is not None
 
 
@@ -40,32 +40,32 @@
 
 
 @on_real_clock
-async def test_calls_leave_a_runner_alone_that_says_it_leaves():
-    # Guards against a list of before an outage that overrules what a runner says itself.
+async def test_calls_avoid_a_runner_that_states_it_is_leaving():
+    # Guards against a list from before an outage that overrules what a runner states itself.
     async with platform_site(entries=2, plain=2) as site:
         leaving, other = site.plain
         site.store.fault = StoreFault.SILENT
         leaving.says_leaving = True
         answers = await ask_steadily(site, "/holds/1", 60, 0.05, method=b"POST")
-        check.assertEqual(late(leaving), 0)
+        check.assertEqual(late_requests(leaving), 0)
         check.assertEqual({one.status for one in answers}, {200})
         check.assertGreater(len(other.arrived_s), 40)
 
 
 @on_real_clock
-async def test_an_instance_that_heard_it_alone_keeps_to_it_without_the_others():
-    # Guards against a word that counts only once the home has told it.
+async def test_an_instance_applies_a_notice_that_it_alone_received():
+    # Guards against a statement that counts only once the home has sent it.
     async with platform_site(entries=2, plain=2) as site:
         leaving = site.plain[0]
         isolate(site)
         site.store.fault = StoreFault.SILENT
         leaving.says_leaving = True
         await ask_steadily(site, "/notes/1", 60, 0.05, entries=[1])
-        check.assertEqual(late(leaving), 0)
+        check.assertEqual(late_requests(leaving), 0)
 
 
 @on_real_clock
-async def test_other_instances_hear_that_a_runner_said_it_leaves():
+async def test_other_instances_learn_that_a_runner_is_leaving():
     # Guards against instances that each find out by a request of their own.
     async with platform_site(entries=3, plain=2) as site:
         leaving = site.plain[0]
@@ -73,31 +73,31 @@
         leaving.says_leaving = True
         while not leaving.said_leaving_s:
             await ask_steadily(site, "/notes/1", 1, 0.0, tag=f"n{trio.current_time()}", entries=[2])
-        await site.until(lambda: all(sees_leaving(site, leaving, entry) for entry in range(3)))
+        await site.until(lambda: all(knows_leaving(site, leaving, entry) for entry in range(3)))
         before = len(leaving.arrived_s)
         await ask_steadily(site, "/notes/1", 40, 0.02, tag="o", entries=[0, 1])
         check.assertEqual(len(leaving.arrived_s), before)
 
 
 @on_real_clock
-async def test_an_instance_that_started_again_hears_that_a_runner_leaves():
-    # Guards against a restart as a way back to a leaving runner.
+async def test_a_restarted_instance_learns_that_a_runner_is_leaving():
+    # Guards against a restart that makes a leaving runner available again.
     async with platform_site(entries=2, plain=2) as site:
         leaving = site.plain[0]
         leaving.says_leaving = True
         await ask_steadily(site, "/notes/1", 20, 0.01)
-        await site.until(lambda: all(sees_leaving(site, leaving, entry) for entry in range(2)))
+        await site.until(lambda: all(knows_leaving(site, leaving, entry) for entry in range(2)))
         site.scopes[site.settings(1).instance].cancel()
         await site.start_entry(2)
-        await site.until(lambda: sees_leaving(site, leaving, 2))
+        await site.until(lambda: knows_leaving(site, leaving, 2))
         before = len(leaving.arrived_s)
         await ask_steadily(site, "/notes/1", 40, 0.02, tag="o", entries=[0, 2])
         check.assertEqual(len(leaving.arrived_s), before)
 
 
 @on_real_clock
-async def test_generations_leave_an_engine_alone_that_says_it_leaves():
-    # Guards against a home that places where an engine has said that it leaves.
+async def test_generations_avoid_an_engine_that_states_it_is_leaving():
+    # Guards against a home that places on an engine which has stated that it is leaving.
     async with platform_site(entries=2, plain=0, engines=2) as site:
         leaving = site.engines[0]
         for one in site.engines:
@@ -106,13 +106,14 @@
         leaving.says_leaving = True
         more = {"method": b"POST", "headers": SMALL_GENERATION}
         answers = await ask_steadily(site, "/plans/1", 60, 0.05, **more)
-        check.assertEqual(late(leaving), 0)
+        check.assertEqual(late_requests(leaving), 0)
         check.assertEqual({one.status for one in answers}, {200})
 
 
 @on_real_clock
-async def test_an_instance_places_no_generation_where_it_alone_heard_of_leaving():
-    # Guards against the home's word for an engine that told this instance that it leaves.
+async def test_an_instance_places_no_generation_where_it_alone_received_a_notice():
+    # Guards against the home's answer naming an engine that has told this instance that it is
+    # leaving.
     async with platform_site(entries=2, plain=0, engines=2) as site:
         leaving = site.engines[0]
         for one in site.engines:
@@ -124,13 +125,13 @@
         leaving.says_leaving = True
         more = {"method": b"POST", "headers": SMALL_GENERATION}
         answers = await ask_steadily(site, "/plans/1", 60, 0.05, entries=[entry], **more)
-        check.assertEqual(late(leaving), 0)
+        check.assertEqual(late_requests(leaving), 0)
         check.assertEqual({one.status for one in answers}, {200})
 
 
 @on_real_clock
-async def test_streams_move_off_an_engine_that_says_beside_an_answer_that_it_leaves():
-    # Guards against streams that are lost with an engine whose notice the store has not taken.
+async def test_streams_move_off_an_engine_that_states_beside_an_answer_that_it_is_leaving():
+    # Guards against streams that are lost with an engine whose notice did not reach the store.
     async with platform_site(entries=2, plain=0, engines=2) as site:
         leaving, other = site.engines
         for one in site.engines:
--- a/tests/test_runner_strikes.py
+++ b/tests/test_runner_strikes.py
@@ -26,12 +26,12 @@
 INSTANCES = 65
 CALLS_PER_S = 90
 NON_IDEMPOTENT_SHARE = 0.71
-TOLD_S = 0.02
-"""Time from a break until every instance has heard of a new suspect."""
+PROPAGATION_S = 0.02
+"""Time from a break until every instance knows of a new suspect."""
 
 
 def counts(answered, broke, name=BAD):
-    """Give an instance's counts of one runner."""
+    """Return an instance's counts of one runner."""
     return [AnswerCount(name, answered, broke)]
 
 
@@ -43,7 +43,7 @@
     check.assertEqual(strikes.suspects(0.1), {BAD})
 
 
-def test_a_few_spoilt_answers_in_a_hundred_make_no_suspect():
+def test_a_few_broken_answers_in_a_hundred_make_no_suspect():
     strikes = FleetStrikes()
     for number in range(9):
         strikes.reported(0.0, InstanceId(f"e-{number}"), counts(9, number % 4 == 0))
@@ -62,8 +62,8 @@
     check.assertEqual(strikes.suspects(6.7), frozenset())
 
 
-def test_a_suspected_engine_is_tried_again_after_a_rest():
-    # It gets nothing, so that no answer can clear it; left alone for good it would be lost.
+def test_a_suspected_engine_is_tried_again_after_a_pause():
+    # It gets no requests, so no answer can clear it; without another trial it would be lost.
     strikes = FleetStrikes()
     strikes.reported(0.0, InstanceId("e-1"), counts(0, 2))
     check.assertEqual(strikes.suspects(0.0, {BAD}), {BAD})
@@ -93,7 +93,7 @@
     check.assertEqual(recent.counts(0.9), counts(1, 1))
     check.assertEqual(recent.counts(1.5), counts(1, 0))
     check.assertEqual(recent.counts(9.0), [])
-    check.assertEqual([count_of(count_row(one)) for one in counts(3, 4)], counts(3, 4))
+    check.assertEqual([count_of(count_row(count)) for count in counts(3, 4)], counts(3, 4))
 
 
 def test_a_suspect_gets_only_what_may_be_repeated_and_little_of_that():
@@ -108,35 +108,36 @@
 
 
 def test_a_runner_that_resets_half_of_its_calls_costs_few_payments():
-    # Each instance alone pays with its own requests for finding out that a runner resets half of
-    # what it gets; those that may not be repeated are lost. Played: 65 instances, three runners,
-    # 90 calls a second for 6 s. Lost with each instance by itself: 58; with the fleet's view: 4.
-    check.assertLess(_lost(shared=True), 12)
-    check.assertGreater(_lost(shared=False), 40)
+    # An instance that finds out alone that a runner resets half of what it gets pays for it with
+    # its own requests; those that may not be repeated are lost. Simulated: 65 instances, three
+    # runners, 90 calls a second for 6 s. Lost with each instance by itself: 58; with the fleet's
+    # view: 4.
+    check.assertLess(_lost_calls(shared=True), 12)
+    check.assertGreater(_lost_calls(shared=False), 40)
 
 
-def _lost(*, shared):
+def _lost_calls(*, shared):
     rng = random.Random(11)
     runners = [runner(name, PLAIN, slots=6) for name in ("a", "b", "c")]
     balancers = [PlainBalancer(ZoneName("leon-a"), random.Random(n)) for n in range(INSTANCES)]
     strikes = FleetStrikes()
-    suspects, told, lost = frozenset(), [], 0
+    suspects, pending, lost = frozenset(), [], 0
     for call in range(6 * CALLS_PER_S):
         now_s = call / CALLS_PER_S
-        while told and told[0][0] <= now_s:
-            suspects = told.pop(0)[1]
+        while pending and pending[0][0] <= now_s:
+            suspects = pending.pop(0)[1]
         number = rng.randrange(INSTANCES)
         repeatable = rng.random() > NON_IDEMPOTENT_SHARE
-        one = balancers[number]
-        chosen = one.choose(now_s, runners, suspects, repeatable=repeatable)
+        balancer = balancers[number]
+        chosen = balancer.choose(now_s, runners, suspects, repeatable=repeatable)
         broke = chosen.id == BAD and rng.random() < 0.5
-        one.sent(chosen.id)
-        one.recent.note(now_s, chosen.id, broke=broke)
-        one.ended(now_s, chosen.id, failed=broke)
+        balancer.sent(chosen.id)
+        balancer.recent.note(now_s, chosen.id, broke=broke)
+        balancer.ended(now_s, chosen.id, failed=broke)
         lost += broke and not repeatable
         if shared:
-            strikes.reported(now_s, InstanceId(f"e-{number}"), one.recent.counts(now_s))
-            told.append((now_s + TOLD_S, strikes.suspects(now_s)))
+            strikes.reported(now_s, InstanceId(f"e-{number}"), balancer.recent.counts(now_s))
+            pending.append((now_s + PROPAGATION_S, strikes.suspects(now_s)))
     return lost
 
 
@@ -147,7 +148,7 @@
     async with platform_site(entries=2, plain=2) as site:
         bad = site.plain[0]
         bad.faults = [PlainFault.BREAKS] * 500
-        tables = [one.get(FleetPort).runners for one in site.kernels]
+        tables = [kernel.get(FleetPort).runners for kernel in site.kernels]
         number = 0
         while not all(bad.runner_id in table.suspects for table in tables):
             await site.call("/notes/1", f"r-{number}", entry=0)
@@ -160,16 +161,16 @@
 
 @on_real_clock
 async def test_the_fleet_learns_of_an_engine_that_breaks_streams():
-    # An engine goes down in the middle of two streams of one instance and is up again at once, so
-    # that its reports show nothing. The other instance places nothing there.
+    # An engine crashes in the middle of two streams of one instance and restarts at once, so that
+    # its reports show nothing. The other instance places nothing there.
     async with platform_site(entries=2, plain=0, engines=3) as site:
-        for one in site.engines:
-            one.events = 400
+        for engine in site.engines:
+            engine.events = 400
         for number in range(4):
             await read(site, f"s-{number}", 3)
-        bad = max(site.engines, key=lambda one: one.runs_by_attempt.total())
+        bad = max(site.engines, key=lambda engine: engine.runs_by_attempt.total())
         bad.crash()
-        tables = [one.get(FleetPort).runners for one in site.kernels]
+        tables = [kernel.get(FleetPort).runners for kernel in site.kernels]
         await site.until(lambda: all(bad.runner_id in table.suspects for table in tables))
         before = bad.runs_by_attempt.total()
         for number in range(6):
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -1,4 +1,4 @@
-"""Whether an instance reaches the store, as it tells the fleet."""
+"""Whether an instance reaches the store, as it reports to the fleet."""
 
 from egretstack.fleet import StoreReachability, StoreWatch
 from tests.support import check, tests_of
@@ -17,15 +17,15 @@
     check.assertIs(watch.reachability, StoreReachability.REACHABLE)
 
 
-def test_an_instance_that_tries_in_vain_says_so_at_once():
+def test_an_instance_whose_first_call_fails_reports_it_at_once():
     watch = StoreWatch()
     watch.record_failure(0.0)
     check.assertIs(watch.reachability, StoreReachability.UNREACHABLE)
 
 
-def test_what_was_seen_long_ago_is_not_told():
-    # After an outage nobody would try the store, and an instance that read it once would be taken
-    # for one that reaches it.
+def test_an_old_result_is_not_reported():
+    # Without expiry nobody would try the store after an outage, and an instance that read it once
+    # would count as one that reaches it.
     watch = StoreWatch()
     watch.record_answer(0.0)
     watch.expire(2.0)
@@ -39,7 +39,7 @@
     check.assertIs(watch.reachability, StoreReachability.UNKNOWN)
 
 
-def test_a_home_that_hears_too_late_says_that_it_does_not_reach_the_store():
+def test_a_home_whose_calls_are_late_reports_the_store_as_unreachable():
     watch = StoreWatch()
     watch.record_delay()
     check.assertIs(watch.reachability, StoreReachability.UNKNOWN)
