--- a/tests/membership_fleet.py
+++ b/tests/membership_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of membership objects on a clock of its own, with cuts, freezes and message counts."""
+"""A fleet of membership objects on a simulated clock, with cuts, pauses and message counts."""
 
 import heapq
 import itertools
@@ -17,14 +17,14 @@
 
 
 def instance(number: int, zone: str = "a") -> Member:
-    """Give the member of an instance as listed."""
+    """Return the member of an instance as listed."""
     host = f"10.0.{number // 250}.{number % 250 + 1}"
     ports = {"caller": 8080, "peer": 9200, "operator": 9100}
     return Member(f"entry-{number}", ENTRY_SERVICE, ZoneName(zone), host, ports, MemberState.LIVE)
 
 
 def runner(number: int) -> Member:
-    """Give the member of a runner as listed."""
+    """Return the member of a runner as listed."""
     host = f"10.8.{number // 250}.{number % 250 + 1}"
     return Member(
         f"runner-{number}",
@@ -38,7 +38,7 @@
 
 @dataclass
 class Node:
-    """One instance of the fleet; `down` neither ticks nor answers, and forgets nothing."""
+    """One instance of the fleet; while `down` it neither ticks nor answers, but keeps its state."""
 
     state: MembershipState
     down: bool = False
@@ -54,34 +54,34 @@
     now_s: float = 0.0
     node_by_id: dict[InstanceId, Node] = field(default_factory=dict)
     cuts: set[tuple[str, str]] = field(default_factory=set)
-    lost: float = 0.0
+    loss_rate: float = 0.0
     _queue: list = field(default_factory=list)
     _order: itertools.count = field(default_factory=itertools.count)
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
 
-    def start(self, own: Member, listed: list[Member]) -> Node:
+    def start(self, own: Member, members: list[Member]) -> Node:
         """Start an instance that reads the list once."""
         rng = random.Random(self.rng.random())
         state = MembershipState(own, self.now_s, EPOCH_S + self.now_s, rng)
-        state.apply_list(self.now_s, listed)
+        state.apply_list(self.now_s, members)
         node = Node(state)
         self.node_by_id[state.own] = node
         self._at(self.now_s + self.rng.random() * TICK_S, self._tick, node)
         return node
 
     def state_of(self, number: int) -> MembershipState:
-        """Give the state of one instance."""
+        """Return the state of one instance."""
         return self.node_by_id[InstanceId(f"entry-{number}")].state
 
     def node(self, number: int) -> Node:
-        """Give one instance."""
+        """Return one instance."""
         return self.node_by_id[InstanceId(f"entry-{number}")]
 
-    def read_list(self, number: int, listed: list[Member]) -> None:
+    def read_list(self, number: int, members: list[Member]) -> None:
         """Let one instance read the list."""
-        self.state_of(number).apply_list(self.now_s, listed)
+        self.state_of(number).apply_list(self.now_s, members)
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
@@ -92,7 +92,7 @@
         self.now_s = end_s
 
     def cut(self, some: set[int], others: set[int]) -> None:
-        """Cut the ways from some instances to others, in that direction."""
+        """Cut the paths from some instances to others, in that direction."""
         self.cuts |= {(f"entry-{a}", f"entry-{b}") for a in some for b in others}
 
     def _at(self, at_s: float, function, *arguments) -> None:
@@ -104,9 +104,9 @@
         self._at(self.now_s + TICK_S, self._tick, node)
         if node.down:
             return
-        for ask in node.state.tick(self.now_s):
-            target = InstanceId(ask.peer.id)
-            message = self._sent(node, ask.message)
+        for request in node.state.tick(self.now_s):
+            target = InstanceId(request.peer.id)
+            message = self._sent(node, request.message)
             self._at(self.now_s + DELAY_S, self._arrive, node, target, message)
 
     def _arrive(self, node: Node, target: InstanceId, message) -> None:
@@ -137,11 +137,11 @@
         node.state.on_timeout(self.now_s, peer)
 
     def _is_lost(self, source: str, target: str) -> bool:
-        return (source, target) in self.cuts or self.rng.random() < self.lost
+        return (source, target) in self.cuts or self.rng.random() < self.loss_rate
 
     @staticmethod
     def _sent(node: Node, message: Message) -> Message:
-        """Count a message, and give it as it comes out of the codec at the other end."""
+        """Count a message, and return it as decoded at the other end."""
         body = encode(message)
         node.messages += 1
         node.sent_bytes += len(body)
@@ -149,7 +149,7 @@
 
 
 def fleet_of(size: int, runners: int = 0, seed: int = 1, zones: int = 1) -> tuple[Fleet, list]:
-    """Start a fleet that has read one list; give the list too."""
+    """Start a fleet that has read one list; return the list too."""
     fleet = Fleet(seed)
     listed = [instance(number, f"zone-{number % zones}") for number in range(size)]
     for own in list(listed):
--- a/tests/test_membership_choice.py
+++ b/tests/test_membership_choice.py
@@ -1,4 +1,4 @@
-"""Choices by rendezvous hash, and the turns in which instances read the list."""
+"""Choices by rendezvous hash, and the schedules in which instances read the list and reports."""
 
 import itertools
 import random
@@ -62,7 +62,7 @@
         check.assertNotIn(own.id, found)
 
 
-def test_reports_are_read_of_every_service_and_of_the_own_zone_first():
+def test_reports_of_every_service_are_read_own_zone_first():
     runners = [engine(n, "ab"[n % 2]) for n in range(100)]
     runners += [engine(n, "b", "small") for n in range(3)]
     found = NearbyReports(InstanceId("entry-0"), ZoneName("a")).choose(runners)
@@ -89,7 +89,7 @@
 
 
 @given(st.integers(1, 100), st.floats(0, 1e6))
-def test_turns_are_spread_evenly_and_never_doubled(readers, now_s):
+def test_list_readings_are_spread_evenly_and_never_doubled(readers, now_s):
     plans = [ReadingPlan.make(1.0, 500, rank, readers) for rank in range(readers)]
     offsets = [plan.offset_s for plan in plans]
     gaps = [after - before for before, after in zip(offsets, offsets[1:], strict=False)]
@@ -101,48 +101,52 @@
         check.assertLessEqual(wait_s, plan.period_s * 1.5)
 
 
-def readings(turns, seconds, answers, rate_check_s=0.01):
-    """Let time pass in small steps; give (time, runner) of each reading."""
+def readings(schedule, seconds, answers, rate_check_s=0.01):
+    """Let time pass in small steps; return (time, runner) of each reading."""
     found = []
     for step in range(int(seconds / rate_check_s)):
         now_s = step * rate_check_s
-        runner = turns.pop_due(now_s, set())
+        runner = schedule.pop_due(now_s, set())
         if runner is not None:
             found.append((now_s, runner))
-            turns.record_success(runner) if answers(runner) else turns.record_failure(now_s, runner)
+            (
+                schedule.record_success(runner)
+                if answers(runner)
+                else schedule.record_failure(now_s, runner)
+            )
     return found
 
 
 @given(st.integers(1, 40), st.integers(0, 40), st.integers(0, 5))
 def test_readings_stay_below_their_rate_also_when_many_runners_fail(runners, failing, seed):
-    turns = ReportSchedule(2.0, 0.5, random.Random(seed))
-    turns.set_runners(RunnerId(f"r-{number}") for number in range(runners))
+    schedule = ReportSchedule(2.0, 0.5, random.Random(seed))
+    schedule.set_runners(RunnerId(f"r-{number}") for number in range(runners))
     dead = {f"r-{number}" for number in range(failing)}
-    found = readings(turns, 30, lambda runner: runner not in dead)
+    found = readings(schedule, 30, lambda runner: runner not in dead)
     check.assertLessEqual(len(found), 30 * 2 * (1 + JITTER) + MAX_AHEAD + 2)
 
 
-def test_turns_are_shared_evenly_and_two_runners_are_read_once_a_second():
-    turns = ReportSchedule(2.0, 0.5, random.Random(1))
-    turns.set_runners([RunnerId("a"), RunnerId("b")])
-    found = readings(turns, 20, lambda runner: True)
+def test_two_runners_are_read_evenly_once_a_second():
+    schedule = ReportSchedule(2.0, 0.5, random.Random(1))
+    schedule.set_runners([RunnerId("a"), RunnerId("b")])
+    found = readings(schedule, 20, lambda runner: True)
     times = [at_s for at_s, runner in found if runner == "a"]
     for gap_s in (after - before for before, after in itertools.pairwise(times)):
         check.assertTrue(0.85 <= gap_s <= 1.15, gap_s)
 
 
-def test_a_doubted_runner_is_read_at_once_and_the_turns_after_it_wait():
-    # A caller's stream to a runner broke. Its report would tell whether the runner is away, but
-    # its turn is 20 s off; until then new work would go there.
-    turns = ReportSchedule(2.0, 0.5, random.Random(1))
-    turns.set_runners(RunnerId(f"r-{number}") for number in range(40))
-    found = readings(turns, 30, lambda runner: True)
-    last_s, doubted = found[0][0], found[0][1]
+def test_an_urgent_runner_is_read_at_once_and_the_others_wait():
+    # A caller's stream to a runner broke. Its report would show whether the runner is down, but it
+    # is due only in 20 s; until then new requests would go there.
+    schedule = ReportSchedule(2.0, 0.5, random.Random(1))
+    schedule.set_runners(RunnerId(f"r-{number}") for number in range(40))
+    found = readings(schedule, 30, lambda runner: True)
+    last_s, first = found[0][0], found[0][1]
     check.assertEqual(last_s, 0.0)
-    turns.set_runners(RunnerId(f"r-{number}") for number in range(40))
+    schedule.set_runners(RunnerId(f"r-{number}") for number in range(40))
     read_last = found[-1][1]
-    turns.prioritize(read_last)
-    check.assertEqual(turns.pop_due(30.6, set()), read_last)
-    check.assertIsNone(turns.pop_due(30.6, {doubted}))
-    turns.prioritize(read_last)
-    check.assertNotEqual(turns.pop_due(30.7, set()), read_last)
+    schedule.prioritize(read_last)
+    check.assertEqual(schedule.pop_due(30.6, set()), read_last)
+    check.assertIsNone(schedule.pop_due(30.6, {first}))
+    schedule.prioritize(read_last)
+    check.assertNotEqual(schedule.pop_due(30.7, set()), read_last)
--- a/tests/test_membership_services.py
+++ b/tests/test_membership_services.py
@@ -33,64 +33,65 @@
 
 load_tests = tests_of(globals())
 
-KNOWN_S = 3.0
-GONE_KNOWN_S = 12.0
-ANSWER_LIFE_S = 30.0
+PROPAGATION_S = 3.0
+GONE_DETECTION_S = 12.0
+ANSWER_TTL_S = 30.0
 
 
-def named(process):
-    """Give the instances that an entry answers its callers with."""
+def listed_entries(process):
+    """Return the instances that an entry's answer to its callers lists."""
     answer = process.kernel.get(CallerApi).entries(contract_of(process))
     return [row["instance"] for row in answer["entries"]]
 
 
 def usable(process):
-    """Give the runners that get new work from an entry."""
+    """Return the runners that get new requests from an entry."""
     found = []
     process.kernel.get(Runners).on_event(found.append)
     return {event.runner.id for event in found}
 
 
 @asynccontextmanager
-async def zoned_site(zones):
-    """Give a world with an entry in each of the zones named."""
-    async with open_world() as world:
-        await world.configure(contract__acme=CONTRACT, service__llm=ENGINES)
+async def open_zones(zones):
+    """Run a simulated deployment with an entry in each of the zones given."""
+    async with open_world() as deployment:
+        await deployment.configure(contract__acme=CONTRACT, service__llm=ENGINES)
         started = [
-            await world.start(f"entry-{number}", Program.ENTRY, zone)
+            await deployment.start(f"entry-{number}", Program.ENTRY, zone)
             for number, zone in enumerate(zones)
         ]
         await trio.sleep(5)
-        yield world, started
+        yield deployment, started
 
 
-async def test_callers_are_told_of_their_own_zone_first_and_of_another():
-    async with zoned_site(("a",) * 7 + ("b", "c")) as (_, entries):
+async def test_callers_get_entries_of_their_own_zone_first_and_of_another():
+    async with open_zones(("a",) * 7 + ("b", "c")) as (_, entries):
         answer = entries[0].kernel.get(CallerApi).entries(contract_of(entries[0]))
         zones = [row["zone"] for row in answer["entries"]]
         check.assertEqual(zones[:3], ["a", "a", "a"])
         check.assertEqual(sorted(zones[3:]), ["b", "c"])
-        check.assertEqual(answer["keep_s"], ANSWER_LIFE_S)
-        check.assertEqual(named(entries[0]), named(entries[1]))
+        check.assertEqual(answer["keep_s"], ANSWER_TTL_S)
+        check.assertEqual(listed_entries(entries[0]), listed_entries(entries[1]))
 
 
-async def test_a_leaving_entry_drops_out_of_every_answer_within_seconds():
+async def test_a_leaving_entry_is_removed_from_every_answer_within_seconds():
     async with small_site(entries=4) as (_, entries):
         entries[1].kernel.begin_drain()
         await trio.sleep(0)
         check.assertNotIn("entry-1", entries[1].kernel.get(Membership).live_instances())
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         for process in entries:
-            check.assertNotIn("entry-1", named(process))
-            check.assertTrue(named(process))
+            check.assertNotIn("entry-1", listed_entries(process))
+            check.assertTrue(listed_entries(process))
 
 
 async def test_a_leaving_entry_serves_as_long_as_answers_are_kept_and_longer():
-    # A caller was told of this entry just before it began to leave, or by one that had not heard
-    # of it yet, and comes while its answer holds. Refused then, it could not know where to go.
+    # A caller received this entry's address just before it began to leave, or from an entry that
+    # did not know it yet, and comes while that answer is valid. If it were refused, it could not
+    # know where to go.
     async with small_site(entries=2) as (_, entries):
         entries[1].kernel.begin_drain()
-        await trio.sleep(ANSWER_LIFE_S + LEAVING_KNOWN_S - 0.5)
+        await trio.sleep(ANSWER_TTL_S + LEAVING_KNOWN_S - 0.5)
         api = entries[1].kernel.get(CallerApi)
         api.check_open()
         session = await open_story(entries[1], 600)
@@ -99,44 +100,45 @@
             api.check_open()
         check.assertIs(refused.exception.kind, ErrorKind.DRAINING)
         check.assertGreaterEqual(refused.exception.retry_after_s, 1)
-        check.assertEqual(named(entries[1]), ["entry-0"])
+        check.assertEqual(listed_entries(entries[1]), ["entry-0"])
         check.assertEqual(await read_all(session), list(range(601)))
         await entries[1].stopped.wait()
 
 
 async def test_an_entry_that_has_closed_takes_over_no_session_but_serves_its_own():
-    # The answers that callers keep have run out and a leaving entry waits for its last session.
-    # A caller comes with a session of another entry: taken over, it would hold up the end by a
-    # whole generation, and the next caller again. One that is served here must be let in.
+    # The answers that callers keep have expired and a leaving entry waits for its last session. A
+    # caller comes with a session of another entry: if that were taken over, it would delay the end
+    # by a whole generation, and the next caller again. A session that is served here must be let
+    # in.
     async with small_site(entries=2) as (_, entries):
         other = await open_story(entries[0], 600)
         entries[1].kernel.begin_drain()
         host = entries[1].kernel.get(SessionHost)
         contract = contract_of(entries[1])
-        await trio.sleep(ANSWER_LIFE_S + LEAVING_KNOWN_S - 0.5)
+        await trio.sleep(ANSWER_TTL_S + LEAVING_KNOWN_S - 0.5)
         own = await open_story(entries[1], 600)
         await trio.sleep(1)
         with check.assertRaises(EgretError) as refused:
             await host.pick_up(contract, other.id, -1)
         check.assertIs(refused.exception.kind, ErrorKind.DRAINING)
         check.assertGreaterEqual(refused.exception.retry_after_s, 1)
-        check.assertEqual(named(entries[1]), ["entry-0"])
+        check.assertEqual(listed_entries(entries[1]), ["entry-0"])
         check.assertIs(await host.pick_up(contract, own.id, -1), own)
         check.assertEqual(await read_all(own), list(range(601)))
         await entries[1].stopped.wait()
 
 
-async def test_a_last_entry_that_leaves_still_names_itself():
+async def test_a_last_entry_that_is_leaving_still_lists_itself():
     async with small_site(entries=1) as (_, entries):
         entries[0].kernel.begin_drain()
-        await trio.sleep(KNOWN_S)
-        check.assertEqual(named(entries[0]), ["entry-0"])
+        await trio.sleep(PROPAGATION_S)
+        check.assertEqual(listed_entries(entries[0]), ["entry-0"])
 
 
 async def test_a_very_long_stream_outlasts_a_drain_and_a_second_order_to_stop():
-    # An entry is told to stop, and told again, while a session of tens of thousands of tokens is
-    # under way. The caller must see every token; nothing of it may be cut by a bound on time.
-    async with small_site(entries=2, engines=1) as (world, entries):
+    # An entry is stopped twice while a session of tens of thousands of tokens is in progress. The
+    # caller must get every token; no time limit may cut it.
+    async with small_site(entries=2, engines=1) as (deployment, entries):
         body = GenerationBody(ModelName("story"), "a story tokens:20000", True, 20_000)
         host = entries[0].kernel.get(SessionHost)
         session = await host.open(contract_of(entries[0]), body)
@@ -147,7 +149,7 @@
         await entries[0].stopped.wait()
 
 
-async def test_the_others_hear_of_a_stop_at_once():
+async def test_the_others_know_of_a_stop_at_once():
     async with small_site(entries=3) as (_, entries):
         entries[2].kernel.begin_drain()
         await entries[2].stopped.wait()
@@ -157,17 +159,17 @@
 
 
 async def test_a_killed_entry_is_gone_for_the_others_though_listed():
-    async with small_site(entries=4) as (world, entries):
+    async with small_site(entries=4) as (deployment, entries):
         entries[3].kill()
-        await trio.sleep(GONE_KNOWN_S)
+        await trio.sleep(GONE_DETECTION_S)
         for process in entries[:3]:
             check.assertEqual(
                 process.kernel.get(Membership).live_instances(), ("entry-0", "entry-1", "entry-2")
             )
-            check.assertNotIn("entry-3", named(process))
+            check.assertNotIn("entry-3", listed_entries(process))
 
 
-async def test_listeners_hear_of_changes_and_of_applied_revisions():
+async def test_listeners_are_notified_of_changes_and_of_applied_revisions():
     async with small_site(entries=3) as (_, entries):
         membership = entries[0].kernel.get(Membership)
         seen, revisions = [], []
@@ -178,19 +180,19 @@
         check.assertEqual(revisions, [("entry-1", 41)])
         check.assertEqual(membership.member(InstanceId("entry-1")).host, entries[1].host)
         entries[2].kernel.begin_drain()
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         check.assertEqual(seen, [("entry-0", "entry-1")])
 
 
 async def test_the_list_is_read_rarely_and_its_changes_reach_all():
-    # Of three entries one alone reads the list within its period; the others must still send no
-    # work to a runner that the list calls leaving.
-    async with small_site(entries=3) as (world, entries):
+    # Of three entries only one reads the list within its period; the others must still send no
+    # requests to a runner that the list has as leaving.
+    async with small_site(entries=3) as (deployment, entries):
         for process in entries[1:]:
             process.access.instance_list = _NoList()
         await trio.sleep(5)
-        world.set_state("engine-0", MemberState.LEAVING)
-        await trio.sleep(2 + KNOWN_S)
+        deployment.set_state("engine-0", MemberState.LEAVING)
+        await trio.sleep(2 + PROPAGATION_S)
         for process in entries:
             check.assertEqual(usable(process), {"engine-1"})
 
@@ -200,39 +202,39 @@
         await trio.sleep_forever()
 
 
-async def test_a_runner_that_the_list_calls_leaving_gets_no_new_work_and_runs_on():
-    async with small_site(entries=2) as (world, entries):
+async def test_a_runner_listed_as_leaving_gets_no_new_requests_and_runs_on():
+    async with small_site(entries=2) as (deployment, entries):
         session = await open_story(entries[0], 400)
         await trio.sleep(1)
-        runner = session_runner(world)
-        world.set_state(runner, MemberState.LEAVING)
-        await trio.sleep(2 + KNOWN_S)
+        runner = engine_of_session(deployment)
+        deployment.set_state(runner, MemberState.LEAVING)
+        await trio.sleep(2 + PROPAGATION_S)
         for process in entries:
             check.assertNotIn(runner, usable(process))
             check.assertIsNotNone(process.kernel.get(Runners).engine(RunnerId(runner)))
         check.assertEqual(await read_all(session), list(range(401)))
-        world.set_state(runner, MemberState.LIVE)
-        await trio.sleep(2 + KNOWN_S)
+        deployment.set_state(runner, MemberState.LIVE)
+        await trio.sleep(2 + PROPAGATION_S)
         check.assertIn(runner, usable(entries[1]))
 
 
-def session_runner(world):
-    """Name the engine that holds a generation."""
-    return next(name for name, one in world.engine_by_id.items() if one.live.by_id)
+def engine_of_session(deployment):
+    """Return the id of the engine that holds a generation."""
+    return next(name for name, one in deployment.engine_by_id.items() if one.live.by_id)
 
 
-async def test_a_runner_whose_report_says_leaving_gets_no_new_work_anywhere():
-    # The engine's own report says that it leaves, before the list does. One entry does not read
-    # that engine's reports at all; it hears of it with the heartbeats.
-    async with small_site(entries=2) as (world, entries):
+async def test_a_runner_whose_report_says_leaving_gets_no_new_requests_anywhere():
+    # The engine's own report says that it is leaving, before the list does. One entry does not read
+    # that engine's reports at all; it learns it through the heartbeats.
+    async with small_site(entries=2) as (deployment, entries):
         entries[1].kernel.get(Runners).choose_reports(_NoReports())
-        world.engine_by_id["engine-0"].live.leaving = True
-        await trio.sleep(KNOWN_S)
+        deployment.engine_by_id["engine-0"].live.leaving = True
+        await trio.sleep(PROPAGATION_S)
         check.assertEqual([usable(one) for one in entries], [{"engine-1"}, {"engine-1"}])
         await trio.sleep(400)
         check.assertEqual([usable(one) for one in entries], [{"engine-1"}, {"engine-1"}])
-        world.engine_by_id["engine-0"].live.leaving = False
-        await trio.sleep(KNOWN_S)
+        deployment.engine_by_id["engine-0"].live.leaving = False
+        await trio.sleep(PROPAGATION_S)
         check.assertEqual(usable(entries[0]), {"engine-0", "engine-1"})
         check.assertEqual(usable(entries[1]), {"engine-0", "engine-1"})
 
@@ -242,24 +244,24 @@
         return set()
 
 
-async def test_a_runner_that_stops_answering_gets_no_new_work_until_it_answers():
-    async with small_site(entries=1) as (world, entries):
-        world.engine_by_id["engine-0"].faults.dead = True
+async def test_a_runner_that_stops_answering_gets_no_new_requests_until_it_answers():
+    async with small_site(entries=1) as (deployment, entries):
+        deployment.engine_by_id["engine-0"].faults.dead = True
         await trio.sleep(4)
         check.assertEqual(usable(entries[0]), {"engine-1"})
-        world.engine_by_id["engine-0"].faults.dead = False
+        deployment.engine_by_id["engine-0"].faults.dead = False
         await trio.sleep(1)
         check.assertEqual(usable(entries[0]), {"engine-0", "engine-1"})
 
 
-async def test_one_missed_report_takes_no_runner_away():
-    async with small_site(entries=1) as (world, entries):
+async def test_one_missed_report_removes_no_runner():
+    async with small_site(entries=1) as (deployment, entries):
         events = []
         entries[0].kernel.get(Runners).on_event(events.append)
         events.clear()
-        world.engine_by_id["engine-0"].faults.dead = True
+        deployment.engine_by_id["engine-0"].faults.dead = True
         await trio.sleep(1)
-        world.engine_by_id["engine-0"].faults.dead = False
+        deployment.engine_by_id["engine-0"].faults.dead = False
         await trio.sleep(3)
         check.assertEqual({type(one).__name__ for one in events}, {"RunnerReported"})
 
@@ -269,21 +271,21 @@
         membership = entries[0].kernel.get(Membership)
         membership.notice_runner(RunnerId("engine-1"), True, for_good=True)
         membership.notice_runner(RunnerId("holds-0"), True, for_good=True)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         for process in entries:
             check.assertEqual(usable(process), {"engine-0"})
             check.assertEqual(process.kernel.get(Runners).plain("holds"), [])
         entries[2].kernel.get(Membership).notice_runner(RunnerId("holds-0"), False, for_good=True)
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         check.assertEqual(len(entries[0].kernel.get(Runners).plain("holds")), 1)
 
 
 async def test_an_entry_reads_a_bounded_number_of_load_reports():
-    async with open_world() as world:
-        await world.configure(contract__acme=CONTRACT, service__llm=ENGINES)
+    async with open_world() as deployment:
+        await deployment.configure(contract__acme=CONTRACT, service__llm=ENGINES)
         for number in range(60):
-            world.add_engine(f"engine-{number}", "llm", ("story",), EngineParameters())
-        process = await world.start("entry-0", Program.ENTRY)
+            deployment.add_engine(f"engine-{number}", "llm", ("story",), EngineParameters())
+        process = await deployment.start("entry-0", Program.ENTRY)
         await trio.sleep(3)
         events = []
         process.kernel.get(Runners).on_event(events.append)
@@ -300,37 +302,37 @@
         check.assertLessEqual(max(counts.values()) - min(counts.values()), 1)
 
 
-async def test_a_runner_that_refuses_connects_is_found_out_though_its_turn_is_far():
-    # Many engines share the readings, so the next turn of each is far off, here by half an hour.
-    # One dies while it runs a session: the caller's answer is started anew on another, and the
-    # dead one must get no more work after a few seconds, or every caller sent there would wait.
-    async with open_world() as world:
-        await world.configure(contract__acme=CONTRACT, service__llm=ENGINES)
+async def test_a_runner_that_refuses_connections_is_detected_before_its_next_reading():
+    # Many engines share the readings, so the next reading of each is far off, here by half an hour.
+    # One dies while it runs a session: the caller's answer is restarted on another, and the dead
+    # one must get no requests after a few seconds, or every caller sent there would wait.
+    async with open_world() as deployment:
+        await deployment.configure(contract__acme=CONTRACT, service__llm=ENGINES)
         for number in range(30):
-            world.add_engine(f"engine-{number}", "llm", ("story",), EngineParameters())
-        process = await world.start("entry-0", Program.ENTRY)
+            deployment.add_engine(f"engine-{number}", "llm", ("story",), EngineParameters())
+        process = await deployment.start("entry-0", Program.ENTRY)
         await trio.sleep(20)
         process.kernel.get(Runners)._turns._gap_s = 60.0
         session = await open_story(process, 30, stream=False)
         await trio.sleep(0.1)
-        name = session_runner(world)
-        world.engine_by_id[name].faults.dead = True
-        world.engine_by_id[name].faults.wake()
+        name = engine_of_session(deployment)
+        deployment.engine_by_id[name].faults.dead = True
+        deployment.engine_by_id[name].faults.wake()
         await session.wait_for_end()
-        await trio.sleep(KNOWN_S)
+        await trio.sleep(PROPAGATION_S)
         check.assertNotIn(name, usable(process))
         check.assertEqual(session.outcome.output_tokens, 30)
 
 
-async def test_a_link_that_went_silent_for_good_is_replaced():
-    # Something between two instances has forgotten their connection: what is sent over it is
-    # lost without a sign, while new connections work. Heartbeats over the old one get no answer;
-    # it must be dropped and opened anew before the other end counts as gone.
-    async with small_site(entries=2) as (world, entries):
+async def test_a_link_that_drops_all_messages_is_replaced():
+    # Something between two instances has dropped their connection: what is sent over it is lost
+    # without an error, while new connections work. Heartbeats over the old one get no answer; it
+    # must be closed and replaced before the other end counts as gone.
+    async with small_site(entries=2) as (deployment, entries):
         await trio.sleep(25)
         ports = [process.kernel.get(PeerPort) for process in entries]
         before = [port._accepted for port in ports]
-        world.network.silence_open_streams()
+        deployment.network.silence_open_streams()
         states = set()
         for _ in range(150):
             await trio.sleep(0.1)
@@ -338,18 +340,18 @@
                 views = process.kernel.get(Membership).views()
                 states |= {view.state for view in views.values()}
         check.assertEqual(states, {InstanceState.LIVE})
-        # The old links are no use to anybody, and must not take up places for ever.
+        # The old links are of no use, and must not occupy places for good.
         await trio.sleep(IDLE_LINK_S + 5)
         check.assertEqual([port._accepted for port in ports], before)
 
 
 async def test_one_peer_cannot_take_every_link():
-    async with small_site(entries=2) as (world, entries):
+    async with small_site(entries=2) as (deployment, entries):
         host, port = entries[0].host, 9200
         access = entries[1].access
 
         async def opener():
-            return await world.network.connect(entries[1].host, host, port)
+            return await deployment.network.connect(entries[1].host, host, port)
 
         links = [
             await connect_peer(opener, access.peer_keys, InstanceId("entry-1")) for _ in range(20)
@@ -359,16 +361,16 @@
         check.assertLessEqual(entries[0].kernel.get(PeerPort)._accepted, 8)
 
 
-async def test_an_outage_of_the_list_keeps_everything_known():
-    async with small_site(entries=3) as (world, entries):
-        world.listed.down = True
+async def test_an_outage_of_the_list_keeps_the_known_state():
+    async with small_site(entries=3) as (deployment, entries):
+        deployment.listed.down = True
         await trio.sleep(60)
         check.assertEqual(len(entries[0].kernel.get(Membership).live_instances()), 3)
         check.assertEqual(usable(entries[0]), {"engine-0", "engine-1"})
         check.assertEqual(len(entries[0].kernel.get(Instances).all_members()), 6)
 
 
-async def test_an_address_that_others_cannot_use_is_refused_at_the_start():
+async def test_an_address_that_others_cannot_use_is_rejected_at_the_start():
     async with small_site(entries=1) as (_, entries):
         sections = {
             "instance": {
--- a/tests/test_membership_work.py
+++ b/tests/test_membership_work.py
@@ -57,10 +57,10 @@
     check.assertTrue(all(1 <= count <= 2 * RINGS for count in watchers.values()))
 
 
-def test_what_a_former_run_had_confirmed_leaves_no_hole():
-    # A neighbour counts on rows that the former run of this process had confirmed and sends only
-    # what came after. Taken as a whole, the rows before would be missing here for ever, and
-    # callers would be sent to an instance that everyone else knows to be gone.
+def test_rows_confirmed_by_an_earlier_run_leave_no_gap():
+    # A neighbour counts on rows that the earlier run of this process had confirmed and sends only
+    # what came after. If that counted as complete, the rows before would be missing here for good,
+    # and callers would be sent to an instance that everyone else knows to be gone.
     sender = Exchange(1000, Table())
     for number in range(3):
         sender.table.put(InstanceRow(instance(number), 1000, InstanceState.GONE))
@@ -77,7 +77,7 @@
     check.assertEqual(restarted.table.digest, sender.table.digest)
 
 
-def test_patience_has_an_end():
+def test_the_limit_of_misses_is_bounded():
     fleet, _ = fleet_of(3)
     detector = fleet.state_of(0)._detector
     peer = InstanceId("entry-1")
@@ -88,9 +88,9 @@
     check.assertEqual(answers, [False] * (MAX_SUSPECT_MISSES - 1) + [True])
 
 
-def test_a_change_in_a_large_fleet_works_on_its_own_rows():
-    # A neighbour tells of one runner that leaves. Were every view worked out again, each such
-    # message would hold up the tokens that pass through the same loop, the more the larger the
+def test_a_change_in_a_large_fleet_updates_only_its_own_rows():
+    # A neighbour sends that one runner is leaving. If every view were computed anew, each such
+    # message would delay the tokens that pass through the same event loop, the more the larger the
     # fleet is.
     state = MembershipState(instance(0), 0.0, EPOCH_S, random.Random(1))
     state.apply_list(0.0, [instance(n) for n in range(100)] + [runner(n) for n in range(400)])
@@ -102,8 +102,8 @@
     check.assertTrue(all(view is views[name] for name, view in state.views().items()))
 
 
-def test_a_reading_is_compared_in_bounded_steps():
-    # A first reading brings everything, the next one loses everything; neither may hold the loop.
+def test_a_reading_is_merged_in_bounded_steps():
+    # A first reading adds everything, the next one removes everything; neither may block the loop.
     state = MembershipState(instance(0), 0.0, EPOCH_S, random.Random(1))
     members = [runner(number) for number in range(500)]
     for reading in (members, [], members):
@@ -115,10 +115,10 @@
         check.assertEqual(len(state.members()), len(reading))
 
 
-def test_news_that_comes_between_the_steps_of_a_reading_stands():
-    # A reading is compared while a neighbour tells what it read later: one runner leaves, another
-    # one is new. The reading names the first as live and the second not at all; taken so, callers
-    # would be sent to the one that leaves.
+def test_an_update_between_the_steps_of_a_reading_is_kept():
+    # While a reading is merged a neighbour sends what it read later: one runner is leaving, another
+    # one is new. The reading has the first as live and the second not at all; if that replaced the
+    # update, callers would be sent to the one that is leaving.
     state = MembershipState(instance(0), 0.0, EPOCH_S, random.Random(1))
     members = [runner(number) for number in range(200)]
     state.apply_list(0.0, members)
@@ -186,9 +186,9 @@
             unpack_row(bad)
 
 
-def test_a_heartbeat_without_news_is_small():
+def test_a_heartbeat_without_updates_is_small():
     state = MembershipState(instance(0), 0.0, EPOCH_S, random.Random(1))
     state.apply_list(0.0, [instance(0), instance(1)])
-    ask = next(iter(state.tick(1.0)))
-    check.assertIsInstance(ask.message, Heartbeat)
-    check.assertLessEqual(len(encode(replace(ask.message, rows=[]))), 60)
+    request = next(iter(state.tick(1.0)))
+    check.assertIsInstance(request.message, Heartbeat)
+    check.assertLessEqual(len(encode(replace(request.message, rows=[]))), 60)
