--- a/egretstack/fleet/_fleet.py
+++ b/egretstack/fleet/_fleet.py
@@ -173,8 +173,8 @@
         """
         self.home(now_s)
         own = self.own.instance.id
-        silent = self._home != own and now_s - self._home_update_s > HOME_TIMEOUT_S
-        return silent or own in self.watchers(now_s)
+        unresponsive = self._home != own and now_s - self._home_update_s > HOME_TIMEOUT_S
+        return unresponsive or own in self.watchers(now_s)
 
     def watchers(self, now_s: float) -> set[InstanceId]:
         """Return the instances that watch the store for all, as far as is known here."""
@@ -270,8 +270,8 @@
         if max(newest, self._newest_config) <= self.own.config_version:
             return []
         if self._newest_config > newest:
-            told = set(self._newest_config_holders)
-            return [known for known in live if known.instance.id in told]
+            holders = set(self._newest_config_holders)
+            return [known for known in live if known.instance.id in holders]
         return [known for known in live if known.config_version == newest]
 
     def _with_reported_config(self, now_s: float, known: KnownInstance) -> KnownInstance:
--- a/tests/news_fixtures.py
+++ b/tests/news_fixtures.py
@@ -29,7 +29,7 @@
 
 def message_with(home, part):
     """Return a part as the message that is sent."""
-    news = FleetNews(
+    update = FleetNews(
         home=instance_row(known_instance(0)),
         epoch=home.epoch,
         continued_epoch=home.continued.epoch,
@@ -45,7 +45,7 @@
         config_version=3,
         config_holders=[f"edge-guanajuato-c-{number}" for number in range(8)],
     )
-    return part.fill(news)
+    return part.fill(update)
 
 
 def deliver_all(home, follower):
--- a/tests/test_fleet_news.py
+++ b/tests/test_fleet_news.py
@@ -217,15 +217,17 @@
         (home,) = [one for one in site.kernels if one.get(FleetPort).is_home()]
         await site.until(lambda: home.get(FleetNewsService)._as_of.runners_revision > 0)
         (other,) = [one for one in site.kernels if one is not home]
-        port, news = home.get(FleetPort), home.get(FleetNewsService)
+        port, service = home.get(FleetPort), home.get(FleetNewsService)
         sent = []
         port.send_encoded = lambda address, data: sent.append(decode(msgpack.unpackb(data)))
-        before = news._as_of.runners_revision
+        before = service._as_of.runners_revision
         runners = list(port.runners.by_id.values())[:1]
         now_s = trio.current_time()
         port.runners.apply_reading(now_s, runners, port.runners.revision + 7, now_s)
         report = other.get(FleetPort)._own_report()
-        news._take_report(InstanceId(other.settings.instance), replace(report, held=[0, 0, True]))
+        service._take_report(
+            InstanceId(other.settings.instance), replace(report, held=[0, 0, True])
+        )
         check.assertEqual({one.runners_revision for one in sent}, {before})
         keys = {row.key for one in sent for row in unpack_changes(one.rows)}
         check.assertEqual(len([key for key in keys if key.startswith("ri-desk")]), 2)
@@ -242,8 +244,8 @@
         rows = [[[1, "rx", [1, 2]]], [[1, "ix", []]], [[1, "r", [*runner_row(runner("a")), "x"]]]]
         for number, changes in enumerate(rows):
             packed = zlib.compress(msgpack.packb(changes))
-            news = FleetNews(row, 50 + number, 0, 0, 0, 1, 1, packed, 1, 0, 1, 0, 1, [3])
-            port.send(port.fleet.own.instance.peer_address, news)
+            update = FleetNews(row, 50 + number, 0, 0, 0, 1, 1, packed, 1, 0, 1, 0, 1, [3])
+            port.send(port.fleet.own.instance.peer_address, update)
         bad = FleetNews(row, 60, 0, 0, 5, 1, 0, b"", 1, 0, 1, 0, 1, [])
         port.send(port.fleet.own.instance.peer_address, bad)
         await trio.sleep(0.1)
--- a/tests/test_runner_incarnations.py
+++ b/tests/test_runner_incarnations.py
@@ -66,12 +66,12 @@
 
 
 def test_peers_receive_both_starts():
-    home, peer, newcomer = RunnerTable(), RunnerTable(), RunnerTable()
+    home, peer, new_instance = RunnerTable(), RunnerTable(), RunnerTable()
     home.apply_reading(0.0, [runner("a", started_ms=100)], 10, 0.0)
     peer.apply_reading(0.0, [runner("a", started_ms=100)], 10, 0.0)
     home.record_start(RunnerId("a@100"), 200)
     rows = [runner_from_row(runner_row(one)) for one in home.by_id.values()]
-    for table in (peer, newcomer):
+    for table in (peer, new_instance):
         table.apply_reading(0.1, rows, 10, 0.1)
         check.assertEqual(ready_starts(table), {("a", 200)})
         check.assertFalse(table.is_ready(RunnerId("a@100")))
@@ -144,9 +144,9 @@
 _entry = st.tuples(st.sampled_from(NAMES), st.integers(1, 4), st.booleans())
 _step = st.one_of(
     st.tuples(st.just("reading"), st.integers(1, 9), st.lists(_entry, max_size=4)),
-    st.tuples(st.just("born"), st.sampled_from(NAMES), st.integers(1, 4)),
+    st.tuples(st.just("start"), st.sampled_from(NAMES), st.integers(1, 4)),
     st.tuples(st.just("notice"), st.sampled_from(NAMES), st.integers(1, 4)),
-    st.tuples(st.just("silent"), st.sampled_from(NAMES), st.integers(1, 4)),
+    st.tuples(st.just("unresponsive"), st.sampled_from(NAMES), st.integers(1, 4)),
 )
 
 
@@ -157,7 +157,7 @@
     # start stands. Otherwise requests would go to an engine as if it held the memory of an earlier
     # start.
     table = RunnerTable()
-    newest, told = {}, set()
+    newest, noticed = {}, set()
     for second, (kind, *rest) in enumerate(steps):
         if kind == "reading":
             revision, entries = rest
@@ -167,7 +167,7 @@
             state = {True: RunnerState.LEAVING, False: RunnerState.READY}
             listed = [runner(name, started_ms=b, state=state[left]) for name, b, left in entries]
             table.apply_reading(float(second), listed, revision, float(second))
-        elif kind == "born" and rest[0] in newest:
+        elif kind == "start" and rest[0] in newest:
             name, started = rest
             table.record_start(RunnerId(f"{name}@{newest[name]}"), started)
             newest[name] = max(newest[name], started)
@@ -175,12 +175,12 @@
             name, started = rest
             if RunnerId(f"{name}@{started}") in table.by_id:
                 table.record_leaving(float(second), RunnerId(f"{name}@{started}"))
-                told.add((name, started))
-        elif kind == "silent":
+                noticed.add((name, started))
+        elif kind == "unresponsive":
             table.unresponsive = frozenset({RunnerId(f"{rest[0]}@{rest[1]}")})
         ready = ready_starts(table)
         check.assertTrue(all(newest[name] == started for name, started in ready), ready)
-        check.assertFalse(ready & told)
+        check.assertFalse(ready & noticed)
 
 
 @EXAMPLES
