--- a/egretstack/http1/__init__.py
+++ b/egretstack/http1/__init__.py
@@ -7,7 +7,7 @@
     UpstreamConnection,
     connect_upstream,
 )
-from egretstack.http1._exchange import ResponseTooLarge, exchange
+from egretstack.http1._exchange import AnswerTooLarge, exchange
 from egretstack.http1._messages import (
     Header,
     Headers,
@@ -27,7 +27,7 @@
 from egretstack.http1._sockets import open_connection, open_listener
 
 __all__ = [
-    "ResponseTooLarge",
+    "AnswerTooLarge",
     "BadRequest",
     "BodyMemory",
     "ClientConnection",
--- a/egretstack/http1/_exchange.py
+++ b/egretstack/http1/_exchange.py
@@ -11,7 +11,7 @@
 """Subtracted from an upstream's own limit: a request sent just before it closes would be reset."""
 
 
-class ResponseTooLarge(UpstreamBroken):
+class AnswerTooLarge(UpstreamBroken):
     """The response body exceeds the size that its reader accepts."""
 
 
@@ -50,7 +50,7 @@
     while (data := await connection.read_body()) is not None:
         body += data
         if len(body) > max_bytes:
-            raise ResponseTooLarge(f"more than {max_bytes} bytes")
+            raise AnswerTooLarge(f"more than {max_bytes} bytes")
     return head, bytes(body)
 
 
--- a/egretstack/services/dispatching.py
+++ b/egretstack/services/dispatching.py
@@ -80,8 +80,8 @@
 
     async def place_again(self, placement: Placement) -> Placement:
         """Wait for a runner after the policy took the work away."""
-        waiting = self._waiting_by_id[placement.work.id]
-        self._tell(Evicted(placement.work.id))
+        waiting = self._waiting_by_id[placement.request.id]
+        self._tell(Evicted(placement.request.id))
         return await self._decision(waiting)
 
     def engine(self, runner_id: RunnerId) -> EngineClient | None:
--- a/egretstack/sessions/__init__.py
+++ b/egretstack/sessions/__init__.py
@@ -1,4 +1,4 @@
-"""Sessions: one generation each, from an engine to a caller."""
+"""Sessions: each delivers one generation from an engine to a caller."""
 
 from egretstack.sessions._levels import SessionLevels, is_success
 from egretstack.sessions._outcome import FinishedAnswer
--- a/egretstack/sessions/_engine_query.py
+++ b/egretstack/sessions/_engine_query.py
@@ -1,4 +1,4 @@
-"""Asks an engine after a generation, and tells failures of its stream apart."""
+"""Queries an engine for a generation, and classifies failures of its stream."""
 
 from egretstack.delivery import EngineWord, Failure
 from egretstack.ids import GenerationId
@@ -24,7 +24,7 @@
 
 
 class StreamFailed(Exception):
-    """Following a stream came to nothing."""
+    """Reading an engine's stream failed."""
 
     def __init__(self, failure: Failure, detail: str, retry_after_s: float | None = None) -> None:
         super().__init__(detail)
@@ -38,12 +38,13 @@
         return cls(failure, str(error), getattr(error, "retry_after_s", None))
 
 
-async def ask_engine(engine: EngineClient, generation: GenerationId) -> EngineWord:
-    """Ask over a new connection whether the engine has a generation, ended or not.
+async def query_engine(engine: EngineClient, generation: GenerationId) -> EngineWord:
+    """Query over a new connection whether the engine has a generation, ended or not.
 
-    A stream that went silent says nothing about the engine: the connection may be dead while
-    new ones work. An engine that accepts no connection in time, or accepts and says nothing,
-    is stalled, or its host is gone without a sign; only a refusal shows that no process listens.
+    A stream without data says nothing about the engine: the connection may be dead while new ones
+    work. An engine that accepts no connection in time, or accepts one and does not answer, is
+    stalled, or its host vanished without a reset; only a refused connection shows that no process
+    is listening.
     """
     try:
         await engine.state(generation)
--- a/egretstack/sessions/_errors.py
+++ b/egretstack/sessions/_errors.py
@@ -1,4 +1,4 @@
-"""The final answers of sessions that did not finish; each states only what is known."""
+"""Errors of sessions that did not finish; each states only what is certain."""
 
 from egretstack.delivery import Recovery
 from egretstack.errors import EgretError, ErrorKind, RunState
@@ -6,7 +6,7 @@
 
 
 def cancelled(session: Session) -> EgretError:
-    """Say that the session was cancelled, and how much of it was delivered."""
+    """Return the error of a cancelled session, with the number of delivered tokens."""
     return EgretError(
         ErrorKind.GENERATION_CANCELLED,
         f"cancelled after {session.deliverable} tokens",
@@ -15,7 +15,7 @@
 
 
 def generation_lost(session: Session) -> EgretError:
-    """Say that the generation was lost, and how much of it was delivered."""
+    """Return the error of a lost generation, with the number of delivered tokens."""
     return EgretError(
         ErrorKind.GENERATION_LOST,
         f"the engine lost the generation after {session.deliverable} tokens",
@@ -23,8 +23,8 @@
     )
 
 
-def given_up(recovery: Recovery, detail: str, retry_after_s: float | None) -> EgretError:
-    """Say that no engine brought the request to an end, and when to come back."""
+def recovery_failed(recovery: Recovery, detail: str, retry_after_s: float | None) -> EgretError:
+    """Return the error of a request that no engine finished, with the time to retry after."""
     if recovery.may_have_run:
         return _ran_without_delivery(detail, retry_after_s)
     kind = ErrorKind.ENGINES_FULL if recovery.refused else ErrorKind.NO_RUNNER
@@ -32,10 +32,10 @@
 
 
 def placement_refused(error: EgretError, recovery: Recovery) -> EgretError:
-    """Correct a refusal to place the work again by what its earlier attempts did.
+    """Adjust the policy's refusal of another placement to what earlier attempts did.
 
-    The policy's refusals state that nothing ran, which is known of this attempt only. A caller
-    told so after an engine had worked on the request would be told what is not true.
+    The policy's refusals state that nothing ran, which holds for the last attempt only. If an
+    engine worked on the request before, this would be false.
     """
     if error.run is RunState.NOT_RUN and recovery.may_have_run:
         return _ran_without_delivery(error.detail, error.retry_after_s)
--- a/egretstack/sessions/_levels.py
+++ b/egretstack/sessions/_levels.py
@@ -1,4 +1,4 @@
-"""Counts what one session contributes to its account's service levels."""
+"""Records one session's contribution to its account's service levels."""
 
 from egretstack import clock
 from egretstack.contracts import Contract
@@ -7,11 +7,11 @@
 from egretstack.sessions._outcome import FinishedAnswer
 from egretstack.sessions._session import Session
 
-_BY_CALLER = frozenset({ErrorKind.GENERATION_CANCELLED})
+_ENDED_BY_CALLER = frozenset({ErrorKind.GENERATION_CANCELLED})
 
 
 class SessionLevels:
-    """Follows one session from `opened_s`, when its request came, to its end."""
+    """Records the service levels of one session, whose request arrived at `opened_s`."""
 
     def __init__(
         self, session: Session, contract: Contract, levels: ServiceLevels, opened_s: float
@@ -21,23 +21,23 @@
         )
         self._account = levels.of(contract.account, targets)
         self._pace = Pace(self._account, opened_s, resumed=session.delivered > 0)
-        session.on_read = self._taken
-        session.on_outcome = self._ended
+        session.on_read = self._on_read
+        session.on_outcome = self._on_outcome
 
-    def _taken(self, tokens: int) -> None:
+    def _on_read(self, tokens: int) -> None:
         self._pace.delivered(clock.now(), tokens)
 
-    def _ended(self, outcome: FinishedAnswer | EgretError) -> None:
-        kept = is_success(outcome)
-        if kept is not None:
-            self._account.ended(kept=kept)
+    def _on_outcome(self, outcome: FinishedAnswer | EgretError) -> None:
+        success = is_success(outcome)
+        if success is not None:
+            self._account.ended(kept=success)
 
 
 def is_success(outcome: FinishedAnswer | EgretError) -> bool | None:
-    """Tell whether an accepted session finished or was refused truthfully with nothing run.
+    """Return whether an accepted session finished, or was refused and certainly did not run.
 
-    None for a session that its caller ended.
+    Returns None for a session that its caller cancelled.
     """
     if isinstance(outcome, FinishedAnswer):
         return True
-    return None if outcome.kind in _BY_CALLER else outcome.run is RunState.NOT_RUN
+    return None if outcome.kind in _ENDED_BY_CALLER else outcome.run is RunState.NOT_RUN
--- a/egretstack/sessions/_outcome.py
+++ b/egretstack/sessions/_outcome.py
@@ -1,11 +1,11 @@
-"""The end of a session that went well."""
+"""The outcome of a successful session."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class FinishedAnswer:
-    """A whole answer; `text` is empty for a streamed one."""
+    """A complete answer; `text` is empty if it was streamed."""
 
     text: str
     output_tokens: int
--- a/egretstack/sessions/_placer.py
+++ b/egretstack/sessions/_placer.py
@@ -1,4 +1,4 @@
-"""What a session needs of the one that places work on runners."""
+"""Interface through which sessions have their requests placed on runners."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -13,9 +13,9 @@
 
 @dataclass
 class Placement:
-    """Work that was given a runner, until the policy takes it away again with `evict`."""
+    """A request's assignment to a runner, until the policy revokes it with `evict`."""
 
-    work: Work
+    request: Work
     runner_id: RunnerId
     engine: EngineClient
     priority: int
@@ -23,12 +23,12 @@
     _scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     def evict(self) -> None:
-        """Take the work away: the stream that is followed, or the next one, ends at once."""
+        """Revoke the placement: the current stream, or the next one, is cancelled immediately."""
         self.evicted = True
         self._scope.cancel()
 
     def new_scope(self) -> trio.CancelScope:
-        """Give the scope to follow one stream in; each reconnection needs a new one."""
+        """Return a cancel scope for reading one stream; each reconnection needs a new one."""
         self._scope = trio.CancelScope()
         if self.evicted:
             self._scope.cancel()
@@ -36,28 +36,28 @@
 
 
 class Placer(ABC):
-    """Places work by the policy."""
+    """Places requests according to the policy."""
 
     @abstractmethod
-    async def place(self, work: Work, may_evict: Callable[[], bool]) -> Placement:
-        """Wait for a runner; raise EgretError with the policy's refusal."""
+    async def place(self, request: Work, may_evict: Callable[[], bool]) -> Placement:
+        """Wait for a runner; raise EgretError if the policy refuses the request."""
 
     @abstractmethod
     async def place_again(self, placement: Placement) -> Placement:
-        """Wait for a runner after the policy took the work away."""
+        """Wait for another runner after the policy evicted the request."""
 
     @abstractmethod
     def engine(self, runner_id: RunnerId) -> EngineClient | None:
-        """Give the client of a runner, also of a leaving one; None if it is not known."""
+        """Return the client of a runner, even a leaving one; None if the runner is unknown."""
 
     @abstractmethod
-    def report_started(self, work: Work) -> None:
-        """Tell the policy that the engine accepted the work."""
+    def report_started(self, request: Work) -> None:
+        """Report to the policy that the engine accepted the request."""
 
     @abstractmethod
-    def report_progress(self, work: Work, tokens: int, delivered: int) -> None:
-        """Tell the policy how far the work has come."""
+    def report_progress(self, request: Work, tokens: int, delivered: int) -> None:
+        """Report to the policy how many tokens were generated and delivered."""
 
     @abstractmethod
-    def report_ended(self, work: Work, tokens: int, reason: EndReason) -> None:
-        """Tell the policy that the work left its engine, or the queue."""
+    def report_ended(self, request: Work, tokens: int, reason: EndReason) -> None:
+        """Report to the policy that the request left its engine, or the queue."""
--- a/egretstack/sessions/_session.py
+++ b/egretstack/sessions/_session.py
@@ -1,5 +1,4 @@
-"""A session: the events of its generation between the task that follows the engine and the
-caller's connection."""
+"""A session: buffers the events of its generation between the pump and the caller's connection."""
 
 from collections import deque
 from collections.abc import AsyncIterator, Callable
@@ -14,18 +13,18 @@
 from egretstack.upstreams import EngineEvent, EngineEventKind, GenerationRequest
 
 MAX_UNREAD_EVENTS = 1024
-"""Events that wait for a slow caller before the engine's stream is left unread."""
+"""Events buffered for a slow caller before the engine's stream is read no further."""
 KEPT_EVENTS = 512
-"""Read events that are kept for a caller who comes back with an earlier number."""
+"""Events kept after they were read, for a caller that reconnects with an earlier number."""
 
 
 class ReaderStalled(Exception):
-    """Nobody took events for longer than is allowed, and too many wait."""
+    """The buffer was full and no events were read for longer than allowed."""
 
 
 @dataclass(frozen=True)
 class SessionRequest:
-    """What the caller asked for. `unread_s` bounds how long a full buffer may stay unread."""
+    """What the caller requested; `unread_timeout_s` limits how long a full buffer stays unread."""
 
     account: AccountId
     service: ServiceName
@@ -35,9 +34,9 @@
 
 
 class Session:
-    """The state of one session on the entry that serves it.
+    """State of one session on the entry that serves it.
 
-    The pump adds events; one reader at a time takes them. A newer reader supersedes an older.
+    The pump adds events; one reader at a time reads them. A newer reader supersedes an older one.
     """
 
     def __init__(self, work_id: WorkId, request: SessionRequest, cursor: Cursor) -> None:
@@ -48,47 +47,47 @@
         self.runner: RunnerId | None = None
         self.outcome: FinishedAnswer | EgretError | None = None
         self.last_read = cursor.last
-        """Sequence number of the last event that a caller may have seen."""
+        """Sequence number of the last event that the caller may have received."""
         self.tokens = max(0, cursor.last)
         """Output tokens received from the engine; event N of a stream is its token N."""
         self.tokens_before = self.tokens
-        """Tokens that the caller had before this entry took the session over."""
+        """Output tokens that the caller had before this entry took the session over."""
         self.is_withheld: Callable[[], bool] = lambda: False
-        """Tells that readers may take nothing, since the generation is about to be dropped."""
+        """Whether readers may read nothing because the generation is about to be restarted."""
         self.on_read: Callable[[int], None] = lambda tokens: None
-        """Told of how many tokens a reader takes that none took before."""
+        """Called with the number of tokens that are read for the first time."""
         self.on_outcome: Callable[[FinishedAnswer | EgretError], None] = lambda outcome: None
         self._events: deque[EngineEvent] = deque()
         self._changed = trio.Event()
-        self._room = trio.Event()
-        self._reader = 0
+        self._space_available = trio.Event()
+        self._current_reader = 0
 
     @property
     def delivered(self) -> int:
-        """Give the number of output tokens that the caller may have seen."""
+        """Number of output tokens that the caller may have received."""
         return max(0, self.last_read)
 
     @property
     def deliverable(self) -> int:
-        """Give the number of output tokens that the caller has once it has read to the end.
+        """Number of output tokens that the caller will have received at the end of the stream.
 
-        An outcome is read after the events that wait before it. Were the count in it the one
-        of the moment it was set, the caller would be told of fewer tokens than it got.
+        The outcome is read after all buffered events. If it contained the count at the time it was
+        set, it would report fewer tokens than the caller received.
         """
         return max(0, self.tokens) if self.request.streamed else 0
 
     async def add(self, event: EngineEvent) -> None:
-        """Add the next event; wait while too many are unread. Raises ReaderStalled."""
+        """Add the next event, waiting while the buffer is full. Raises ReaderStalled."""
         self._events.append(event)
         self.tokens = event.sequence
         self._wake()
         while self.request.streamed and self.cursor.last - self.last_read > MAX_UNREAD_EVENTS:
-            await self._wait_for_room()
+            await self._wait_for_space()
 
     def restart(self) -> None:
-        """Forget a generation of which nothing was taken."""
+        """Discard a generation of which nothing was read."""
         if self.last_read >= 0:
-            raise ValueError("events of this generation were taken")
+            raise ValueError("events of this generation were read")
         self.cursor = Cursor()
         self.id = None
         self.runner = None
@@ -96,29 +95,29 @@
         self._events.clear()
 
     def end(self, outcome: FinishedAnswer | EgretError) -> None:
-        """Set the outcome, once; readers get what is left, then it."""
+        """Set the outcome if there is none yet; readers get it after the remaining events."""
         if self.outcome is None:
             self.outcome = outcome
             self.on_outcome(outcome)
         self._wake()
 
     def text(self) -> str:
-        """Join the text of the events that are kept."""
+        """Return the concatenated text of the kept events."""
         return "".join(event.text for event in self._events)
 
     def can_read_after(self, after: int) -> bool:
-        """Tell whether the events after a sequence number are still kept here."""
+        """Return whether all events after a sequence number are still kept."""
         return bool(self._events) and self._events[0].sequence <= after + 1
 
     def supersede(self) -> int:
-        """Make a new reader the only one; give its number."""
-        self._reader += 1
+        """Replace the current reader; return the number of the new one."""
+        self._current_reader += 1
         self._wake()
-        return self._reader
+        return self._current_reader
 
     def is_reader(self, reader: int) -> bool:
-        """Tell whether this reader was not superseded."""
-        return self._reader == reader
+        """Return whether this reader has not been superseded."""
+        return self._current_reader == reader
 
     async def wait_for_end(self) -> None:
         """Wait for the outcome."""
@@ -128,40 +127,41 @@
     async def batches(
         self, reader: int, after: int, heartbeat_s: float
     ) -> AsyncIterator[list[EngineEvent]]:
-        """Give events in batches of what is ready; an empty one after a silence.
+        """Yield batches of available events, and an empty one after `heartbeat_s` without events.
 
-        Ends at the outcome, or when another reader superseded this one.
+        Ends at the outcome, or when another reader supersedes this one.
         """
         position = after
         while self.is_reader(reader):
             changed = self._changed
             ready = self._after(position)
-            if ready and not self._binds_only(ready) and not self.is_withheld():
+            if ready and not self._is_only_created(ready) and not self.is_withheld():
                 position = ready[-1].sequence
-                self._take(position)
+                self._mark_read(position)
                 yield ready
                 continue
             if self.outcome is not None:
                 return
-            with trio.move_on_after(heartbeat_s) as silence:
+            with trio.move_on_after(heartbeat_s) as wait:
                 await changed.wait()
-            if silence.cancelled_caught:
+            if wait.cancelled_caught:
                 yield []
 
-    async def _wait_for_room(self) -> None:
-        # A connection that is open and never read would keep the buffer, the engine's memory
-        # and the account's place for ever; the bound covers a caller that is away as well.
+    async def _wait_for_space(self) -> None:
+        # A caller that keeps its connection open and never reads would hold the buffer, the
+        # engine's memory and a slot of its account forever. The timeout also covers a disconnected
+        # caller.
         with trio.move_on_after(self.request.unread_timeout_s) as wait:
-            self._room = trio.Event()
-            await self._room.wait()
+            self._space_available = trio.Event()
+            await self._space_available.wait()
         if wait.cancelled_caught:
             raise ReaderStalled
 
-    def _binds_only(self, ready: list[EngineEvent]) -> bool:
-        """Tell whether all that is ready is the event that names the generation.
+    def _is_only_created(self, ready: list[EngineEvent]) -> bool:
+        """Return whether the only ready event is the one that names the generation.
 
-        It is held until a token follows. Sent alone it would bind the caller to a generation of
-        which nothing was delivered, and that generation could not be run again elsewhere.
+        It is held back until a token follows. Sent alone, it would bind the caller to a generation
+        of which nothing was delivered, and which then could not be restarted elsewhere.
         """
         return ready[-1].kind is EngineEventKind.CREATED and self.outcome is None
 
@@ -175,12 +175,12 @@
         newest_first = [self._events[-1 - index] for index in range(wanted)]
         return newest_first[::-1]
 
-    def _take(self, position: int) -> None:
+    def _mark_read(self, position: int) -> None:
         self.on_read(max(0, position) - self.delivered)
         self.last_read = max(self.last_read, position)
         while self._events and self._events[0].sequence <= self.last_read - KEPT_EVENTS:
             self._events.popleft()
-        self._room.set()
+        self._space_available.set()
 
     def _wake(self) -> None:
         self._changed.set()
--- a/egretstack/sessions/_takeover.py
+++ b/egretstack/sessions/_takeover.py
@@ -1,4 +1,4 @@
-"""Tells the entries that may serve a session still that another one took it over."""
+"""Notifies the entries that may still serve a session that another entry took it over."""
 
 import hashlib
 from collections.abc import Awaitable, Callable
@@ -12,65 +12,71 @@
 from egretstack.peers import Message, PeerGone, PeerRefused
 
 FIRST_RETRY_S = 0.5
-LONGEST_RETRY_S = 2.0
-MAX_TOLD = 8
+MAX_RETRY_S = 2.0
+MAX_NOTIFIED = 8
 PEER_PORT = "peer"
-Ask = Callable[[InstanceId, str, int, Message], Awaitable[Message]]
+SendRequest = Callable[[InstanceId, str, int, Message], Awaitable[Message]]
 
 
 class EntryList(Protocol):
-    """Where entries are looked up."""
+    """Looks up entries."""
 
     def members(self, service: str, state: MemberState | None = None) -> list[Member]:
-        """Give the members of a service, of one state or of any."""
+        """Return the members of a service, optionally only those in one state."""
 
 
 class Takeover:
-    """One take-over, told to the entry the session id names, to others it leads to, and to one
-    entry chosen by the generation.
+    """Notifies other entries of one session takeover.
 
-    That one is chosen alike by all, so it knows the last holder also when the entry named in
-    the id is gone. Each is told until it answers; the caller of `run` bounds the time.
+    Notified are the entry that the session id names, the holders that answers name, and one entry
+    chosen by rendezvous hashing of the generation. All entries choose the same one, so it knows the
+    last holder even if the entry named in the id has ended. Each is notified until it answers; the
+    caller of `run` limits the time.
     """
 
     def __init__(self, entries: EntryList, own: InstanceId, message: SessionTaken) -> None:
         self._entries = entries
         self._own = own
         self._message = message
-        self._told: set[InstanceId] = {own}
+        self._notified: set[InstanceId] = {own}
         self.unnotified: set[InstanceId] = set()
 
     async def run(
-        self, ask: Ask, first: set[InstanceId | None], goes_on: Callable[[], bool]
+        self,
+        send_request: SendRequest,
+        holders: set[InstanceId | None],
+        is_active: Callable[[], bool],
     ) -> None:
-        """Tell until every one was told or the session has ended here."""
-        self.unnotified = {one for one in first | {self._meeting_place()} if one} - self._told
+        """Notify until every entry has answered or the session has ended here."""
+        self.unnotified = {
+            entry for entry in holders | {self._rendezvous_entry()} if entry
+        } - self._notified
         wait_s = FIRST_RETRY_S
         while self.unnotified:
             for peer in sorted(self.unnotified):
-                await self._tell(ask, peer)
+                await self._notify(send_request, peer)
             if not self.unnotified:
                 return
             await trio.sleep(wait_s)
-            wait_s = min(wait_s * 2, LONGEST_RETRY_S)
-            if not goes_on():
+            wait_s = min(wait_s * 2, MAX_RETRY_S)
+            if not is_active():
                 self.unnotified.clear()
 
-    async def _tell(self, ask: Ask, peer: InstanceId) -> None:
+    async def _notify(self, send_request: SendRequest, peer: InstanceId) -> None:
         member = self._member(peer)
         if member is None:
             return
         try:
-            answer = await ask(peer, member.host, member.ports[PEER_PORT], self._message)
+            answer = await send_request(peer, member.host, member.ports[PEER_PORT], self._message)
         except (PeerGone, PeerRefused):
             return
         self.unnotified.discard(peer)
-        self._told.add(peer)
+        self._notified.add(peer)
         if isinstance(answer, SessionReleased) and answer.previous:
-            self._follow(InstanceId(answer.previous))
+            self._add_previous_holder(InstanceId(answer.previous))
 
-    def _follow(self, peer: InstanceId) -> None:
-        if peer not in self._told and len(self._told) < MAX_TOLD:
+    def _add_previous_holder(self, peer: InstanceId) -> None:
+        if peer not in self._notified and len(self._notified) < MAX_NOTIFIED:
             self.unnotified.add(peer)
 
     def _member(self, peer: InstanceId) -> Member | None:
@@ -79,9 +85,9 @@
                 return member
         return None
 
-    def _meeting_place(self) -> InstanceId | None:
+    def _rendezvous_entry(self) -> InstanceId | None:
         live = self._entries.members(ENTRY_SERVICE, MemberState.LIVE)
-        return max((InstanceId(one.id) for one in live), key=self._weight, default=None)
+        return max((InstanceId(member.id) for member in live), key=self._weight, default=None)
 
     def _weight(self, entry: InstanceId) -> bytes:
         return hashlib.sha256(f"{self._message.generation}/{entry}".encode()).digest()
--- a/tests/scripted_engine.py
+++ b/tests/scripted_engine.py
@@ -138,7 +138,7 @@
         return self.placed[-1]
 
     async def place_again(self, placement):
-        return await self.place(placement.work, None)
+        return await self.place(placement.request, None)
 
     def engine(self, runner_id):
         return None
