--- a/tests/scripted_engine.py
+++ b/tests/scripted_engine.py
@@ -1,4 +1,4 @@
-"""An engine whose streams follow a script, and what a pump needs besides."""
+"""An engine whose streams follow a script, and other test doubles for a pump."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -39,7 +39,7 @@
 MAX_OUTPUT = 100
 START_DEADLINE_S = 10.0
 LIMIT_S = 600.0
-"""On the mock clock; every recovery ends before."""
+"""On the mock clock; every recovery ends within this time."""
 
 
 def event(sequence: int, kind: EngineEventKind, generation: GenerationId = ONE) -> EngineEvent:
@@ -64,7 +64,7 @@
 
 @dataclass
 class ScriptedEngine(EngineClient):
-    """Each connection plays the next script; an error in it is raised, and its end ends it.
+    """Each connection plays the next script: it raises the errors in it and ends where it ends.
 
     Connections after the last script raise `then`.
     """
@@ -121,20 +121,20 @@
 
 
 class ListedPlacer(Placer):
-    """Gives out engines in their order, then refuses."""
+    """Places each request on the next engine of a list, then refuses."""
 
     def __init__(self, engines: list[EngineClient]) -> None:
         self.engines = engines
         self.placed: list[Placement] = []
-        self.placed_work: list[Work] = []
+        self.placed_requests: list[Work] = []
 
-    async def place(self, work, may_evict):
+    async def place(self, request, may_evict):
         await trio.lowlevel.checkpoint()
         if len(self.placed) == len(self.engines):
             raise EgretError(ErrorKind.NO_RUNNER, "no engine is left", retry_after_s=7)
         number = len(self.placed)
-        self.placed.append(Placement(work, RunnerId(f"r{number}"), self.engines[number], 1))
-        self.placed_work.append(work)
+        self.placed.append(Placement(request, RunnerId(f"r{number}"), self.engines[number], 1))
+        self.placed_requests.append(request)
         return self.placed[-1]
 
     async def place_again(self, placement):
@@ -143,17 +143,17 @@
     def engine(self, runner_id):
         return None
 
-    def report_started(self, work):
-        """Take no note."""
+    def report_started(self, request):
+        """Ignore the report."""
 
-    def report_progress(self, work, tokens, delivered):
-        """Take no note."""
+    def report_progress(self, request, tokens, delivered):
+        """Ignore the report."""
 
-    def report_ended(self, work, tokens, reason):
-        """Take no note."""
+    def report_ended(self, request, tokens, reason):
+        """Ignore the report."""
 
 
-def make_work(streamed: bool) -> Work:
+def make_request(streamed: bool) -> Work:
     return Work(
         id=WorkId("work"),
         account=AccountId("acme"),
@@ -169,63 +169,69 @@
 
 
 @dataclass
-class Run:
-    """One session with its pump, as a test sees it."""
+class PumpedSession:
+    """One session with its pump, and the events that a reader received."""
 
     session: Session
     pump: Pump
     placer: ListedPlacer
-    seen: list[EngineEvent] = field(default_factory=list)
+    received: list[EngineEvent] = field(default_factory=list)
 
     @property
     def numbers(self) -> list[int]:
-        return [one.sequence for one in self.seen]
+        return [event.sequence for event in self.received]
 
     @property
     def generations(self) -> set[GenerationId]:
-        return {one.generation for one in self.seen}
+        return {event.generation for event in self.received}
 
     async def read(self) -> None:
-        """Read all there is, as the caller's connection does."""
+        """Read to the end, as the caller's connection does."""
         reader = self.session.supersede()
         async for batch in self.session.batches(reader, self.session.last_read, 1000):
-            self.seen.extend(batch)
+            self.received.extend(batch)
 
 
 @asynccontextmanager
-async def opened_run(
-    *engines: EngineClient, streamed=True, after=None, unread_s=60.0, max_output=MAX_OUTPUT
-) -> AsyncIterator[Run]:
-    """Give a session whose pump runs; with `after` it is one picked up from another entry."""
+async def open_session(
+    *engines: EngineClient,
+    streamed=True,
+    after=None,
+    unread_timeout_s=60.0,
+    max_output_tokens=MAX_OUTPUT,
+) -> AsyncIterator[PumpedSession]:
+    """Yield a session whose pump runs; with `after`, one that was taken over from another entry."""
     placer = ListedPlacer(list(engines))
-    work = make_work(streamed)
-    generation = GenerationRequest(work.model, "prompt", max_output, 1)
-    request = SessionRequest(work.account, work.service, generation, streamed, unread_s)
-    picked_up = after is not None
-    session = Session(work.id, request, Cursor(ONE, after) if picked_up else Cursor())
-    placement = Placement(work, RunnerId("r"), engines[0], 1) if picked_up else None
-    if picked_up:
+    request = make_request(streamed)
+    generation = GenerationRequest(request.model, "prompt", max_output_tokens, 1)
+    session_request = SessionRequest(
+        request.account, request.service, generation, streamed, unread_timeout_s
+    )
+    taken_over = after is not None
+    session = Session(request.id, session_request, Cursor(ONE, after) if taken_over else Cursor())
+    placement = Placement(request, RunnerId("r"), engines[0], 1) if taken_over else None
+    if taken_over:
         session.id = SessionId("resp_x")
     with trio.fail_after(LIMIT_S):
         async with trio.open_nursery() as nursery:
-            links = PumpDependencies(
+            dependencies = PumpDependencies(
                 placer, lambda ref: SessionId("resp_x"), InstanceId("i"), nursery.start_soon
             )
-            pump = Pump(session, work, links, RecoveryBudget(), placement)
+            pump = Pump(session, request, dependencies, RecoveryBudget(), placement)
             nursery.start_soon(pump.run)
-            yield Run(session, pump, placer)
+            yield PumpedSession(session, pump, placer)
             nursery.cancel_scope.cancel()
 
 
-async def read_out(*engines: EngineClient, **options: object) -> Run:
-    """Run a session to its end and read it; give what was seen."""
-    async with opened_run(*engines, **options) as run:
-        await _read_to_end(run)
-    return run
+async def run_session(*engines: EngineClient, **options: object) -> PumpedSession:
+    """Run a session and read it to its end; return it."""
+    async with open_session(*engines, **options) as pumped:
+        await _read_to_end(pumped)
+    return pumped
 
 
-async def _read_to_end(run: Run) -> None:
-    if run.session.request.streamed:
-        await run.read()
-    await run.session.wait_for_end()
+async def _read_to_end(pumped: PumpedSession) -> None:
+    if pumped.session.request.streamed:
+        await pumped.read()
+    await pumped.session.wait_for_end()
     await trio.testing.wait_all_tasks_blocked()
--- a/tests/stream_reader.py
+++ b/tests/stream_reader.py
@@ -1,4 +1,4 @@
-"""A client that reads a stream, for tests of whole entries on the platform's stand-ins."""
+"""A client that reads a stream, for tests of complete entries on the platform's stand-ins."""
 
 import trio
 
@@ -24,7 +24,7 @@
         self.scope = trio.CancelScope()
 
     async def run(self):
-        """Read to the end, whichever it is."""
+        """Read until the stream ends or breaks."""
         connection = await connect_upstream(self._address, WAIT_S)
         head, body = client_request(
             "/plans/1",
@@ -38,18 +38,18 @@
                 await connection.send(head, body)
                 self.status = (await connection.read_head()).status
                 while (data := await connection.read_body()) is not None:
-                    self._take(data)
+                    self._record_ids(data)
             except UpstreamBroken:
                 self.broken = True
         connection.close()
         self.ended.set()
 
     def content_id(self):
-        """Give what its request has in common with other attempts at the same."""
+        """Return the fingerprint of its request, which all attempts at the same request share."""
         head, body = client_request("/plans/1", "", method=b"POST")
         return decode_request(head, body).content_id(ACCOUNT)
 
-    def _take(self, data):
+    def _record_ids(self, data):
         for line in data.decode().splitlines():
             if line.startswith("id:"):
                 self.ids.append(int(line.removeprefix("id:")))
@@ -57,7 +57,7 @@
 
 
 async def start_reader(site, attempt, until_id=0, **more):
-    """Start a reader, and give it once it has seen an event of that id."""
+    """Start a reader; return it once it has received `until_id` events or its stream has ended."""
     reader = StreamReader(site, attempt, **more)
     site.nursery.start_soon(reader.run)
     await site.until(lambda: len(reader.ids) >= until_id or reader.ended.is_set())
--- a/tests/test_http1_client.py
+++ b/tests/test_http1_client.py
@@ -1,4 +1,4 @@
-"""A connection to an upstream that ends at the wrong moment."""
+"""Connections to an upstream that end before the request was sent."""
 
 from functools import partial
 
@@ -13,9 +13,9 @@
 
 @on_real_clock
 async def test_an_upstream_that_closes_before_the_request_went_out():
-    # Every client of the process would lose its connection: the upstream accepted and closed at
-    # once, the reader saw that before the sender ran, and the error of the sender, which nobody
-    # expected, ended the process.
+    # Every client of the process would lose its connection: the upstream accepted and closed
+    # immediately, the reader saw that before the sender ran, and the unhandled error of the sender
+    # ended the process.
     address = f"127.{free_net()}.6.1:8080"
     host, _, port = address.rpartition(":")
 
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -1,4 +1,4 @@
-"""Service levels as entries count them, on the mock clock."""
+"""Service levels that entries record, on the mock clock."""
 
 import trio
 
@@ -26,7 +26,7 @@
 TARGETS = LevelTargets(0.63, 0.072, 0.95)
 
 
-def counted(levels):
+def tally_pairs(levels):
     return {
         objective: (tally.good, tally.total)
         for objective, tally in levels.tally_by_objective.items()
@@ -48,24 +48,24 @@
     return session
 
 
-def test_tokens_that_come_together_have_one_gap_before_them():
+def test_tokens_that_arrive_together_count_one_gap():
     levels = ServiceLevels().of(ACME, TARGETS)
     pace = Pace(levels, 10.0)
     pace.delivered(10.5, 1)
     pace.delivered(11.0, 4)
     pace.delivered(11.0, 0)
-    check.assertEqual(counted(levels)[Objective.FIRST_TOKEN], (1, 1))
-    check.assertEqual(counted(levels)[Objective.GAP], (3, 4))
+    check.assertEqual(tally_pairs(levels)[Objective.FIRST_TOKEN], (1, 1))
+    check.assertEqual(tally_pairs(levels)[Objective.GAP], (3, 4))
 
 
-def test_a_session_that_was_picked_up_has_no_second_first_token():
+def test_a_session_taken_over_has_no_second_first_token():
     levels = ServiceLevels().of(ACME, TARGETS)
     Pace(levels, 10.0, resumed=True).delivered(10.5, 1)
-    check.assertEqual(counted(levels)[Objective.FIRST_TOKEN], (0, 0))
-    check.assertEqual(counted(levels)[Objective.GAP], (0, 1))
+    check.assertEqual(tally_pairs(levels)[Objective.FIRST_TOKEN], (0, 0))
+    check.assertEqual(tally_pairs(levels)[Objective.GAP], (0, 1))
 
 
-def test_what_counts_as_kept():
+def test_which_outcomes_count_as_success():
     proof = NotRunProof("a test")
     check.assertTrue(is_success(FinishedAnswer("", 3)))
     check.assertTrue(is_success(EgretError(ErrorKind.ENGINES_FULL, "", proof=proof)))
@@ -74,33 +74,33 @@
     check.assertIsNone(is_success(EgretError(ErrorKind.GENERATION_CANCELLED, "")))
 
 
-async def test_an_entry_counts_what_its_callers_were_given():
+async def test_an_entry_counts_what_its_callers_received():
     async with open_world() as world:
         await world.configure(contract__acme=CONTRACT, service__llm=ENGINES)
         world.add_engine("engine-0", "llm", ("story",), EngineParameters())
         entry = await world.start("entry-0", Program.ENTRY)
         await trio.sleep(2)
         await read_story(entry, 20)
-        found = counted(levels_of(entry))
-        check.assertEqual(found[Objective.FIRST_TOKEN], (1, 1))
-        check.assertEqual(found[Objective.GAP], (19, 19))
-        check.assertEqual(found[Objective.OUTCOME], (1, 1))
+        tallies = tally_pairs(levels_of(entry))
+        check.assertEqual(tallies[Objective.FIRST_TOKEN], (1, 1))
+        check.assertEqual(tallies[Objective.GAP], (19, 19))
+        check.assertEqual(tallies[Objective.OUTCOME], (1, 1))
 
 
 async def test_a_reader_that_pauses_sees_a_long_gap():
-    # The caller reads slowly: tokens wait in the entry, and come together after the pause.
+    # The caller pauses reading: tokens are buffered in the entry and arrive together afterwards.
     async with open_world() as world:
         await world.configure(contract__acme=CONTRACT, service__llm=ENGINES)
         world.add_engine("engine-0", "llm", ("story",), EngineParameters())
         entry = await world.start("entry-0", Program.ENTRY)
         await trio.sleep(2)
         await read_story(entry, 20, pause_after=5)
-        check.assertEqual(counted(levels_of(entry))[Objective.GAP], (18, 19))
+        check.assertEqual(tally_pairs(levels_of(entry))[Objective.GAP], (18, 19))
 
 
-async def test_an_engine_that_is_lost_in_the_middle_burns_the_outcome():
-    # A reader is in the middle of an answer when its engine dies for good. It is told at once
-    # that the generation was lost in part, which is true and still a broken promise.
+async def test_an_engine_lost_during_an_answer_counts_as_a_bad_outcome():
+    # An engine dies for good in the middle of an answer. The caller is told immediately that the
+    # generation was partly lost; although that is true, it counts against the outcome objective.
     async with open_world() as world:
         await world.configure(contract__acme=CONTRACT, service__llm=ENGINES)
         engine = world.add_engine("engine-0", "llm", ("story",), EngineParameters())
@@ -111,4 +111,4 @@
             await trio.sleep(1)
             engine.faults.dead = True
             engine.faults.wake()
-        check.assertEqual(counted(levels_of(entry))[Objective.OUTCOME], (0, 1))
+        check.assertEqual(tally_pairs(levels_of(entry))[Objective.OUTCOME], (0, 1))
--- a/tests/test_planned_stops.py
+++ b/tests/test_planned_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of whole entries, as clients see them."""
+"""Planned stops of complete entries, from the clients' view."""
 
 from itertools import count
 
@@ -13,10 +13,10 @@
 
 @on_real_clock
 async def test_calls_on_connections_that_clients_use_until_the_process_is_gone_are_answered():
-    # Guards against calls that are cut off when a leaving instance ends.
+    # Guards against calls that are aborted when a leaving instance ends.
     async with platform_site(plain=2) as site:
-        for one in site.plain:
-            one.delay_s = 0.3
+        for runner in site.plain:
+            runner.delay_s = 0.3
         unanswered = []
 
         async def call_until_gone(client):
@@ -34,5 +34,9 @@
                 nursery.start_soon(call_until_gone, client)
             await trio.sleep(0.1)
             site.kernels[0].begin_drain()
-        ran = [one for one in unanswered if any(it.runs_by_attempt[one] for it in site.plain)]
+        ran = [
+            attempt
+            for attempt in unanswered
+            if any(runner.runs_by_attempt[attempt] for runner in site.plain)
+        ]
         check.assertEqual(ran, [])
--- a/tests/test_relay_events.py
+++ b/tests/test_relay_events.py
@@ -1,4 +1,4 @@
-"""Cutting a stream into events, and letting each pass once and in order."""
+"""Splitting a stream into events, and accepting each event once and in order."""
 
 from egretstack.relay import EventCursor, EventGap, EventSplitter, EventTooLarge, StreamEvent
 from tests.support import check, tests_of
@@ -7,47 +7,47 @@
 
 
 def events(*ids):
-    return [StreamEvent(f"id: {one}\ndata: x\n\n".encode(), one) for one in ids]
+    return [StreamEvent(f"id: {event_id}\ndata: x\n\n".encode(), event_id) for event_id in ids]
 
 
-def test_events_are_cut_wherever_the_bytes_are_cut():
-    whole = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid:3\ndata: c\n\n"
-    for size in range(1, len(whole)):
+def test_events_are_split_wherever_the_chunks_end():
+    stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid:3\ndata: c\n\n"
+    for size in range(1, len(stream)):
         splitter = EventSplitter()
-        found = []
-        for start in range(0, len(whole), size):
-            found += splitter.feed(whole[start : start + size])
-        check.assertEqual([event.id for event in found], ["1", "2", "3"])
-        check.assertEqual(b"".join(event.data for event in found), whole)
+        received = []
+        for start in range(0, len(stream), size):
+            received += splitter.feed(stream[start : start + size])
+        check.assertEqual([event.id for event in received], ["1", "2", "3"])
+        check.assertEqual(b"".join(event.data for event in received), stream)
         check.assertEqual(splitter.remainder, b"")
 
 
-def test_half_an_event_is_kept_back():
+def test_a_partial_event_is_held_back():
     splitter = EventSplitter()
     check.assertEqual(splitter.feed(b"id: 1\ndata: a"), [])
     check.assertEqual(splitter.remainder, b"id: 1\ndata: a")
 
 
-def test_an_event_that_never_ends_is_refused():
+def test_an_event_that_never_ends_is_rejected():
     splitter = EventSplitter()
     with check.assertRaises(EventTooLarge):
         for _ in range(20):
             splitter.feed(b"x" * 100_000)
 
 
-def test_a_continued_run_that_sends_its_last_event_again():
-    # The client sees a piece twice: the run had made its last event when its runner was told to
-    # leave, the stream went on at the backup copy, and the copy sent that event once more. The
-    # cursor drops what the client has.
+def test_a_continued_run_that_repeats_its_last_event():
+    # The client would receive text twice: the run had produced its last event when its runner was
+    # told to leave, the stream continued from the backup copy, and the copy sent that event again.
+    # The cursor drops events that the client already has.
     cursor = EventCursor()
     check.assertEqual(cursor.accept(events("1", "2", "3")), events("1", "2", "3"))
     check.assertEqual(cursor.accept(events("3")), [])
     check.assertEqual(cursor.accept(events("2", "3", "4")), events("4"))
 
 
-def test_a_continued_run_that_leaves_an_event_out():
-    # The client would see a piece missing: the copy went on from a later point than the client
-    # had. Nothing after the gap may pass.
+def test_a_continued_run_that_skips_an_event():
+    # Text would be missing at the client: the copy continued after a later event than the client's
+    # last one. Nothing after the gap may be forwarded.
     cursor = EventCursor()
     cursor.accept(events("1", "2"))
     with check.assertRaises(EventGap):
--- a/tests/test_relay_knowledge.py
+++ b/tests/test_relay_knowledge.py
@@ -1,4 +1,4 @@
-"""What may be said of a request that failed, and how often one may be sent."""
+"""Which failure may be reported for a request, and how often a request may be sent."""
 
 from egretstack.errors import ErrorKind
 from egretstack.ids import ServiceName
@@ -19,28 +19,28 @@
 SERVICE = ServiceName("desk-app")
 
 
-def test_not_run_is_said_while_it_is_true():
+def test_not_run_is_reported_while_it_is_true():
     failure = ExecutionStatus().failure(ErrorKind.ENGINES_FULL, "full", retry_after_s=0.25)
     check.assertEqual((failure.status, failure.retry_after_s), (503, 0.25))
 
 
 def test_a_rejection_after_a_send_without_an_answer():
-    # A booking would be made twice: the first runner ran it and its answer was lost, the second
-    # rejected it, and the client, told "not run", sends it again.
-    knowledge = ExecutionStatus()
-    knowledge.mark_unknown()
-    failure = knowledge.failure(ErrorKind.ENGINES_FULL, "full", retry_after_s=0.25)
+    # A booking would be made twice: the first runner ran the request and its response was lost, the
+    # second runner rejected it, and the client, told "not run", would send it again.
+    status = ExecutionStatus()
+    status.mark_unknown()
+    failure = status.failure(ErrorKind.ENGINES_FULL, "full", retry_after_s=0.25)
     check.assertEqual((failure.status, failure.retry_after_s), (502, None))
 
 
-def test_every_kind_that_promises_nothing_has_no_promising_status():
-    knowledge = ExecutionStatus()
-    knowledge.mark_unknown()
+def test_no_kind_promises_not_run_by_its_status_after_an_unknown_send():
+    status = ExecutionStatus()
+    status.mark_unknown()
     for kind in ErrorKind:
-        check.assertNotIn(knowledge.failure(kind, "x").status, (408, 421, 429, 503), kind)
+        check.assertNotIn(status.failure(kind, "x").status, (408, 421, 429, 503), kind)
 
 
-def test_a_failure_without_advice_has_no_time():
+def test_a_failure_without_retry_has_no_retry_time():
     check.assertIsNone(RequestFailed(ErrorKind.NOT_FOUND, "x", retry_after_s=1).retry_after_s)
 
 
@@ -54,7 +54,7 @@
     check.assertEqual(spent, 4)
 
 
-def test_the_budget_grows_with_requests_and_slides():
+def test_the_budget_grows_with_requests_in_a_sliding_window():
     budget = RetryBudget(BOUNDS)
     budget.instances = 50
     for _ in range(100):
