--- a/tests/test_platform_plain.py
+++ b/tests/test_platform_plain.py
@@ -1,4 +1,4 @@
-"""Requests whose answer is read whole, through a whole entry on the platform's stand-ins."""
+"""Requests with buffered responses, through complete entries on the platform's stand-ins."""
 
 import json
 from unittest.mock import patch
@@ -17,13 +17,13 @@
 load_tests = tests_of(globals())
 
 
-def runs(site, attempt):
-    """Count how often an attempt ran, over all runners."""
-    return sum(one.runs_by_attempt[attempt] for one in site.plain)
+def run_count(site, attempt):
+    """Return how often an attempt ran, over all runners."""
+    return sum(runner.runs_by_attempt[attempt] for runner in site.plain)
 
 
 @on_real_clock
-async def test_an_answer_goes_through_unchanged():
+async def test_a_response_is_relayed_unchanged():
     async with platform_site() as site:
         head, body = await site.call(
             "/notes/7?x=1%20y", "a-1", method=b"POST", body=b"{}", headers=((b"tenant", b"forged"),)
@@ -32,14 +32,14 @@
         check.assertEqual(json.loads(body)["target"], "/notes/7?x=1%20y")
         check.assertEqual(json.loads(body)["size"], 2)
         check.assertIsNotNone(first_value(head.headers, b"runner-seal"))
-        seen = next(one.heads[0] for one in site.plain if one.heads)
+        seen = next(runner.heads[0] for runner in site.plain if runner.heads)
         check.assertEqual(first_value(seen.headers, b"tenant"), ACCOUNT.encode())
         check.assertIsNone(first_value(seen.headers, b"authorization"))
         check.assertLessEqual(int(first_value(seen.headers, b"deadline-ms")), 5_000)
 
 
 @on_real_clock
-async def test_what_no_route_or_key_allows_never_reaches_a_runner():
+async def test_a_request_without_a_route_or_valid_key_reaches_no_runner():
     async with platform_site() as site:
         for path, key, status in (
             ("/nowhere/1", KEY, 404),
@@ -49,12 +49,12 @@
         ):
             head, _ = await site.call(path, f"a-{path}-{key}", key=key)
             check.assertEqual(head.status, status, (path, key))
-        check.assertEqual(sum(len(one.heads) for one in site.plain), 1)
+        check.assertEqual(sum(len(runner.heads) for runner in site.plain), 1)
 
 
 @on_real_clock
-async def test_an_idempotent_request_is_sent_again():
-    # The client sees one good answer, whatever the first runner made of it.
+async def test_an_idempotent_request_is_retried():
+    # The client gets one valid response, however the first runner failed.
     faults = (
         PlainFault.FAILS,
         PlainFault.FULL,
@@ -66,8 +66,8 @@
     )
     async with platform_site() as site:
         for fault in faults:
-            for one in site.plain:
-                one.faults = []
+            for runner in site.plain:
+                runner.faults = []
             site.plain[0].faults = [fault]
             site.plain[1].faults = []
             site.plain[1].delay_s = 0.0
@@ -76,10 +76,10 @@
 
 
 @on_real_clock
-async def test_a_non_idempotent_request_runs_once_and_is_never_called_not_run():
-    # Two riders are promised the same seat: the runner ran the hold, its answer was lost or
-    # spoilt, and the client, told "not run" or served by a second send, made another. Whatever
-    # may have run gets an answer that promises nothing.
+async def test_a_non_idempotent_request_runs_once_and_is_never_reported_as_not_run():
+    # Two riders would be promised the same seat: the runner ran the hold, its response was lost or
+    # invalid, and the client was told "not run" and tried again, or the entry sent the request
+    # twice. A request that may have run gets a response that promises nothing.
     expected = {
         PlainFault.FAILS: 500,
         PlainFault.BUSY_UNSAID: 502,
@@ -93,21 +93,21 @@
             site.plain[0].faults = [fault]
             head, _ = await site.call("/holds/1", f"a-{fault.value}", method=b"POST")
             check.assertEqual(head.status, status, fault)
-            check.assertEqual(runs(site, f"a-{fault.value}"), 1, fault)
+            check.assertEqual(run_count(site, f"a-{fault.value}"), 1, fault)
 
 
 @on_real_clock
-async def test_a_rejected_request_is_called_not_run_with_a_time_to_come_back():
+async def test_a_rejected_request_is_reported_as_not_run_with_a_retry_time():
     async with platform_site(plain=1) as site:
         site.plain[0].faults = [PlainFault.FULL]
         head, _ = await site.call("/holds/1", "a-1", method=b"POST")
         check.assertEqual(head.status, 503)
         check.assertGreater(float(first_value(head.headers, b"retry-after")), 0)
-        check.assertEqual(runs(site, "a-1"), 0)
+        check.assertEqual(run_count(site, "a-1"), 0)
 
 
 @on_real_clock
-async def test_a_silent_runner_is_given_up_on_at_the_routes_timeout():
+async def test_an_unresponsive_runner_is_abandoned_at_the_route_timeout():
     async with platform_site(plain=1) as site:
         site.routes[1]["timeout-ms"] = 300
         site.version += 1
@@ -123,9 +123,9 @@
 
 
 @on_real_clock
-async def test_a_second_answer_on_a_kept_connection_goes_to_nobody():
-    # The next client would get an answer to another request: the runner sent one too many, and
-    # its connection was kept for the next request.
+async def test_a_second_response_on_a_pooled_connection_is_dropped():
+    # The next client would get the response to another request: the runner sent one response too
+    # many, and its connection was kept for the next request.
     async with platform_site(plain=1) as site:
         site.plain[0].faults = [PlainFault.EXTRA]
         for number in range(5):
@@ -135,7 +135,7 @@
 
 
 @on_real_clock
-async def test_a_client_that_leaves_stops_its_runner():
+async def test_a_client_that_disconnects_stops_its_runner():
     async with platform_site(plain=1) as site:
         site.plain[0].delay_s = 30.0
         with trio.move_on_after(0.3):
@@ -144,7 +144,7 @@
 
 
 @on_real_clock
-async def test_a_runner_that_leaves_gets_nothing_more():
+async def test_a_leaving_runner_gets_no_more_requests():
     async with platform_site() as site:
         first, second = site.plain
         site.register(first.runner_id, "desk", first.address, state="draining")
@@ -156,9 +156,10 @@
 
 
 @on_real_clock
-async def test_an_address_that_belongs_to_another_runner_now():
-    # A request would be run by a service that its route never names: the runner is gone, and its
-    # address is another's. The request names whom it expects, and the other one turns it away.
+async def test_an_address_that_another_runner_took_over():
+    # A request would be run by a service that its route does not name: the runner has ended and
+    # another runner has its address. The request names the expected runner, and the other one
+    # rejects it.
     async with platform_site(plain=1) as site:
         site.plain[0].runner_id = "i-someone-else"
         head, _ = await site.call("/notes/1", "a-1")
@@ -171,7 +172,7 @@
 
 
 @on_real_clock
-async def test_service_goes_on_while_the_store_is_away():
+async def test_service_continues_while_the_store_is_unavailable():
     async with platform_site() as site:
         for fault in (StoreFault.BUSY, StoreFault.SILENT):
             site.store.fault = fault
@@ -181,8 +182,8 @@
 
 
 @on_real_clock
-async def test_history_that_is_gone_is_listed_anew():
-    # A revoked key would serve on for ever: the store dropped the change before the watch saw it.
+async def test_a_list_is_read_again_after_its_history_expired():
+    # A revoked key would stay valid forever: the store dropped the change before the watch saw it.
     async with platform_site() as site:
         site.store.forget_history()
         site.routes.append(route("late", "idempotent", "desk"))
@@ -208,7 +209,7 @@
 
 
 @on_real_clock
-async def test_a_write_whose_answer_is_lost_is_made_again_to_no_harm():
+async def test_a_write_whose_response_is_lost_is_repeated_harmlessly():
     async with platform_site(entries=0) as site:
         site.store.fault = StoreFault.LOST
         await site.start_entry(0)
@@ -221,14 +222,14 @@
 
 @on_real_clock
 async def test_a_fleet_that_starts_for_the_first_time_reads_the_store_once():
-    # Instances start together and hear no home yet. Were each to read and watch for itself, a start
-    # of 420 would be 2,500 calls in a second; the seeds read, and the others are told.
+    # Instances start together and have no home yet. If each read and watched the store for itself,
+    # a start of 420 would make 2,500 calls in a second; the seeds read it and inform the others.
     waits = patch.multiple(store_reading, FIRST_START_WAIT_S=WAIT_S, START_LED_S=WAIT_S)
     async with platform_site(entries=1) as site:
         waits.start()
         for number in (1, 2, 3):
             seeds = site.settings(0).seeds + (site.settings(0).control_address,)
-            # Weaker than the first, so that none of them becomes the home, which has to read.
+            # Slower links than the first, so that none of them becomes the home, which has to read.
             await site.start_entry(number, seeds=seeds, first_start=True, link_mbps=10.0)
         await site.until_ready()
         waits.stop()
@@ -247,9 +248,10 @@
 
 
 @on_real_clock
-async def test_a_store_that_turns_instances_away_is_not_pressed():
-    # The store answers 503 to an instance that has just started. Its peers give it all it needs,
-    # and it serves; asking on would load the store just when it is ill, and each call costs.
+async def test_an_overloaded_store_gets_few_further_calls():
+    # The store answers 503 to an instance that has just started. Its peers send it all it needs,
+    # and it serves. Further calls would load the store just when it is overloaded, and each call
+    # costs.
     async with platform_site(entries=3) as site:
         site.store.fault = StoreFault.BUSY
         kernel = await site.start_entry(3)
