--- a/egretstack/http1/_client.py
+++ b/egretstack/http1/_client.py
@@ -53,7 +53,7 @@
             parts.append(self._http.send(h11.EndOfMessage()))
             await self._stream.send_all(b"".join(parts))
         except h11.LocalProtocolError as error:
-            raise UpstreamBroken(f"closed before the request was sent: {error}") from error
+            raise UpstreamBroken(f"closed before the request: {error}") from error
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise UpstreamBroken(f"while sending: {error!r}") from error
         self._sending = False
@@ -66,7 +66,7 @@
                 headers = tuple((bytes(name), bytes(value)) for name, value in event.headers)
                 return ResponseHead(event.status_code, bytes(event.reason), headers)
             if not isinstance(event, h11.InformationalResponse):
-                raise UpstreamBroken("closed before a response")
+                raise UpstreamBroken("closed before an answer")
 
     async def read_body(self) -> bytes | None:
         """Read the next bytes of the response body; return None at its end.
@@ -78,7 +78,7 @@
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise UpstreamBroken("closed within a response")
+        raise UpstreamBroken("closed within an answer")
 
     def is_reusable(self) -> bool:
         """Return whether another request may be sent after the response was read completely.
@@ -111,7 +111,7 @@
                     return event
                 self._http.receive_data(await self._stream.receive_some(READ_BYTES))
         except h11.RemoteProtocolError as error:
-            raise UpstreamBroken(f"invalid response: {error}") from error
+            raise UpstreamBroken(f"not an answer: {error}") from error
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise UpstreamBroken(f"while reading: {error!r}") from error
 
--- a/egretstack/http1/_exchange.py
+++ b/egretstack/http1/_exchange.py
@@ -1,4 +1,4 @@
-"""Sends one request and reads its complete response, for callers that do not stream."""
+"""One request and its complete response, for callers that neither stream nor stop early."""
 
 import trio
 
--- a/egretstack/http1/_server.py
+++ b/egretstack/http1/_server.py
@@ -78,7 +78,7 @@
         except ClientDisconnected:
             return None
         except trio.TooSlowError as error:
-            raise SlowSender("request head timed out") from error
+            raise SlowSender("the head did not arrive") from error
         if not isinstance(event, h11.Request):
             return None
         head = RequestHead(
@@ -104,7 +104,7 @@
                 with trio.fail_after(self.limits.header_timeout_s):
                     event = await self._next_event()
             except trio.TooSlowError as error:
-                raise SlowSender("request body timed out") from error
+                raise SlowSender("the body did not arrive") from error
             if isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             if not isinstance(event, h11.Data):
@@ -233,7 +233,7 @@
     """Reject a request with two body lengths: servers could find different requests in it."""
     names = [name for name, _ in headers]
     if _TRANSFER_ENCODING in names and _CONTENT_LENGTH in names:
-        raise BadRequest(400, "both Content-Length and Transfer-Encoding")
+        raise BadRequest(400, "both a length and chunks")
 
 
 def _reject_large_head(head: RequestHead, limit: int) -> None:
--- a/egretstack/relay/_events.py
+++ b/egretstack/relay/_events.py
@@ -43,7 +43,7 @@
             events.append(StreamEvent(event, match[1].decode("latin-1") if match else ""))
         self._remainder = buffer[start:]
         if len(self._remainder) > MAX_EVENT_BYTES:
-            raise EventTooLarge(f"{len(self._remainder)} bytes without the end of an event")
+            raise EventTooLarge(f"{len(self._remainder)} bytes without an end")
         return events
 
     @property
--- a/egretstack/relay/_execution_status.py
+++ b/egretstack/relay/_execution_status.py
@@ -10,7 +10,7 @@
 """An operator revokes an evacuation after many seconds; a caller waits for at most a third of the
 time it has left."""
 
-CRASHES_DETAIL = "every runner that ran the request crashed"
+CRASHES_DETAIL = "each runner that ran it has ended"
 
 
 class RequestFailed(Exception):
--- a/egretstack/relay/_mover.py
+++ b/egretstack/relay/_mover.py
@@ -277,8 +277,8 @@
             return MoveAnswer(MoveOutcome.FAILED, "", 0)
         try:
             with trio.fail_after(STOP_TIMEOUT_S if stop else COPY_TIMEOUT_S):
-                answer, data = await exchange(connection, head, body, MAX_RESPONSE_BYTES)
-            return move_answer(answer.status, data)
+                response, data = await exchange(connection, head, body, MAX_RESPONSE_BYTES)
+            return move_answer(response.status, data)
         except (UpstreamBroken, trio.TooSlowError, BadBody) as error:
             log(Event.UPSTREAM_BROKEN, request=self._attempt, error=repr(error))
             return MoveAnswer(MoveOutcome.FAILED, "", 0)
--- a/egretstack/relay/_plain.py
+++ b/egretstack/relay/_plain.py
@@ -85,7 +85,7 @@
             runner = self._choose(task, progress)
             if runner is None or task.time_left_s() < MIN_SEND_S:
                 return self._give_up(task, progress, "no runner to send to")
-            result, answer = await self._send(task, runner, progress)
+            result, response = await self._send(task, runner, progress)
             log(
                 Event.SEND_ENDED,
                 request=task.request.attempt_id,
@@ -94,10 +94,10 @@
                 send=progress.sends,
             )
             if result is _Result.ANSWERED:
-                return answer
+                return response
             progress.excluded.add(runner.id)
             if result is _Result.FAILED:
-                progress.failure = answer
+                progress.failure = response
             if not self._may_send_again(task, progress, result):
                 return self._give_up(task, progress, result.value)
 
@@ -206,7 +206,7 @@
         head = runner_request(task.request, task.send_terms(runner))
         try:
             with trio.fail_after(self._send_timeout_s(task, progress)):
-                answer, body = await exchange(
+                response, body = await exchange(
                     connection, head, task.request.body, MAX_RESPONSE_BYTES
                 )
         except (UpstreamBroken, trio.TooSlowError) as error:
@@ -218,9 +218,9 @@
             log(Event.UPSTREAM_BROKEN, request=task.request.attempt_id, error=repr(error))
             return _Result.UNKNOWN, None
         self._context.balancer.recent.note(trio.current_time(), runner.id, broke=False)
-        runner_response = runner_answer(answer)
-        self._context.on_answer(task, runner.id, runner_response, sent_s)
-        result = _classify(task, runner_response)
+        answer = runner_answer(response)
+        self._context.on_answer(task, runner.id, answer, sent_s)
+        result = _classify(task, answer)
         if result is _Result.UNKNOWN:
             connection.close()
             progress.execution.mark_unknown()
@@ -228,9 +228,9 @@
                 Event.ANSWER_SPOILT,
                 request=task.request.attempt_id,
                 runner=runner.id,
-                status=answer.status,
-                answered=runner_response.attempt_id,
-                sealed=runner_response.sealed,
+                status=response.status,
+                answered=answer.attempt_id,
+                sealed=answer.sealed,
             )
         else:
             self._context.pool.release(connection)
@@ -238,17 +238,17 @@
             progress.execution.mark_unknown()
         if result in (_Result.ANSWERED, _Result.FAILED):
             self._context.crash_guard.record_answered(task.content_id)
-        if runner_response.rest_s is not None:
+        if answer.rest_s is not None:
             self._context.balancer.turned_away(runner.id)
-            return result, BufferedResponse(client_head(runner_response), body)
+            return result, BufferedResponse(client_head(answer), body)
         self._context.balancer.ended(
             trio.current_time(),
             runner.id,
             failed=result is not _Result.ANSWERED,
             latency_s=trio.current_time() - sent_s if result is _Result.ANSWERED else None,
-            load=runner_response.load,
+            load=answer.load,
         )
-        return result, BufferedResponse(client_head(runner_response), body)
+        return result, BufferedResponse(client_head(answer), body)
 
     def _send_timeout_s(self, task: RelayTask, progress: _Progress) -> float:
         left_s = max(MIN_SEND_S, task.time_left_s())
--- a/egretstack/relay/_stream.py
+++ b/egretstack/relay/_stream.py
@@ -110,9 +110,9 @@
     async def _relay(self, head: ResponseHead) -> BufferedResponse | None:
         answer = runner_answer(head)
         if answer.attempt_id != self._task.request.attempt_id:
-            raise invalid_answer(self._task, self._run, "response to another request")
+            raise invalid_answer(self._task, self._run, "another request's answer")
         if not answer.sealed or answer.encoded or implies_not_run(head.status):
-            raise invalid_answer(self._task, self._run, "not a response of the runner")
+            raise invalid_answer(self._task, self._run, "not an answer of the runner")
         if head.status != 200:
             body = await self._read_whole_body()
             self._end()
@@ -155,7 +155,7 @@
             while (data := await self._source.read_body()) is not None:
                 body += data
                 if len(body) > MAX_RESPONSE_BYTES:
-                    raise invalid_answer(self._task, self._run, "response too large")
+                    raise invalid_answer(self._task, self._run, "an answer too large")
         except UpstreamBroken as error:
             self._record_broken(self._run.runner)
             raise invalid_answer(self._task, self._run, str(error)) from error
--- a/egretstack/sessions/_pump.py
+++ b/egretstack/sessions/_pump.py
@@ -152,7 +152,7 @@
             # The last event arrived together with the eviction: the answer is complete.
             return True
         if scope.cancelled_caught and not placement.evicted:
-            raise StreamFailed(Failure.SILENT, "no event at the caller's position")
+            raise StreamFailed(Failure.SILENT, "no event at the caller's place")
         if scope.cancelled_caught:
             await self._place_again(placement)
             return False
@@ -233,7 +233,7 @@
             session.end(FinishedAnswer(text, max(0, event.sequence - 1)))
             return True
         if event.sequence > session.request.generation.max_output_tokens + MAX_EXTRA_EVENTS:
-            raise StreamFailed(Failure.FAILED, "the engine sent more than was requested")
+            raise StreamFailed(Failure.FAILED, "the engine sent more than was asked for")
         await session.add(event)
         if event.sequence % REPORT_EVERY_TOKENS == 1:
             self._dependencies.placer.report_progress(
--- a/egretstack/sessions/_session.py
+++ b/egretstack/sessions/_session.py
@@ -87,7 +87,7 @@
     def restart(self) -> None:
         """Discard a generation of which nothing was read."""
         if self.last_read >= 0:
-            raise ValueError("events of this generation were read")
+            raise ValueError("events of this generation were taken")
         self.cursor = Cursor()
         self.id = None
         self.runner = None
--- a/tests/test_platform_streams.py
+++ b/tests/test_platform_streams.py
@@ -21,7 +21,7 @@
     return next(engine for engine in site.engines if engine.runs_by_attempt[attempt])
 
 
-def check_complete(reader, events=30):
+def check_whole(reader, events=30):
     """Check that a client received each event once and in order, and a normal end."""
     check.assertEqual((reader.status, reader.broken), (200, False))
     check.assertEqual(reader.ids, list(range(1, events + 1)))
@@ -32,7 +32,7 @@
     async with platform_site(plain=0, engines=2) as site:
         reader = await start_reader(site, "s-1", 1)
         await reader.ended.wait()
-        check_complete(reader)
+        check_whole(reader)
 
 
 @on_real_clock
@@ -46,7 +46,7 @@
         source = engine_of(site, "s-1")
         site.register(source.runner_id, "llm", source.address, DRAINING)
         await reader.ended.wait()
-        check_complete(reader, 80)
+        check_whole(reader, 80)
         other = next(engine for engine in site.engines if engine is not source)
         check.assertEqual(len(other.continued), 1)
         check.assertEqual(sum(engine.runs_by_attempt["s-1"] for engine in site.engines), 1)
@@ -66,7 +66,7 @@
         source = engine_of(site, "s-1")
         site.register(source.runner_id, "llm", source.address, DRAINING)
         await reader.ended.wait()
-        check_complete(reader, 200)
+        check_whole(reader, 200)
         check.assertEqual(sum(len(engine.continued) for engine in site.engines), 1)
 
 
@@ -76,7 +76,7 @@
         reader = await start_reader(site, "s-1", 5)
         engine_of(site, "s-1").stop()
         await reader.ended.wait()
-        check_complete(reader)
+        check_whole(reader)
 
 
 @on_real_clock
@@ -86,7 +86,7 @@
         reader = await start_reader(site, "s-1", 5)
         engine_of(site, "s-1").fault = EngineFault.SILENT
         await reader.ended.wait()
-        check_complete(reader)
+        check_whole(reader)
 
 
 @on_real_clock
@@ -97,7 +97,7 @@
         next(engine for engine in site.engines if engine is not source).fault = EngineFault.REPEATS
         source.stop()
         await reader.ended.wait()
-        check_complete(reader)
+        check_whole(reader)
 
 
 @on_real_clock
@@ -128,7 +128,7 @@
             engine.fault = EngineFault.NONE
         site.register(source.runner_id, "llm", source.address, DRAINING)
         await reader.ended.wait()
-        check_complete(reader, 150)
+        check_whole(reader, 150)
         check.assertIn(("s-1", True), source.moves)
 
 
@@ -183,7 +183,7 @@
         second = await start_reader(site, "s-2", 1, deadline_ms=39_000)
         check.assertTrue(first.ended.is_set())
         await second.ended.wait()
-        check_complete(second)
+        check_whole(second)
 
 
 @on_real_clock
@@ -193,7 +193,7 @@
         for number in range(4):
             reader = await start_reader(site, f"s-{number}", 1)
             await reader.ended.wait()
-            check_complete(reader)
+            check_whole(reader)
 
 
 @on_real_clock
@@ -209,7 +209,7 @@
         reader = StreamReader(site, "s-1", entry)
         site.nursery.start_soon(reader.run)
         await reader.ended.wait()
-        check_complete(reader)
+        check_whole(reader)
 
 
 def _home(site):
