--- a/egretstack/services/accounts.py
+++ b/egretstack/services/accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts: who holds a key, and what its contract allows."""
+"""Client accounts: which account a key belongs to, and what its contract allows."""
 
 import hashlib
 
@@ -22,20 +22,20 @@
     requires = ("configuration", "limits")
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Do nothing by itself."""
+        """Do nothing until cancelled."""
         task_status.started()
         await trio.sleep_forever()
 
     def authenticate(self, authorization: str) -> Contract:
-        """Find the contract of the key in an Authorization header; raise EgretError."""
+        """Return the contract of the key in an Authorization header. Raises EgretError."""
         state = self.kernel.get(Configuration).state
         if state.snapshot is None:
             raise EgretError(ErrorKind.CONFIGURATION_MISSING, "this instance has just started")
         key = authorization.removeprefix(_SCHEME)
         if key == authorization or not key or len(key) > MAX_KEY_LENGTH:
             raise EgretError(ErrorKind.UNAUTHENTICATED, "send the key as a bearer token")
-        # Only digests of keys are kept; a key is random, so one round of SHA-256 suffices, and
-        # looking the digest up tells nothing about another key by its timing.
+        # Only digests of keys are kept; a key is random, so one round of SHA-256 suffices, and the
+        # timing of the lookup of a digest reveals nothing about another key.
         digest = hashlib.sha256(key.encode()).hexdigest()
         account = state.account_by_digest.get(digest)
         if account is None:
@@ -43,11 +43,11 @@
         return state.contract_by_account[account]
 
     async def ready(self, contract: Contract) -> None:
-        """Wait briefly for the account's home where that may let a request in; before `open`."""
+        """Wait briefly if the limits home may let a request in; call this before `open`."""
         await self.kernel.get(Limits).ready(contract)
 
     def open(self, contract: Contract) -> None:
-        """Count a request in; raise EgretError."""
+        """Count a request in. Raises EgretError."""
         self.kernel.get(Limits).open(contract)
 
     def close(self, account: AccountId) -> None:
--- a/egretstack/services/caller_api.py
+++ b/egretstack/services/caller_api.py
@@ -22,13 +22,14 @@
 from egretstack.upstreams import CallRequest, CallResponse
 
 LEAVING_PROPAGATION_S = 5.0
-"""Time in which every other instance knows that this one leaves, with a margin: until then one of
-them may still give its address to a caller, who keeps it for the answers' whole life."""
+"""Time after which every other instance knows that this one leaves, with a margin. Until then one
+of them may still give its address to a caller, who keeps it for the whole time to live of that
+answer."""
 CALLER_PORT = "caller"
 
 
 class CallerApi(Service, CallerLinks):
-    """Serves callers; a drain outlives the answers callers keep, and cuts no request."""
+    """Serves callers; a drain lasts longer than callers keep their answers, and cuts no request."""
 
     name = "caller_api"
     requires = ("platform_access", "membership", "accounts", "session_host", "calls")
@@ -55,7 +56,7 @@
             task_status.started()
 
     async def drain(self) -> None:
-        """Serve on until callers' cached answers have run out, then take nothing new."""
+        """Serve on until callers' cached answers have expired, then accept no new requests."""
         await trio.sleep(LEAVING_PROPAGATION_S + self._answer_ttl_s())
         self._closed = True
         self.kernel.get(SessionHost).close()
@@ -63,16 +64,16 @@
         await self._requests.wait_idle()
 
     def authenticate(self, authorization: str) -> Contract:
-        """Find the contract of a caller; raise EgretError."""
+        """Return the contract of a caller. Raises EgretError."""
         return self.kernel.get(Accounts).authenticate(authorization)
 
     def check_open(self) -> None:
-        """Raise EgretError once callers' cached answers have run out in a drain."""
+        """Raise EgretError once callers' cached answers have expired in a drain."""
         if self._closed:
             raise EgretError(ErrorKind.DRAINING, "ask which entry to use")
 
     def entries(self, contract: Contract) -> dict[str, object]:
-        """Give which entries to use, own availability zone first, and for how long."""
+        """Return which entries to use, own availability zone first, and for how long."""
         membership = self.kernel.get(Membership)
         chosen = entries_for(
             contract.account,
@@ -89,11 +90,11 @@
     async def call(
         self, contract: Contract, service: ServiceName, call: CallRequest
     ) -> CallResponse:
-        """Pass a call on to a plain service; raise EgretError."""
+        """Pass a call on to a plain service. Raises EgretError."""
         return await self.kernel.get(Calls).call(contract, service, call)
 
     def count_refusal(self, kind: ErrorKind) -> None:
-        """Count a final answer other than the one asked for."""
+        """Count a refusal that is a request's final answer."""
         self.kernel.get(PlatformAccess).metrics.refusals.labels(kind.value).inc()
 
     def _answer_ttl_s(self) -> float:
--- a/egretstack/services/calls.py
+++ b/egretstack/services/calls.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: passed on, and those that may not be repeated run at most once."""
+"""Calls to plain services; those that must not be repeated run at most once."""
 
 from dataclasses import replace
 from functools import partial
@@ -17,7 +17,7 @@
 from egretstack.upstreams import CallRequest, CallResponse, OutcomeUnknown, Unsent
 
 MAX_TRIES = 3
-"""Runners tried for one repeatable call, all within the call's one deadline."""
+"""Limit on the runners tried for one repeatable call, all within the call's one deadline."""
 _OWN_HEADERS = frozenset({ACCOUNT_HEADER.lower(), FENCING_HEADER.lower()})
 
 
@@ -33,7 +33,7 @@
         self._idle = trio.Event()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Run nothing by itself."""
+        """Do nothing until cancelled."""
         task_status.started()
         await trio.sleep_forever()
 
@@ -46,7 +46,7 @@
     async def call(
         self, contract: Contract, service: ServiceName, request: CallRequest
     ) -> CallResponse:
-        """Pass a call on; raise EgretError."""
+        """Pass a call on. Raises EgretError."""
         spec = self._spec(contract, service)
         request = _for_account(request, contract.account)
         accounts = self.kernel.get(Accounts)
@@ -56,7 +56,8 @@
         try:
             if request.method in spec.repeatable:
                 return await self._repeatable(service, request)
-            # A caller that goes away must not cut a call between its intent and its outcome.
+            # A caller that disconnects must not interrupt a call between its intent and its
+            # outcome.
             with trio.CancelScope(shield=True):
                 return await self._once(spec, contract.account, request)
         finally:
@@ -97,10 +98,10 @@
 
 
 def _for_account(request: CallRequest, account: AccountId) -> CallRequest:
-    """Name the account to the upstream; what a caller says of it or of fencing is dropped.
+    """Add the account's name for the upstream; drop account and fencing headers of the caller.
 
-    Two accounts may use the same key: without its name a look-up could tell one of them the
-    outcome of the other's call.
+    Two accounts may use the same key: without the account's name a lookup could tell one of them
+    the outcome of the other's call.
     """
     kept = [pair for pair in request.headers if pair[0].lower() not in _OWN_HEADERS]
     return replace(request, headers=(*kept, (ACCOUNT_HEADER, account)))
--- a/egretstack/services/configuration.py
+++ b/egretstack/services/configuration.py
@@ -1,8 +1,8 @@
-"""The configuration in force on this process, and how it is taken from peers.
+"""The configuration in force on this process, and how it is fetched from peers.
 
-Stewards hear of a revision from others and ask the sender for what changed. An entry asks the
-steward of its own instance, then others. The platform is read by `configuration_watch` of a few
-stewards; here it is the last way, for a process that no peer answers.
+Stewards learn of a revision from others and request the changes from the sender. An entry queries
+the steward of its own instance, then others. The platform is read by `configuration_watch` on a few
+stewards; here it is read only by a process that gets no answer from any peer.
 """
 
 import random
@@ -46,7 +46,7 @@
 PULL_PERIOD_S = 1.0
 
 PEER_TIMEOUT_S = 1.0
-"""Wait for a peer's answer; a question is asked a second time, over a new link."""
+"""Timeout of a peer's answer; a query is sent a second time, over a new link."""
 PEERS_QUERIED = 2
 PEERS_QUERIED_AT_START = 5
 SNAPSHOT_TRIES = 3
@@ -56,7 +56,7 @@
 """Reads of the head that all processes without a watch make together, whatever their number."""
 
 STARTING_READS_PER_S = 20.0
-"""The same for processes that have no configuration yet, as in a start of the whole fleet."""
+"""The same for processes that have no configuration yet, as at a start of the whole fleet."""
 
 REPEAT_ALARM_S = 60.0
 STEWARD_PORT = "steward"
@@ -73,7 +73,7 @@
 
 
 class Configuration(Service):
-    """Holds the state, answers peers that ask for it, and keeps it up to date."""
+    """Holds the state, answers peers that query it, and keeps it up to date."""
 
     name = "configuration"
     requires = ("platform_access", "instances", "peer_port")
@@ -89,21 +89,21 @@
 
     @cached_property
     def store(self) -> ConfigurationStore:
-        """Give the configuration as the platform keeps it."""
+        """Return the configuration store on the platform."""
         return ConfigurationStore(self.kernel.get(PlatformAccess).object_api)
 
     @property
     def own(self) -> InstanceId:
-        """Give the name of this instance."""
+        """Return the id of this instance."""
         return InstanceId(self.kernel.settings.text("instance", "id"))
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Pull for ever."""
+        """Pull changes until cancelled."""
         port = self.kernel.get(PeerPort)
         port.register_handler(ConfigAsk, self._answer)
         port.register_handler(ConfigNews, self._on_news)
         port.register_handler(SnapshotAsk, self._answer_snapshot)
-        self.kernel.get(Instances).on_change(self._share_budget)
+        self.kernel.get(Instances).on_change(self._update_budget_share)
         if self.kernel.has(Membership):
             self.kernel.get(Membership).on_peer_revision(self._on_peer_revision)
         async with trio.open_nursery() as nursery:
@@ -126,9 +126,10 @@
         return offer
 
     async def read_platform(self) -> None:
-        """Read the head, and what it names that is not known. Raises PlatformAway."""
+        """Read the head, and the parts it names that are not known. Raises PlatformAway."""
         async with self._reading:
-            # Only a read that began after a revision was in force here proves the store older.
+            # Only a read that began after a revision was in force here proves that the store is
+            # older.
             known = self.state.revision
             head = await self.store.head(self.state.snapshot)
             if head is None:
@@ -148,7 +149,8 @@
         return self.offer(await self.store.complete(head, self.state.snapshot))
 
     async def sample_platform(self) -> None:
-        """Read the head with a chance that keeps the whole fleet's reads at a fixed rate."""
+        """Read the head, with a probability that keeps the rate of the whole fleet's reads
+        fixed."""
         stewards = max(1, len(self._members()))
         starting = self.state.snapshot is None
         rate = STARTING_READS_PER_S if starting else FLEET_READS_PER_S
@@ -160,8 +162,8 @@
             self._alarm(Event.PLATFORM_AWAY, 0, str(error))
 
     async def _pull_at_start(self) -> None:
-        # The store may have been restored from an older copy: a process that starts takes the
-        # newest configuration that several peers know before it looks there.
+        # The store may have been restored from an older copy, so a process that starts first
+        # fetches the newest configuration that several peers know.
         peers = self._others(PEERS_QUERIED_AT_START)
         async with trio.open_nursery() as nursery:
             for member in peers:
@@ -195,7 +197,7 @@
                     await self._pull_peer(member, newer.port)
 
     async def _pull_peer(self, member: Member, port: str = STEWARD_PORT) -> bool:
-        """Ask a peer for what changed; True when it answered."""
+        """Query a peer for changes; return whether it answered."""
         query = ConfigAsk(self.state.revision, self.state.change_id)
         try:
             answer = await self._query(member, port, query)
@@ -225,7 +227,7 @@
             if snapshot is not None:
                 self.offer(snapshot)
             return
-        raise TransferError("no whole snapshot")
+        raise TransferError("no complete snapshot could be read")
 
     async def _read_pieces(self, member: Member, port: str) -> Snapshot | None:
         builder = SnapshotBuilder()
@@ -236,12 +238,12 @@
             snapshot = builder.add(answer)
             if snapshot is not None:
                 return snapshot
-        raise TransferError("too many pieces")
+        raise TransferError("the snapshot has too many pieces")
 
     async def _query(self, member: Member, port: str, message: Message) -> Message:
         number = member.ports.get(port)
         if number is None:
-            raise PeerGone(f"no port {port}")
+            raise PeerGone(f"the peer lists no port {port}")
         request = partial(
             self.kernel.get(PeerPort).request,
             InstanceId(member.id),
@@ -253,9 +255,10 @@
         try:
             return await request()
         except PeerGone:
-            # A kept link may have gone silent for good while new ones work. Going on to the next
-            # peer would meet the same there: three peers in turn, two seconds each, and a change
-            # would be in force after the five seconds allowed. A question may be asked twice.
+            # A kept link may have stopped answering for good while new ones work. Going on to the
+            # next peer would meet the same problem there: three peers in turn, two seconds each,
+            # and a change would be in force only after the five seconds allowed. A query may be
+            # repeated without harm.
             return await request()
 
     async def _answer(self, message: ConfigAsk) -> Message:
@@ -285,7 +288,8 @@
 
     def _enqueue_pull(self, newer: _NewerRevision) -> None:
         if newer.revision > self.state.revision:
-            # With the channel full, enough pulls wait already; each takes the newest there is.
+            # If the channel is full, enough pulls are waiting already; each fetches the newest
+            # revision.
             with suppress(trio.WouldBlock):
                 self._announced_send.send_nowait(newer)
 
@@ -305,7 +309,7 @@
             self._alarm(Event.CONFIG_FORKED, revision, change_id)
 
     def _alarm(self, event: Event, revision: int, detail: str) -> None:
-        """Log an alarm that stands, at most once in a while."""
+        """Log a lasting alarm, at most once per `REPEAT_ALARM_S`."""
         now_s = trio.current_time()
         recent = {k: at for k, at in self._alarm_at_s.items() if now_s - at < REPEAT_ALARM_S}
         if (event, revision, detail) not in recent:
@@ -313,6 +317,6 @@
             log(event, revision=revision, detail=detail, known=self.state.revision)
         self._alarm_at_s = recent
 
-    def _share_budget(self) -> None:
+    def _update_budget_share(self) -> None:
         access = self.kernel.get(PlatformAccess)
         access.object_api.budget.share_among(len(self._members()), trio.current_time())
--- a/egretstack/services/configuration_news.py
+++ b/egretstack/services/configuration_news.py
@@ -1,4 +1,4 @@
-"""Tells other stewards, and the entry of this instance, that a revision is in force here."""
+"""Announces a revision in force here to other stewards and the entry of this instance."""
 
 import trio
 
@@ -14,7 +14,7 @@
 
 
 class ConfigurationAnnouncer(Service):
-    """Sends news; the receiver asks for what changed only if it has not got it yet."""
+    """Sends announcements; a receiver requests the changes only if it has not got them yet."""
 
     name = "configuration_news"
     requires = ("instances", "peer_port", "configuration", "configuration_watch")
@@ -22,10 +22,10 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self.sent = 0
-        self._busy: set[tuple[str, str]] = set()
+        self._announcing: set[tuple[str, str]] = set()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Tell of each revision; one that is passed at once is left out."""
+        """Announce each revision, except those that are replaced at once."""
         configuration = self.kernel.get(Configuration)
         announced = Revision(0)
         async with trio.open_nursery() as nursery:
@@ -35,7 +35,7 @@
                     await configuration.wait_for_change()
                 announced = configuration.state.revision
                 for member, port in self._receivers():
-                    if (member.id, port) not in self._busy:
+                    if (member.id, port) not in self._announcing:
                         nursery.start_soon(self._announce, member, port)
 
     def _receivers(self) -> list[tuple[Member, str]]:
@@ -46,9 +46,12 @@
         return entry + [(one, STEWARD_PORT) for one in children]
 
     async def _announce(self, member: Member, port: str) -> None:
-        """Tell one receiver until it has heard the newest; a lost message is left to its pulls."""
+        """Announce to one receiver until it has got the newest revision.
+
+        After a lost message its regular pulls find the revision.
+        """
         configuration = self.kernel.get(Configuration)
-        self._busy.add((member.id, port))
+        self._announcing.add((member.id, port))
         try:
             announced = Revision(0)
             while announced != configuration.state.revision:
@@ -61,4 +64,4 @@
         except (PeerGone, PeerRefused):
             return
         finally:
-            self._busy.discard((member.id, port))
+            self._announcing.discard((member.id, port))
--- a/egretstack/services/configuration_watch.py
+++ b/egretstack/services/configuration_watch.py
@@ -21,13 +21,14 @@
 from egretstack.services.platform_access import PlatformAccess
 
 WATCH_DURATION_S = 2.0
-"""Life of one watch: a silent one is found, and the head read, well within five seconds."""
+"""Duration of one watch: one that stopped answering is found, and the head read, well within five
+seconds."""
 
 RETRY_S = 0.3
 
 
 class ConfigurationWatch(Service):
-    """Watches where this steward is chosen to, and elsewhere reads the head now and then."""
+    """Watches if this steward is chosen to, and otherwise reads the head now and then."""
 
     name = "configuration_watch"
     requires = ("platform_access", "instances", "configuration")
@@ -40,7 +41,7 @@
         self._unavailable = False
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Watch for ever."""
+        """Watch until cancelled."""
         instances = self.kernel.get(Instances)
         instances.on_change(self._on_list_change)
         self._on_list_change()
@@ -49,7 +50,7 @@
             if self.fan_out.is_watcher():
                 await self._watch_until_lost()
             else:
-                # Every chosen watcher may be dead or cut off while the list still names it.
+                # All chosen watchers may be dead or cut off while the list still names them.
                 await self.kernel.get(Configuration).sample_platform()
                 await trio.sleep(PULL_PERIOD_S * (0.8 + 0.4 * self._rng.random()))
 
@@ -72,7 +73,7 @@
             await trio.sleep(RETRY_S * self._rng.random())
 
     async def _version(self) -> str | None:
-        # Taken before the head is read, so that no change falls between the two.
+        # Read before the head, so that no change falls between the two.
         api = self.kernel.get(PlatformAccess).object_api
         stored = await api.get(ObjectKind.CONFIG_HEAD, "head")
         return None if stored is None else stored.version
@@ -95,7 +96,8 @@
             if configuration.state.judge(head) in (Offer.NEWER, Offer.SAME):
                 await configuration.apply_head(head)
                 return
-        # A peer may have been faster than the watch: only a new read tells a store that is older.
+        # A peer may have been faster than the watch: only a new read proves that the store is
+        # older.
         await configuration.read_platform()
 
     def _log_availability(self, error: str) -> None:
--- a/egretstack/services/dispatching.py
+++ b/egretstack/services/dispatching.py
@@ -1,4 +1,4 @@
-"""Drives the policy: tells it what happens and carries out what it decides."""
+"""Drives the policy: passes it events and carries out what it decides."""
 
 import random
 from collections.abc import Callable
@@ -38,7 +38,7 @@
 
 @dataclass
 class _Waiting:
-    work: Work
+    request: Work
     may_evict: Callable[[], bool]
     decided: trio.Event = field(default_factory=trio.Event)
     action: Dispatch | Refuse | None = None
@@ -46,7 +46,7 @@
 
 
 class Dispatching(Service, Placer):
-    """The one place where the policy runs in this process."""
+    """The only place in this process where the policy runs."""
 
     name = "dispatching"
     requires = ("instances", "runners")
@@ -58,9 +58,9 @@
         self._wake = trio.Event()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Send the policy the ticks it asks for."""
-        self.kernel.get(Instances).on_change(self._count_instances)
-        self._count_instances()
+        """Send the policy the ticks it requests."""
+        self.kernel.get(Instances).on_change(self._report_instance_count)
+        self._report_instance_count()
         self.kernel.get(Runners).on_event(self._handle_event)
         task_status.started()
         while True:
@@ -71,44 +71,44 @@
             if scope.cancelled_caught:
                 self._handle_event(Tick())
 
-    async def place(self, work: Work, may_evict: Callable[[], bool]) -> Placement:
-        """Wait for a runner; raise EgretError with the policy's refusal."""
-        waiting = _Waiting(work, may_evict)
-        self._waiting_by_id[work.id] = waiting
-        self._handle_event(Arrived(work))
+    async def place(self, request: Work, may_evict: Callable[[], bool]) -> Placement:
+        """Wait for a runner. Raises EgretError if the policy refuses the request."""
+        waiting = _Waiting(request, may_evict)
+        self._waiting_by_id[request.id] = waiting
+        self._handle_event(Arrived(request))
         return await self._decision(waiting)
 
     async def place_again(self, placement: Placement) -> Placement:
-        """Wait for a runner after the policy took the work away."""
+        """Wait for a runner after the policy evicted the request."""
         waiting = self._waiting_by_id[placement.work.id]
         self._handle_event(Evicted(placement.work.id))
         return await self._decision(waiting)
 
     def engine(self, runner_id: RunnerId) -> EngineClient | None:
-        """Give the client of a runner, also of a leaving one."""
+        """Return the client of a runner, also of a leaving one; None for an unknown runner."""
         return self.kernel.get(Runners).engine(runner_id)
 
-    def started(self, work: Work) -> None:
-        """Tell the policy that the engine accepted the work."""
-        self._handle_event(Started(work.id))
+    def started(self, request: Work) -> None:
+        """Report to the policy that the engine accepted the request."""
+        self._handle_event(Started(request.id))
 
-    def progressed(self, work: Work, tokens: int, delivered: int) -> None:
-        """Tell the policy how far the work has come."""
-        self._handle_event(Progressed(work.id, tokens, delivered))
+    def progressed(self, request: Work, tokens: int, delivered: int) -> None:
+        """Report to the policy how far the request has come."""
+        self._handle_event(Progressed(request.id, tokens, delivered))
 
-    def ended(self, work: Work, tokens: int, reason: EndReason) -> None:
-        """Tell the policy that the work left its engine, or the queue."""
-        waiting = self._waiting_by_id.pop(work.id, None)
+    def ended(self, request: Work, tokens: int, reason: EndReason) -> None:
+        """Report to the policy that the request left its engine, or the queue."""
+        waiting = self._waiting_by_id.pop(request.id, None)
         if reason is EndReason.FAILED and waiting is not None and waiting.placement is not None:
             self.kernel.get(Runners).check_soon(waiting.placement.runner_id)
-        self._handle_event(Ended(work.id, tokens, reason))
+        self._handle_event(Ended(request.id, tokens, reason))
 
     def lengths(self) -> LengthSummary:
-        """Give what this entry learned of output lengths."""
+        """Return what this entry learned of output lengths."""
         return self._policy.summary()
 
     def add_lengths(self, event: LengthsLearned) -> None:
-        """Tell the policy what another entry learned."""
+        """Pass to the policy what another entry learned of output lengths."""
         self._handle_event(event)
 
     async def _decision(self, waiting: _Waiting) -> Placement:
@@ -117,17 +117,17 @@
         waiting.decided = trio.Event()
         waiting.action = None
         if isinstance(action, Refuse):
-            del self._waiting_by_id[waiting.work.id]
+            del self._waiting_by_id[waiting.request.id]
             raise EgretError(
                 action.kind, "refused by the policy", retry_after_s=action.retry_after_s
             )
         engine = self.engine(action.runner_id)
         if engine is None:
-            raise EgretError(ErrorKind.NO_RUNNER, f"runner {action.runner_id} is gone")
-        waiting.placement = Placement(waiting.work, action.runner_id, engine, action.priority)
+            raise EgretError(ErrorKind.NO_RUNNER, f"runner {action.runner_id} is no longer known")
+        waiting.placement = Placement(waiting.request, action.runner_id, engine, action.priority)
         return waiting.placement
 
-    def _count_instances(self) -> None:
+    def _report_instance_count(self) -> None:
         live = self.kernel.get(Instances).members(ENTRY_SERVICE, MemberState.LIVE)
         self._handle_event(InstancesSeen(max(1, len(live))))
 
--- a/egretstack/services/duties.py
+++ b/egretstack/services/duties.py
@@ -30,16 +30,17 @@
 from egretstack.upstreams import EngineError, OrderRefused
 
 CANDIDATES = 3
-"""Stewards that look at one lease; the reads they cost do not grow with the fleet."""
+"""Number of stewards that compete for one lease; so the reads of a lease do not grow with the
+fleet."""
 
 CONVERGE_PERIOD_S = 10.0
 READ_TIMEOUT_S = 2.0
 
-FLEET_WORKS = (LedgerPruning,)
+FLEET_WORK_TYPES = (LedgerPruning,)
 
 
 def orders_of(service: ServiceName) -> DutyName:
-    """Give the name of the duty that orders a service's engines."""
+    """Return the name of the duty that sends orders to a service's engines."""
     return DutyName(f"orders.{service}")
 
 
@@ -54,11 +55,11 @@
         self._duty_by_name: dict[DutyName, LeasedDuty] = {}
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Take up and lay down duties as configuration and instance list change."""
+        """Start and stop duties as the configuration and the instance list change."""
         async with trio.open_nursery() as nursery:
             task_status.started()
             while not self.kernel.draining.is_set():
-                wanted = self._wanted()
+                wanted = self._duties_to_run()
                 for name in wanted.keys() - self._duty_by_name.keys():
                     duty = self._duty_by_name[name] = wanted[name]()
                     nursery.start_soon(duty.run)
@@ -68,23 +69,23 @@
             await trio.sleep_forever()
 
     async def drain(self) -> None:
-        """Free the leases, so that the next holders need not wait for their end."""
+        """Release the leases, so that the next holders need not wait until they expire."""
         async with trio.open_nursery() as nursery:
             for duty in self._duty_by_name.values():
                 nursery.start_soon(duty.lay_down)
 
     def held(self) -> set[DutyName]:
-        """Give the duties that this steward holds."""
+        """Return the duties that this steward holds."""
         return {name for name, duty in self._duty_by_name.items() if duty.holds()}
 
-    def _wanted(self) -> dict[DutyName, Callable[[], LeasedDuty]]:
+    def _duties_to_run(self) -> dict[DutyName, Callable[[], LeasedDuty]]:
         services = self.kernel.get(Configuration).state.service_by_name.values()
         wanted = {
-            orders_of(one.name): partial(_Orders, self.kernel, one.name)
-            for one in services
-            if one.kind is ServiceKind.ENGINE and self._is_candidate(one.name)
+            orders_of(spec.name): partial(_Orders, self.kernel, spec.name)
+            for spec in services
+            if spec.kind is ServiceKind.ENGINE and self._is_candidate(spec.name)
         }
-        for kind in FLEET_WORKS:
+        for kind in FLEET_WORK_TYPES:
             if self._is_candidate(kind.duty):
                 wanted[kind.duty] = partial(self._fleet_duty, kind)
         return wanted
@@ -100,7 +101,7 @@
 
 
 class _Orders(LeasedDuty):
-    """The orders of one service: converges the engines while it holds the lease."""
+    """The orders of one service: converges its engines while this steward holds the lease."""
 
     def __init__(self, kernel: Kernel, service: ServiceName) -> None:
         api = kernel.get(PlatformAccess).object_api
@@ -110,7 +111,7 @@
         self._plan: OrderPlan | None = None
 
     def begin(self) -> bool:
-        """Start with a plan of no orders sent, once the service is described."""
+        """Start with an empty order plan, if the service is described; return whether it is."""
         spec = self._spec()
         if spec is None:
             return False
@@ -125,7 +126,7 @@
         return self._kernel.get(Configuration).state.service_by_name.get(self._service)
 
     async def work(self) -> None:
-        """Bring the engines to the description, at each change and in between."""
+        """Converge the engines to the description, at each change and periodically."""
         while True:
             if self._plan is not None and self.holds():
                 for member in self._engines():
@@ -154,7 +155,7 @@
                 await engine.order(order)
             log(Event.ORDER_SENT, runner=member.id, order=order.id, fencing=order.fencing)
         except OrderRefused:
-            # The engine has seen a newer holder: this one may be the last to learn it.
+            # The engine has seen a newer holder, and this steward may be the last to learn of it.
             self._lease.give_up()
             log(Event.ORDER_REFUSED, runner=member.id, fencing=self._lease.fencing)
         except EngineError as error:
--- a/egretstack/services/engine_placing.py
+++ b/egretstack/services/engine_placing.py
@@ -146,8 +146,10 @@
         self._home.placer.ended(run.work.attempt)
 
     def first_token(self, run: Run, read_s: float, waited_s: float) -> None:
-        """Record a first token, `read_s` after the send and `waited_s` after the request
-        arrived."""
+        """Record a first token.
+
+        It came `read_s` after the send, and `waited_s` after the request arrived.
+        """
         self._metrics.observe_answer(RouteKind.STREAM, waited_s)
         self._home.placer.book.first_token(run.work.prompt_tokens, read_s)
 
@@ -257,8 +259,7 @@
         )
 
     def _backoff_left_s(self, request: Work) -> float:
-        """Return the time until an engine accepts a request from here; 0 if now, or if there is
-        none."""
+        """Return the time until an engine accepts a request; 0 if now, or if there is no engine."""
         now_s, backoffs = trio.current_time(), self._home.backoffs
         usable = [
             runner
@@ -269,8 +270,7 @@
         return min(times, default=0.0)
 
     def _free_locally_after_s(self, request: Work) -> float:
-        """Return the time until an engine may get a request without the home's decision; 0 if
-        now."""
+        """Return the time until an engine may get a request without the home; 0 if now."""
         placer = self._home.placer
         return placer.free_after_s(trio.current_time(), request, SendPart.ALONE)
 
--- a/egretstack/services/fleet_news.py
+++ b/egretstack/services/fleet_news.py
@@ -148,8 +148,11 @@
         return self._keeper.lead().update(self._rows(others))
 
     def _is_urgent(self, before: int) -> bool:
-        """Return whether changes since a version withdraw a runner, or report a zone or a crash
-        record."""
+        """Return whether the changes since a version are urgent.
+
+        They are if a runner was removed, is flagged or is not ready, or if a zone or a crash record
+        was added.
+        """
         changes = self._keeper.lead().rows.since(before)
         rows = [one.row for one in changes if one.key[0] == _RUNNER]
         ready = RunnerState.READY
--- a/egretstack/services/fleet_port.py
+++ b/egretstack/services/fleet_port.py
@@ -143,8 +143,7 @@
             log(Event.DATAGRAM_UNSENT, to=address, error=str(error))
 
     def report_soon(self) -> None:
-        """Send the report, and as the home the updates, without waiting for the end of the
-        period."""
+        """Send the report, and as the home the updates, without waiting for the period to end."""
         self.report_now.set()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
@@ -186,8 +185,7 @@
         self._announce_to(chosen)
 
     def announce_to_all(self) -> None:
-        """Report, as the home, to all instances that do not report here: they follow another
-        home."""
+        """Report, as the home, to all instances that do not report here but to another home."""
         self._announce_to(self.fleet.unheard(trio.current_time()))
 
     def _announce_to(self, instances: list[Instance]) -> None:
@@ -339,8 +337,8 @@
             self._on_crash_record_changed(content, was_refused=refused)
 
     def record_clear(self, now_s: float, content: ContentId) -> int | None:
-        """Record that a request was answered or allowed again; return the new round, if one
-        begins."""
+        """Record that a request was answered or allowed again; return the round that begins, if
+        any."""
         refused = self.crashes.refuses(content)
         cleared_round = self.crashes.clear(now_s, content)
         if cleared_round is not None:
--- a/egretstack/services/front_port.py
+++ b/egretstack/services/front_port.py
@@ -77,8 +77,7 @@
             task_status.started()
 
     async def drain(self) -> None:
-        """Serve clients that still use an older directory answer, until the grace period is nearly
-        over."""
+        """Serve clients that use older directory answers, until the grace period is nearly over."""
         node: NodeSettings = self.kernel.settings
         self._leaving = True
         self._relaying.begin_leaving()
--- a/egretstack/services/instance_listing.py
+++ b/egretstack/services/instance_listing.py
@@ -1,7 +1,8 @@
-"""Writes into the platform's store where this instance is, and reads which others there are.
+"""Registers this instance in the platform's store, and reads which others are listed there.
 
-Only an instance that hears no home does so, the home itself among them. Whoever starts where no
-seed is left finds the home in the list; the home finds there whoever follows no home or another.
+Only an instance that receives no reports of a home does so, the home itself among them. An instance
+that starts where no seed is left finds the home in the list, and the home finds there the instances
+that follow no home or another one.
 """
 
 import trio
@@ -18,14 +19,16 @@
 """Pause after a call that the store did not answer, where nothing waits for the answer."""
 CHECK_INTERVAL_S = 0.5
 HOME_WAIT_S = 1.5
-"""How long no other home is heard before an instance registers and lists. The seeds lead a starting
-one to the home, and the next in line follows a home that died; were all to register in
-that second, the store would get two calls of each for nothing. They serve meanwhile."""
+"""How long an instance waits without a report of another home before it registers and lists. The
+seeds point a starting instance to the home, and the next in line follows a home that died; if all
+instances registered in that second, the store would get two useless calls from each. They serve
+meanwhile."""
 FIRST_LISTING_S = 1.0
 LAST_LISTING_S = 16.0
 """Pauses of a home between two listings, doubled each time: instances that start together see only
 some of each other in the list, and may follow several homes until one finds the rest. An instance
-that hears a home lists nothing: its calls would grow with the fleet and bring no news."""
+that gets reports of a home lists nothing: its calls would grow with the fleet and find nothing
+new."""
 
 
 class InstanceListing(Service):
@@ -54,7 +57,9 @@
                     ObjectKind.INSTANCE, allow_stale=True
                 )
                 listed = [
-                    one for stored in listing.objects if (one := _parse_listed(stored)) is not None
+                    known
+                    for stored in listing.objects
+                    if (known := _parse_listed(stored)) is not None
                 ]
                 if len(listed) < len(listing.objects):
                     log(Event.INSTANCE_UNREADABLE, count=len(listing.objects) - len(listed))
@@ -70,9 +75,9 @@
                 await trio.sleep(self._unavailable_pause_s())
 
     async def _wait_without_home(self) -> None:
-        """Wait until no other instance was heard to be the home for a while."""
+        """Wait until no report of another home has arrived for a while."""
         if not self._port.has_seeds() and not self._port.fleet.known():
-            return  # The first of a fleet waits for nobody.
+            return  # The first instance of a fleet has no home to wait for.
         unled_since_s = trio.current_time()
         while trio.current_time() - unled_since_s < HOME_WAIT_S:
             await trio.sleep(CHECK_INTERVAL_S)
@@ -80,16 +85,19 @@
                 unled_since_s = trio.current_time()
 
     def _unavailable_pause_s(self) -> float:
-        """Give the pause after a list of instances that the store did not give.
+        """Return the pause after a failed listing.
 
-        Once others are heard the list tells nothing new, and each instance that asks on makes 2.5
-        calls a second for as long as the store turns it away.
+        Once other instances report, the list contains nothing new, and each instance that goes on
+        trying makes 2.5 calls a second for as long as the store rejects them.
         """
         alone = len(self._port.fleet.live(trio.current_time())) == 1
         return UNAVAILABLE_PAUSE_S if alone else UNAVAILABLE_LONG_PAUSE_S
 
     async def _register(self) -> None:
-        """Write where this instance is; a write without an answer is made again, to no harm."""
+        """Write the addresses of this instance.
+
+        A write without an answer is repeated, which does no harm.
+        """
         own = self._port.fleet.own.instance
         spec = {
             "zone": own.zone,
@@ -107,7 +115,7 @@
 
 
 def _parse_listed(stored: StoredObject) -> KnownInstance | None:
-    """Give an instance that the store lists; None if the entry is not one of this system's."""
+    """Parse an instance that the store lists; None if the entry does not belong to this system."""
     spec = stored.spec
     zone, front, peer = (spec.get(name) for name in ("zone", "front", "peer"))
     strength = spec.get("strength")
--- a/egretstack/services/instances.py
+++ b/egretstack/services/instances.py
@@ -15,10 +15,10 @@
 
 
 class Instances(Service):
-    """Holds the members last listed; an outage of the list keeps the last known ones.
+    """Holds the members last listed; during an outage of the list it keeps the last known ones.
 
-    This process reads the list in its turn only. Where membership runs, what other instances
-    read comes with the heartbeats and is put in here by `put`.
+    This process reads the list only in its turn. Where membership runs, the readings of other
+    instances arrive with the heartbeats and are stored here by `set_members`.
     """
 
     name = "instances"
@@ -28,13 +28,13 @@
         super().__init__(kernel)
         self._members: list[Member] = []
         self._listeners: list[Callable[[], None]] = []
-        self._reading: ReadingHandler | None = None
+        self._reading_handler: ReadingHandler | None = None
         self._read_requested = trio.Event()
         self._unavailable = False
         self.last_read: list[Member] | None = None
 
     def members(self, service: ServiceName, state: MemberState | None = None) -> list[Member]:
-        """Give the members of a service, of one state or of any."""
+        """Return the members of a service, of one state or of any."""
         return [
             member
             for member in self._members
@@ -42,7 +42,7 @@
         ]
 
     def all_members(self) -> list[Member]:
-        """Give the members of every service."""
+        """Return the members of every service."""
         return list(self._members)
 
     def on_change(self, listener: Callable[[], None]) -> None:
@@ -50,13 +50,13 @@
         self._listeners.append(listener)
 
     async def on_reading(self, handler: ReadingHandler) -> None:
-        """Hand each reading to `reading`, which answers with `put`; the last one at once."""
-        self._reading = handler
+        """Pass each reading to `handler`, which calls `set_members`; the last reading at once."""
+        self._reading_handler = handler
         if self.last_read is not None:
             await handler(self.last_read)
 
     def set_members(self, members: list[Member]) -> None:
-        """Hold these members, and tell of a change."""
+        """Store these members, and notify the listeners of a change."""
         if members == self._members:
             return
         self._members = members
@@ -95,7 +95,7 @@
             log(Event.PLATFORM_BACK, what="instance list")
         self._unavailable = False
         self.last_read = members
-        if self._reading is None:
+        if self._reading_handler is None:
             self.set_members(members)
         else:
-            await self._reading(members)
+            await self._reading_handler(members)
--- a/egretstack/services/ledger_pruning.py
+++ b/egretstack/services/ledger_pruning.py
@@ -1,4 +1,4 @@
-"""The fleet duty that drops old segments of the ledger."""
+"""The fleet duty that removes old segments of the ledger."""
 
 import trio
 
@@ -9,23 +9,27 @@
 from egretstack.ledger import LedgerPruner
 
 PRUNE_PERIOD_S = 600.0
-"""How often the holder makes a round: segments go by the hour, so sooner is of no use."""
+"""How often the holder makes a round. Segments are removed by the hour, so a shorter period is of
+no use."""
 
 
 class LedgerPruning(Service, FleetWork):
-    """Offers one round of pruning. It runs nothing by itself."""
+    """Offers one round of pruning; it runs nothing by itself."""
 
     name = "ledger_pruning"
     duty = DutyName("fleet.ledger-pruning")
     period_s = PRUNE_PERIOD_S
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Do nothing until the duty's holder calls."""
+        """Do nothing until the holder of the duty calls `round`."""
         task_status.started()
         await trio.sleep_forever()
 
     async def round(self, api: PacedObjectApi) -> None:
-        """Make one round; the lease only spares calls, each step is harmless when late."""
+        """Make one round.
+
+        The lease only saves calls, since each step is harmless when it is late.
+        """
         pruner = LedgerPruner(api, before_pair=api.before_pair)
         pruned = await pruner.round(self.kernel.epoch.now())
         log(Event.LEDGER_PRUNED, segments=pruned.segments, failed_heads=pruned.failed_heads)
--- a/egretstack/services/ledger_store.py
+++ b/egretstack/services/ledger_store.py
@@ -1,4 +1,4 @@
-"""The ledger of calls that run at most once, and what this process remembers of its attempts."""
+"""The ledger of calls that run at most once, and the state of this process's attempts."""
 
 import secrets
 from dataclasses import replace
@@ -44,24 +44,24 @@
 BEGIN_TIMEOUT_S = 2.5
 """How long a call waits for its intent to be written."""
 HOME_TIMEOUT_S = 0.3
-"""How long the shard's home is waited for before one writes oneself."""
+"""How long the ledger home of the shard may take to write before this process writes itself."""
 FINISH_TIMEOUT_S = 0.5
-"""How long an answer waits for its outcome to be written; it is written later otherwise."""
+"""How long an answer waits for its outcome to be written; after that it is written later."""
 MAX_SEND_AGE_S = 5.0
-"""Age of an intent, from before it was written, above which it is not sent any more."""
+"""Age of an intent, counted from before it was written, above which it is no longer sent."""
 DEADLINE_MARGIN_S = 10.0
 NOT_RUN_RETENTION_S = 600.0
 PLATFORM_RETRY_S = 5.0
 MAX_ATTEMPTS = 10_000
 DRAIN_TIMEOUT_S = 30.0
 FENCING_NUMBERS_PER_S = 1_000
-"""A key's first fencing number is its time in milliseconds, so that one which was forgotten and
-is used again starts above the numbers that the service remembers."""
-_PEER = "peer"
+"""A key's first fencing number is its time in milliseconds, so that a key that was forgotten and is
+used again starts above the numbers that the service remembers."""
+_PEER_PORT = "peer"
 
 
 class LedgerStore(Service, CallLedger):
-    """Writes intents and outcomes, and answers other entries that ask about an attempt."""
+    """Writes intents and outcomes, and answers other entries that query an attempt."""
 
     name = "ledger_store"
     requires = ("platform_access", "instances", "peer_port")
@@ -75,7 +75,7 @@
         self._store: ShardStore
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Hold the tasks that write."""
+        """Run the tasks that write."""
         self.kernel.get(PeerPort).register_handler(AttemptAsk, self._answer)
         self.kernel.get(PeerPort).register_handler(ShardAsk, self._write_for_peer)
         api = self.kernel.get(PlatformAccess).object_api
@@ -86,19 +86,19 @@
             await trio.sleep_forever()
 
     async def drain(self) -> None:
-        """Write what is left, within a bound: with the platform away it would never end."""
+        """Write what is left, within a bound: with the platform unavailable it would never end."""
         with trio.move_on_after(DRAIN_TIMEOUT_S):
             while not self._store.idle:
                 await trio.sleep(0.1)
 
     async def begin(self, request: IntentRequest) -> Intent | Row:
-        """Write an intent, or give the row that the key has already.
+        """Write an intent, or return the row that the key has already.
 
         Raises EgretError PLATFORM_AWAY; the call was then not sent and never will be.
         """
         number = shard_number(request.key)
         if self._attempts.full or self._store.refuses(number):
-            raise _unavailable("the store did not answer a moment ago")
+            raise _unavailable("the store was unavailable for this shard a moment ago")
         began_s = trio.current_time()
         row = self._new_row(request)
         operation = Operation(
@@ -116,7 +116,9 @@
             log(Event.INTENT_ABANDONED, attempt=row.attempt)
             self._attempts.abandon(row.attempt)
             self._nursery.start_soon(self._forget_after, number, operation.retraction)
-            raise _unavailable("the intent may be in the store; it was given up and is never sent")
+            raise _unavailable(
+                "the intent may have been written; it was abandoned and the call is never sent"
+            )
         self._attempts.forget(row.attempt)
         if outcome is Outcome.FOUND:
             return operation.found
@@ -125,7 +127,7 @@
     def check_send(self, intent: Intent) -> None:
         """Raise EgretError NOT_RUN if the intent is too old to be sent.
 
-        A process that was frozen after it wrote its intent wakes up here. Its key may have been
+        This catches a process that was paused after it wrote its intent. Its key may have been
         forgotten meanwhile and used again, so what it would send now could run a second time.
         """
         age_s = trio.current_time() - intent.began_s
@@ -142,24 +144,24 @@
         await self._finish(intent, row)
 
     async def finish(self, intent: Intent, answer: KeptAnswer | None) -> bool:
-        """Write the outcome, None for unknown; False if another attempt has taken the key over."""
+        """Write the outcome, None if unknown; return False if another attempt took over the key."""
         self._attempts.end(intent.row.attempt, answer is not None)
         state = CallState.UNKNOWN if answer is None else CallState.DONE
         return await self._finish(intent, intent.row.ended(state, answer))
 
     async def stage(self, row: Row) -> Stage:
-        """Ask the owner of an attempt how far it has come."""
+        """Query the owner of an attempt for the attempt's stage."""
         if row.owner == self._owner:
             return self._attempts.stage(row.boot, row.attempt)
         members = self.kernel.get(Instances).members(ENTRY_SERVICE)
         owner = next((one for one in members if one.id == row.owner), None)
-        if owner is None or _PEER not in owner.ports:
-            # The list lags, and a live instance may be missing from it: no proof of anything.
+        if owner is None or _PEER_PORT not in owner.ports:
+            # The list lags, and a live instance may be missing from it, so this proves nothing.
             return Stage.SILENT
         query = AttemptAsk(row.boot, row.attempt)
         try:
             answer = await self.kernel.get(PeerPort).request(
-                row.owner, owner.host, owner.ports[_PEER], query
+                row.owner, owner.host, owner.ports[_PEER_PORT], query
             )
             return Stage(answer.stage)
         except (PeerGone, PeerRefused, ValueError, AttributeError):
@@ -179,13 +181,13 @@
         return operation.outcome is not Outcome.LOST
 
     async def _forward_to_home(self, number: int, operation: Operation) -> bool:
-        """Let the shard's home carry an operation out; False where it did not say that it has.
+        """Let the shard's ledger home carry an operation out; return whether it confirmed that.
 
-        It may do so late all the same. That does no harm next to one's own write: both carry the
+        It may still do so later. That does no harm next to this process's own write: both carry the
         same attempt, and a row of that attempt is never begun a second time.
         """
         members = self.kernel.get(Instances).members(ENTRY_SERVICE, MemberState.LIVE)
-        member_by_id = {InstanceId(one.id): one for one in members if _PEER in one.ports}
+        member_by_id = {InstanceId(one.id): one for one in members if _PEER_PORT in one.ports}
         home = home_of(number, list(member_by_id))
         if home is None or home == self._owner:
             return False
@@ -196,7 +198,7 @@
         with trio.move_on_after(HOME_TIMEOUT_S):
             try:
                 port = self.kernel.get(PeerPort)
-                answer = await port.request(home, member.host, member.ports[_PEER], query)
+                answer = await port.request(home, member.host, member.ports[_PEER_PORT], query)
             except (PeerGone, PeerRefused):
                 return False
             return isinstance(answer, ShardTell) and take_tell(answer, operation)
--- a/egretstack/services/limits.py
+++ b/egretstack/services/limits.py
@@ -1,4 +1,4 @@
-"""Asks the homes of the accounts served here for slices, and is a home itself."""
+"""Requests slices of accounts' limits from their limits homes, and is a limits home itself."""
 
 import trio
 
@@ -39,7 +39,7 @@
         self._own = InstanceId(kernel.settings.text("instance", "id"))
         now_s = clock.now()
         self._homes = Homes(now_s)
-        # A process that follows another on this instance starts above all its serials.
+        # A process that follows another on this instance starts above all of its serials.
         serial = int(kernel.epoch.now() * _SERIALS_PER_SECOND)
         self.entry = EntrySide(self._own, self._homes, now_s, serial)
         self.home = HomeSide(self._own, self._homes, now_s)
@@ -49,7 +49,7 @@
         self._woken: set[object] = set()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Answer entries, and send the asks that are due."""
+        """Answer entries, and send the queries that are due."""
         self.kernel.get(PeerPort).register_peer_handler(LimitsAsk, self._answer)
         self.kernel.get(Membership).on_change(self._update_view)
         self._update_view()
@@ -63,11 +63,10 @@
                 await self._run_woken()
 
     async def ready(self, contract: Contract) -> None:
-        """Wait, at most READY_WAIT_S, while the account's home may let in one more request.
+        """Wait, at most MAX_READY_WAIT_S, while the limits home may let in one more request.
 
-        Call it right before `open`, which decides. A caller waits here only where this entry
-        holds too little of the account's limits and its home has not just said that no more is
-        left.
+        Call this right before `open`, which decides. A caller waits here only if this entry holds
+        too little of the account's limits and the home has not just reported that nothing is left.
         """
         with trio.move_on_after(READY_WAIT_S) as scope:
             while self.entry.should_wait(clock.now(), contract):
@@ -76,7 +75,7 @@
             self.entry.unanswered(clock.now(), contract.account)
 
     def open(self, contract: Contract) -> None:
-        """Count a request in; raise EgretError."""
+        """Count a request in. Raises EgretError."""
         self.entry.open(clock.now(), contract)
 
     def close(self, account: AccountId) -> None:
@@ -103,9 +102,9 @@
         self._wake.set()
 
     async def _run_woken(self) -> None:
-        # Requests that an answer has just let in run before the next ask; counted as waiting once
-        # more, they would take a second token, and others would be refused for it. Tasks that are
-        # ready run in any order, so one checkpoint is not enough.
+        # Requests that an answer has just let in run before the next query. If they were counted as
+        # waiting once more, they would take a second token, and others would be refused for it.
+        # Tasks that are ready run in any order, so one checkpoint is not enough.
         while self._woken:
             await trio.lowlevel.checkpoint()
 
@@ -129,7 +128,7 @@
             return self._decide(self._own, query.message)
         member = self._live().get(query.home)
         if member is None or PEER_PORT not in member.ports:
-            raise PeerGone("not listed")
+            raise PeerGone("the limits home is not listed with a peer port")
         port = member.ports[PEER_PORT]
         with trio.move_on_after(ASK_TIMEOUT_S):
             answer = await self.kernel.get(PeerPort).request(
@@ -137,7 +136,7 @@
             )
             if isinstance(answer, LimitsAnswer):
                 return answer
-            raise PeerRefused("not an answer about limits")
+            raise PeerRefused("the answer is not a LimitsAnswer")
         raise PeerGone("no answer in time")
 
     async def _answer(self, sender: InstanceId, message: Message) -> Message:
@@ -157,8 +156,9 @@
         self._wake.set()
 
     def _live(self) -> dict[InstanceId, Member]:
-        """Give the live entries: the one place that asks who may be a home."""
+        """Return the live entries, which are the only candidates for limits homes."""
         membership = self.kernel.get(Membership)
-        # The last instance serves on while it leaves; without a home it would refuse everyone.
+        # The last instance serves on while it leaves; without a limits home it would refuse
+        # everyone.
         members = membership.live_members() or [membership.own_member]
         return {InstanceId(member.id): member for member in members}
--- a/egretstack/services/membership.py
+++ b/egretstack/services/membership.py
@@ -1,4 +1,4 @@
-"""Which instances of the system live, and which configuration revision each has applied."""
+"""Tracks which instances of the system are live, and the configuration revision of each."""
 
 import random
 from collections.abc import Callable
@@ -39,7 +39,7 @@
 
 
 class Membership(Service):
-    """Tells other services of the instances that live, of changes, and of peers' revisions."""
+    """Informs other services of the live instances, of changes, and of peers' revisions."""
 
     name = "membership"
     requires = ("instances", "peer_port")
@@ -73,22 +73,22 @@
                 await trio.sleep(TICK_S)
 
     async def farewell(self) -> None:
-        """Let the neighbours know that this instance is gone, so that none has to find it out."""
+        """Announce that this instance has ended, so that no neighbour has to detect it."""
         self._state.stop()
         async with trio.open_nursery() as nursery:
             self._send_due(nursery)
 
     def live_instances(self) -> tuple[InstanceId, ...]:
-        """Give the ids of instances that take work, sorted; this one too unless it leaves.
+        """Return the sorted ids of the instances that accept requests.
 
-        A suspect instance is still among them, so that a lost heartbeat moves no home. Two
-        instances may differ in their answers for a few seconds, or as long as they are cut off
-        from each other; what is decided by it has to bear that.
+        This one is included unless it leaves. A suspect instance is still included, so that a lost
+        heartbeat moves no limits home. Two instances may return different ids for a few seconds, or
+        as long as they are cut off from each other; what is decided by them has to tolerate that.
         """
         return tuple(sorted(InstanceId(member.id) for member in self.live_members()))
 
     def live_members(self) -> list[Member]:
-        """Give addresses of the instances that take work, this one too unless it leaves."""
+        """Return the instances that accept requests, with this one unless it leaves."""
         live = [one for one in self._state.live(trio.current_time()) if one.id != self.own]
         if not self.kernel.draining.is_set():
             live.append(self._state.own_member)
@@ -96,15 +96,15 @@
 
     @property
     def own_member(self) -> Member:
-        """Give this instance's own address."""
+        """Return this instance's own address."""
         return self._state.own_member
 
     def views(self) -> dict[InstanceId, InstanceView]:
-        """Give every instance known, with its state."""
+        """Return every known instance with its state."""
         return self._state.views()
 
     def member(self, instance: InstanceId) -> Member | None:
-        """Give the address of an instance in any state, or None for an unknown one."""
+        """Return the address of an instance in any state, or None for an unknown one."""
         view = self._state.views().get(instance)
         return None if view is None else view.member
 
@@ -113,20 +113,20 @@
         self._listeners.append(listener)
 
     def on_peer_revision(self, listener: RevisionListener) -> None:
-        """Call `listener` when a heartbeat tells another applied revision of a neighbour.
+        """Call `listener` when a heartbeat reports a new applied revision of a neighbour.
 
-        The neighbour can be asked for what it has applied; see `member`.
+        The neighbour can be queried for what it has applied; see `member`.
         """
         self._revision_listeners.append(listener)
 
     def set_revision(self, revision: Revision) -> None:
-        """Let heartbeats carry this applied revision; the next ones go out at once."""
+        """Send this applied revision with the heartbeats; the next ones go out at once."""
         self._state.set_revision(revision)
 
     def publish_runner_notice(self, runner: RunnerId, leaving: bool, *, for_good: bool) -> None:
-        """Let every instance know that a runner leaves, or takes work again.
+        """Announce to every instance that a runner leaves, or accepts requests again.
 
-        A notice that is not for good ends after some minutes unless it is given again.
+        A notice that is not for good expires after some minutes unless it is given again.
         """
         log(Event.RUNNER_NOTICED, runner=runner, leaving=leaving)
         self._state.notice(trio.current_time(), runner, leaving, for_good)
@@ -156,7 +156,7 @@
     async def _send(self, heartbeat: Ask) -> HeartbeatAnswer:
         port = heartbeat.peer.ports.get(_port_name(self.kernel))
         if port is None:
-            raise PeerGone("no peer port is listed")
+            raise PeerGone("the peer lists no port for heartbeats")
         answer = await self.kernel.get(PeerPort).request(
             InstanceId(heartbeat.peer.id),
             heartbeat.peer.host,
@@ -166,14 +166,14 @@
             Lane.HEARTBEAT,
         )
         if not isinstance(answer, HeartbeatAnswer):
-            raise PeerRefused("another answer than to a heartbeat")
+            raise PeerRefused("the answer is not a HeartbeatAnswer")
         return answer
 
     async def _answer(self, sender: InstanceId, message: Message) -> Message:
         try:
             answer = self._state.asked(trio.current_time(), sender, message)
         except RowError as error:
-            raise PeerRefused(f"a row that cannot be read: {error}") from error
+            raise PeerRefused(f"invalid row in a heartbeat: {error}") from error
         self._record_revision(sender, message.revision)
         self._publish()
         return answer
@@ -197,7 +197,7 @@
         self._publish()
 
     def _publish(self) -> None:
-        """Tell listeners of what has changed since they were told last."""
+        """Notify the listeners of what has changed since they were last notified."""
         if self._published_changes != self._state.changes:
             self._published_changes = self._state.changes
             self.kernel.get(Instances).set_members(self._state.members())
@@ -221,7 +221,10 @@
 
 
 def _port_name(kernel: Kernel) -> str:
-    """Name the port for heartbeats: entries keep them among entries, stewards among stewards."""
+    """Return the port for heartbeats.
+
+    Entries exchange them with entries, and stewards with stewards.
+    """
     return ENTRY_PORT if kernel.settings.has("caller", "address") else STEWARD_PORT
 
 
--- a/egretstack/services/operator_port.py
+++ b/egretstack/services/operator_port.py
@@ -61,7 +61,7 @@
         return app
 
     def _configuration(self) -> dict[str, object]:
-        """Give all that is in force, for an operator who puts a restored store right."""
+        """Return the whole configuration in force, for an operator who repairs a restored store."""
         snapshot = self.kernel.get(Configuration).state.snapshot
         if snapshot is None:
             return {}
@@ -73,7 +73,7 @@
         }
 
     def _notice(self, runner: str, leaving: bool) -> Response:
-        """Let every instance know of an operator's order about a runner."""
+        """Announce an operator's order about a runner to every instance."""
         if not is_name(runner) or not self.kernel.has(Membership):
             return Response(json.dumps({"error": "no such runner here"}), status=404)
         self.kernel.get(Membership).publish_runner_notice(RunnerId(runner), leaving, for_good=True)
--- a/egretstack/services/peer_port.py
+++ b/egretstack/services/peer_port.py
@@ -1,4 +1,4 @@
-"""The port on which other processes of the system ask this one, and the links to them."""
+"""The port on which other processes of the system query this one, and the links to them."""
 
 from collections import Counter
 from collections.abc import Awaitable, Callable
@@ -27,20 +27,21 @@
 MAX_LINKS_OF_PEER = 8
 MAX_OPEN_LINKS = 512
 IDLE_LINK_S = 60.0
-"""Silence after which an accepted link is closed."""
+"""Idle time after which an accepted link is closed."""
 REUSE_S = 30.0
-"""Least idle time after which a link is opened anew; below `IDLE_LINK_S`, so that a question is
-never sent into a link that the other side is closing."""
+"""Idle time after which a link is replaced by a new one; below `IDLE_LINK_S`, so that a request is
+never sent on a link that the other side is closing."""
 Handler = Callable[[Message], Awaitable[Message]]
 PeerHandler = Callable[[InstanceId, Message], Awaitable[Message]]
 
 
 class Lane(Enum):
-    """Which of the links to a peer carries a question."""
+    """The kind of link to a peer that carries a request."""
 
     ORDINARY = "ordinary"
     HEARTBEAT = "heartbeat"
-    """Apart from the rest: a long answer ahead of it would look like a peer that is gone."""
+    """Separate from other messages: behind a long answer the heartbeat would be late, as if the
+    peer had ended."""
 
 
 @dataclass
@@ -53,7 +54,7 @@
 
 
 class PeerPort(Service):
-    """Answers peers by message kind, and asks peers over links that are kept open."""
+    """Answers peers by message kind, and sends requests to peers over links that are kept open."""
 
     name = "peer_port"
     requires = ("platform_access",)
@@ -67,7 +68,7 @@
         self._accepted_by_peer: Counter[InstanceId] = Counter()
 
     def register_handler(self, kind: type[Message], handler: Handler) -> None:
-        """Let `answerer` answer messages of a kind."""
+        """Register the handler that answers messages of a kind."""
 
         async def without_sender(_: InstanceId, message: Message) -> Message:
             return await handler(message)
@@ -75,7 +76,7 @@
         self._handler_by_kind[kind] = without_sender
 
     def register_peer_handler(self, kind: type[Message], handler: PeerHandler) -> None:
-        """Let `answerer` answer messages of a kind, given the sender's proven name too."""
+        """Register a handler that also gets the sender's authenticated id."""
         self._handler_by_kind[kind] = handler
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
@@ -96,7 +97,10 @@
         timeout_s: float = REQUEST_TIMEOUT_S,
         lane: Lane = Lane.ORDINARY,
     ) -> Message:
-        """Ask a peer. Raises PeerGone (also where no answer came in time), PeerRefused."""
+        """Send a request to a peer and return the answer.
+
+        Raises PeerGone (also if no answer came in time), PeerRefused.
+        """
         key = (host, port, lane)
         lock = self._lock_by_key.setdefault(key, trio.Lock())
         try:
@@ -114,8 +118,9 @@
                 raise PeerRefused(f"{link.peer} answers in place of {peer}")
             answer = await link.ask(message)
         except BaseException:
-            # A link left in the middle of an exchange would give the next asker this answer. And
-            # one that went silent for good is never used again: the next question opens another.
+            # A link left in the middle of an exchange would give the next request this answer. And
+            # a link that stopped answering for good must not be used again: the next request opens
+            # a new one.
             await trio.aclose_forcefully(link)
             raise
         await self._keep_link(key, link)
@@ -142,7 +147,7 @@
             await trio.aclose_forcefully(self._link_by_key.pop(oldest).link)
 
     def _forget_unused(self, key: _LinkKey, lock: trio.Lock) -> None:
-        """Keep no lock of a peer that is gone: addresses change with every replacement."""
+        """Drop the lock of a peer without links: addresses change with every replacement."""
         if key not in self._link_by_key and not lock.locked():
             self._lock_by_key.pop(key, None)
 
@@ -175,15 +180,15 @@
             self._accepted_by_peer += Counter()
 
     async def _serve_one(self, link: PeerLink) -> None:
-        # A link whose other end vanished without a sign says nothing for ever; kept, such links
-        # would fill the places of those that work.
+        # A link whose other end vanished without closing it stays open for ever; such links would
+        # use up the limit on links.
         with trio.move_on_after(IDLE_LINK_S) as idle:
             message = await link.receive()
         if idle.cancelled_caught:
             raise PeerGone("idle")
         handler = self._handler_by_kind.get(type(message))
         if handler is None:
-            raise PeerRefused(f"no answer to {type(message).__name__} here")
+            raise PeerRefused(f"no handler for {type(message).__name__} here")
         await link.send(await handler(link.peer, message))
 
     def _own(self) -> InstanceId:
--- a/egretstack/services/placing_home.py
+++ b/egretstack/services/placing_home.py
@@ -103,8 +103,7 @@
         return None if plan is None else plan.cold
 
     def handle_request(self, message: Message) -> None:
-        """Handle a request of any instance, this one too; one that cannot be answered is
-        ignored."""
+        """Handle a request of any instance, this one too; ignore one that cannot be answered."""
         if isinstance(message, PlaceAsk):
             self._place(message)
         elif isinstance(message, PlaceDrop):
--- a/egretstack/services/platform_access.py
+++ b/egretstack/services/platform_access.py
@@ -1,7 +1,7 @@
 """Access to all that is outside this process: platform, runners and peers; keys and metrics.
 
-Every other service reaches the outside through this one, so a test that replaces it can run
-whole programs on a mock clock.
+Every other service reaches the outside through this one, so a test that replaces it can run whole
+programs on a mock clock.
 """
 
 import random
@@ -38,7 +38,8 @@
 """Connections that may wait to be accepted.
 
 With the library's 100, callers that all connect at once (after another entry died) overflow the
-queue: the kernel drops their first packets, and they wait for a second or more to try again.
+queue: the kernel drops their first packets, and they wait for a second or more before they try
+again.
 """
 SEND_TIMEOUT_S = 30.0
 SEND_BUFFER_BYTES = 131_072
@@ -49,7 +50,7 @@
 
 @cache
 def _tls() -> ssl.SSLContext:
-    """Load the trusted certificates once; each load takes some 70 ms of the one loop."""
+    """Load the trusted certificates once; each load blocks the event loop for some 70 ms."""
     return httpx.create_ssl_context(trust_env=False)
 
 
@@ -58,7 +59,7 @@
 
 
 class PlatformAccess(Service):
-    """Holds what the other services reach the outside with: HTTP and TCP."""
+    """Holds the HTTP and TCP clients and servers through which other services reach the outside."""
 
     name = "platform_access"
 
@@ -78,7 +79,7 @@
         self.peer_keys = PeerKeys(keys, kernel.epoch)
 
     def budgeted(self, inner: ObjectApi) -> BudgetedObjectApi:
-        """Wrap the object API in this process's budget and breaker."""
+        """Wrap the object API in this process's call budget and circuit breaker."""
         timeout_s = self.kernel.settings.number("platform", "timeout_s")
         now_s = trio.current_time()
         return BudgetedObjectApi(inner, timeout_s, self.metrics, random.Random(), now_s)
@@ -90,12 +91,12 @@
             await trio.sleep_forever()
 
     def engine(self, member: Member) -> EngineClient:
-        """Make the client of an engine."""
+        """Return a client of an engine."""
         silence_s = self.kernel.settings.number("engines", "silence_s")
         return HttpEngine(self._client, self._unpooled_client, member.url(), silence_s)
 
     def plain(self, member: Member) -> PlainService:
-        """Make the client of a plain service's runner."""
+        """Return a client of a plain service's runner."""
         return HttpPlainService(self._client, member.url())
 
     async def open_stream(self, host: str, port: int) -> trio.abc.Stream:
@@ -121,9 +122,9 @@
         *,
         task_status: trio.TaskStatus[object],
     ) -> None:
-        """Serve an HTTP application until `stop`; requests still open are then cut soon.
+        """Serve an HTTP application until `stop`; requests still open are cut soon after.
 
-        A connection whose other end leaves what was sent unread for `send_timeout_s` is closed.
+        A connection whose other end does not read what was sent within `send_timeout_s` is closed.
         """
         config = _BoundedConfig(send_timeout_s)
         config.bind = [address]
@@ -146,11 +147,11 @@
 
 
 class _BoundedConfig(Config):
-    """Bounds what a connection whose other end reads nothing may hold, and for how long.
+    """Bounds what a connection whose other end does not read may hold, and for how long.
 
-    The server writes to a connection shielded from cancellation, so no task of ours can end a
-    write that blocks: a caller that is connected and never reads would keep its request open
-    for ever. The kernel's own bound on unread data closes the connection, the write fails, and
+    The server writes to a connection shielded from cancellation, so none of this program's tasks
+    can end a write that blocks: a caller that is connected and never reads would keep its request
+    open for ever. The kernel's own limit on unread data closes the connection, the write fails, and
     the request is cancelled as after any lost connection. Accepted sockets inherit both options.
     """
 
@@ -159,9 +160,9 @@
         self._send_timeout_ms = int(send_timeout_s * 1000)
 
     def create_sockets(self) -> Sockets:
-        """Create the listening sockets with the bounds set."""
+        """Create the listening sockets with the limits set."""
         sockets = super().create_sockets()
-        for one in sockets.insecure_sockets:
-            one.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
-            one.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self._send_timeout_ms)
+        for listener in sockets.insecure_sockets:
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+            listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self._send_timeout_ms)
         return sockets
--- a/egretstack/services/runners.py
+++ b/egretstack/services/runners.py
@@ -26,13 +26,13 @@
 
 REPORT_TIMEOUT_S = 2.0
 NOTICE_RENEWAL_S = 60.0
-"""How often it is spread again that a runner's own report says it leaves."""
+"""How often a notice is repeated while a runner's own report says that it leaves."""
 CLIENT_TTL_S = 3600.0
-"""How long the client of a runner that is not listed any more is kept, for what still runs."""
+"""How long the client of a runner that is no longer listed is kept, for what still runs there."""
 
 
 class Runners(Service):
-    """Follows list, notices and reports; tells the policy of engines that come, report, leave."""
+    """Follows list, notices and reports; tells the policy of engines that join, report or leave."""
 
     name = "runners"
     requires = ("platform_access", "instances", "membership", "configuration")
@@ -59,17 +59,17 @@
         self._schedule_changed = trio.Event()
 
     def on_event(self, listener: Callable[[PolicyEvent], None]) -> None:
-        """Tell `listener` of every runner that comes, reports or leaves.
+        """Call `listener` with each event of a runner that joins, reports or leaves.
 
-        It is told of those already known first: a runner seen before the listener came would
-        otherwise never get work, and its callers would be refused as if there were no runner.
+        It first gets the runners already known: a runner seen before the listener was added would
+        otherwise never get requests, and its callers would be refused as if there were no runner.
         """
         self._listeners.append(listener)
         for info in self._watch.usable():
             listener(RunnerSeen(info))
 
     def choose_reports(self, chooser: ReportChooser) -> None:
-        """Let another chooser say whose load reports this instance reads.
+        """Replace the chooser that selects the runners whose load reports this instance reads.
 
         At most `MAX_REPORTS` of its choice are read; call `reconsider` when its choice changes.
         """
@@ -77,7 +77,7 @@
         self.reconsider()
 
     def reconsider(self) -> None:
-        """Ask the chooser again."""
+        """Apply the chooser again."""
         known = self._watch.known()
         chosen = sorted(self._chooser.choose(known) & {info.id for info in known})[:MAX_REPORTS]
         self._schedule.choose(chosen)
@@ -89,11 +89,11 @@
         self._schedule_changed.set()
 
     def engine(self, runner_id: RunnerId) -> EngineClient | None:
-        """Give the client of an engine, also of a leaving one."""
+        """Return the client of an engine, also of a leaving one; None if it is unknown."""
         return self._engine_by_id.get(runner_id)
 
     def plain(self, service: ServiceName) -> list[PlainService]:
-        """Give the live runners of a plain service, those of the own zone first."""
+        """Return the live runners of a plain service, those of the own zone first."""
         members = self.kernel.get(Instances).members(service, MemberState.LIVE)
         self._rng.shuffle(members)
         members.sort(key=lambda member: member.zone != self._zone)
@@ -112,19 +112,19 @@
                 self._refresh()
 
     def _refresh(self) -> None:
-        live_by_info: dict[RunnerInfo, bool] = {}
+        is_live_by_runner: dict[RunnerInfo, bool] = {}
         services = self.kernel.get(Configuration).state.service_by_name
         for member in self.kernel.get(Instances).all_members():
             spec = services.get(member.service)
             if spec is not None and spec.kind is ServiceKind.ENGINE:
                 self._keep_client(member)
-                live_by_info[_info(member, spec)] = member.state is MemberState.LIVE
-        self._drop_clients({info.id for info in live_by_info})
-        self._publish_all(self._watch.listed(live_by_info))
+                is_live_by_runner[_runner_info(member, spec)] = member.state is MemberState.LIVE
+        self._drop_clients({info.id for info in is_live_by_runner})
+        self._publish_all(self._watch.listed(is_live_by_runner))
         self.reconsider()
 
     def _keep_client(self, member: Member) -> None:
-        """Have a client for every listed engine: a leaving one still runs generations."""
+        """Keep a client for every listed engine: a leaving one still runs generations."""
         runner_id = RunnerId(member.id)
         known = self._member_by_id.get(runner_id)
         if known is None or (known.host, known.ports) != (member.host, member.ports):
@@ -168,7 +168,7 @@
         self._schedule.succeeded(runner_id)
         self._publish_all(self._watch.reported(runner_id, report.leaving))
         self._spread_notice(runner_id, report.leaving)
-        self._publish(_reported(runner_id, report))
+        self._publish(_reported_event(runner_id, report))
 
     async def _load(self, runner_id: RunnerId) -> LoadReport | None:
         engine = self._engine_by_id.get(runner_id)
@@ -188,7 +188,7 @@
             log(Event.RUNNER_SILENT, runner=runner_id)
 
     def _spread_notice(self, runner_id: RunnerId, leaving: bool) -> None:
-        """Let instances that do not read this runner's reports know what it says."""
+        """Announce what a runner reports to the instances that do not read its reports."""
         now_s = trio.current_time()
         renewed_s = self._renewed_s.get(runner_id)
         if leaving and (renewed_s is None or now_s - renewed_s >= NOTICE_RENEWAL_S):
@@ -211,7 +211,7 @@
             listener(event)
 
 
-def _reported(runner_id: RunnerId, report: LoadReport) -> RunnerReported:
+def _reported_event(runner_id: RunnerId, report: LoadReport) -> RunnerReported:
     return RunnerReported(
         runner_id=runner_id,
         taken_s=trio.current_time() - report.age_s,
@@ -223,7 +223,7 @@
     )
 
 
-def _info(member: Member, spec: ServiceSpec) -> RunnerInfo:
+def _runner_info(member: Member, spec: ServiceSpec) -> RunnerInfo:
     return RunnerInfo(
         id=RunnerId(member.id),
         service=spec.name,
--- a/egretstack/services/session_host.py
+++ b/egretstack/services/session_host.py
@@ -1,4 +1,4 @@
-"""Sessions of this entry: opened for callers, picked up from other entries, ended."""
+"""Sessions of this entry: opened for callers, picked up from other entries, and ended."""
 
 import trio
 
@@ -47,7 +47,7 @@
 
 
 class SessionHost(Service, SessionDoor):
-    """Runs a pump for each session, apart from the caller's connection."""
+    """Runs a pump for each session, independent of the caller's connection."""
 
     name = "session_host"
     requires = (
@@ -61,8 +61,8 @@
 
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
-        self._pump_by_work: dict[WorkId, Pump] = {}
-        self._session_by_work: dict[WorkId, Session] = {}
+        self._pump_by_request: dict[WorkId, Pump] = {}
+        self._session_by_request: dict[WorkId, Session] = {}
         self._uncounted: set[WorkId] = set()
         self._nursery: trio.Nursery
         self._idle = trio.Event()
@@ -75,7 +75,7 @@
         self._holders = Holders(max(self._resume_window_s, 1.0) * 2)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Hold the nursery that pumps run in."""
+        """Hold the nursery in which pumps run."""
         self.kernel.get(PeerPort).register_handler(SessionTaken, self._on_taken_elsewhere)
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
@@ -83,31 +83,36 @@
             await trio.sleep_forever()
 
     def close(self) -> None:
-        """Take over no more sessions: a leaving process would never come to its end."""
+        """Take over no more sessions: otherwise a leaving process might never finish."""
         self._closed = True
 
     async def drain(self) -> None:
         """Wait until no session is in progress."""
-        while self._session_by_work:
+        while self._session_by_request:
             self._idle = trio.Event()
             await self._idle.wait()
 
     async def open(self, contract: Contract, body: GenerationBody) -> Session:
-        """Start a session; raise EgretError."""
+        """Start a session. Raises EgretError."""
         opened_s = clock.now()
         state = self.kernel.get(Configuration).state
-        work = new_work(contract, body, state.service_by_model.get(body.model))
+        scheduling_request = new_work(contract, body, state.service_by_model.get(body.model))
         await self.kernel.get(Accounts).ready(contract)
         self.kernel.get(Accounts).open(contract)
-        generation = GenerationRequest(work.model, body.prompt, work.max_output_tokens, work.value)
-        request = self._request(contract.account, work, generation, body.stream)
-        session = Session(work.id, request, Cursor())
+        generation = GenerationRequest(
+            scheduling_request.model,
+            body.prompt,
+            scheduling_request.max_output_tokens,
+            scheduling_request.value,
+        )
+        request = self._request(contract.account, scheduling_request, generation, body.stream)
+        session = Session(scheduling_request.id, request, Cursor())
         SessionLevels(session, contract, self._service_levels(), opened_s)
-        self._start(session, work, None)
+        self._start(session, scheduling_request, None)
         return session
 
     async def pick_up(self, contract: Contract, session_id: str, after: int) -> Session:
-        """Find a session here or take it over from its engine; raise EgretError."""
+        """Find a session here or take it over from its engine. Raises EgretError."""
         opened_s = clock.now()
         ref = self._ref(contract, session_id)
         local = self._find(ref.runner, ref.generation)
@@ -119,22 +124,31 @@
             raise EgretError(ErrorKind.DRAINING, "ask which entry to use")
         engine = self._engine(ref)
         if local is not None:
-            # Its events before the caller's place are kept no more; the engine has them.
-            self._pump_by_work[local.work_id].release()
-        work = picked_up_work(contract, ref)
-        generation = GenerationRequest(work.model, "", work.max_output_tokens, work.value)
-        request = self._request(ref.account, work, generation, streamed=True)
-        session = Session(work.id, request, Cursor(ref.generation, after))
+            # Its events before the caller's position are no longer kept here; the engine has them.
+            self._pump_by_request[local.work_id].release()
+        scheduling_request = picked_up_work(contract, ref)
+        generation = GenerationRequest(
+            scheduling_request.model,
+            "",
+            scheduling_request.max_output_tokens,
+            scheduling_request.value,
+        )
+        request = self._request(ref.account, scheduling_request, generation, streamed=True)
+        session = Session(scheduling_request.id, request, Cursor(ref.generation, after))
         session.id = SessionId(session_id)
         session.runner = ref.runner
-        self._count_in(contract, work.id)
+        self._count_in(contract, scheduling_request.id)
         SessionLevels(session, contract, self._service_levels(), opened_s)
-        self._start(session, work, Placement(work, ref.runner, engine, work.value))
+        self._start(
+            session,
+            scheduling_request,
+            Placement(scheduling_request, ref.runner, engine, scheduling_request.value),
+        )
         self._nursery.start_soon(self._notify_previous_holders, ref, session)
         return session
 
     async def state(self, contract: Contract, session_id: str) -> GenerationState:
-        """Ask the engine how far a session has come; raise EgretError."""
+        """Query the engine how far a session has come. Raises EgretError."""
         ref = self._ref(contract, session_id)
         try:
             return await self._engine(ref).state(ref.generation)
@@ -144,11 +158,11 @@
             raise EgretError(ErrorKind.UPSTREAM_FAILED, "the engine does not answer") from error
 
     async def cancel(self, contract: Contract, session_id: str) -> None:
-        """End a session; raise EgretError."""
+        """End a session. Raises EgretError."""
         ref = self._ref(contract, session_id)
         local = self._find(ref.runner, ref.generation)
         if local is not None:
-            self._pump_by_work[local.work_id].cancel()
+            self._pump_by_request[local.work_id].cancel()
             return
         try:
             await self._engine(ref).cancel(ref.generation)
@@ -156,25 +170,26 @@
             raise EgretError(ErrorKind.UPSTREAM_FAILED, "the engine does not answer") from error
 
     def left(self, session: Session, reader: int) -> None:
-        """Note that the caller's connection ended; give it time to come back."""
+        """Record that the caller's connection ended, and give the caller time to reconnect."""
         if session.outcome is None and session.is_reader(reader):
             self._nursery.start_soon(self._wait_for_return, session, reader)
 
     async def _wait_for_return(self, session: Session, reader: int) -> None:
-        # A caller that was given no id cannot come back.
+        # A caller that was given no session id cannot reconnect.
         if session.request.streamed and session.taken >= 0:
             await trio.sleep(self._resume_window_s)
-        pump = self._pump_by_work.get(session.work_id)
+        pump = self._pump_by_request.get(session.work_id)
         if pump is not None and session.is_reader(reader):
             log(Event.SESSION_ABANDONED, work=session.work_id)
             pump.cancel()
 
     async def _notify_previous_holders(self, ref: SessionRef, session: Session) -> None:
-        """Tell who may serve the session still; else its cancel would end this one."""
-        place = (ref.runner, ref.generation)
-        previous = self._holders.holder(clock.now(), place)
-        self._holders.note(clock.now(), place, self._own)
-        takeover = Takeover(self.kernel.get(Instances), self._own, SessionTaken(self._own, *place))
+        """Notify instances that may still serve the session, since their cancel would end this
+        one."""
+        held = (ref.runner, ref.generation)
+        previous = self._holders.holder(clock.now(), held)
+        self._holders.note(clock.now(), held, self._own)
+        takeover = Takeover(self.kernel.get(Instances), self._own, SessionTaken(self._own, *held))
         with trio.move_on_after(self._resume_window_s):
             request = self.kernel.get(PeerPort).request
             await takeover.run(request, {ref.owner, previous}, lambda: session.outcome is None)
@@ -185,44 +200,52 @@
         texts = (message.holder, message.runner, message.generation)
         if max(len(text) for text in texts) > MAX_ID_LENGTH:
             return SessionReleased("")
-        place = (RunnerId(message.runner), GenerationId(message.generation))
-        previous = self._holders.holder(clock.now(), place)
-        self._holders.note(clock.now(), place, InstanceId(message.holder))
-        session = self._find(*place)
+        held = (RunnerId(message.runner), GenerationId(message.generation))
+        previous = self._holders.holder(clock.now(), held)
+        self._holders.note(clock.now(), held, InstanceId(message.holder))
+        session = self._find(*held)
         if session is not None and session.request.streamed:
             log(Event.SESSION_RELEASED, work=session.work_id, peer=message.holder)
-            self._pump_by_work[session.work_id].release()
+            self._pump_by_request[session.work_id].release()
         known = previous not in (None, self._own, message.holder)
         return SessionReleased(previous if known else "")
 
     def _find(self, runner: RunnerId, generation: GenerationId) -> Session | None:
-        for session in self._session_by_work.values():
+        for session in self._session_by_request.values():
             if session.cursor.generation == generation and session.runner == runner:
                 return session
         return None
 
     def _request(
-        self, account: AccountId, work: Work, generation: GenerationRequest, streamed: bool
+        self,
+        account: AccountId,
+        scheduling_request: Work,
+        generation: GenerationRequest,
+        streamed: bool,
     ) -> SessionRequest:
-        return SessionRequest(account, work.service, generation, streamed, self._unread_timeout_s)
+        return SessionRequest(
+            account, scheduling_request.service, generation, streamed, self._unread_timeout_s
+        )
 
-    def _count_in(self, contract: Contract, work: WorkId) -> None:
+    def _count_in(self, contract: Contract, request_id: WorkId) -> None:
         try:
             self.kernel.get(Accounts).open(contract)
         except EgretError:
-            # The session was admitted when it was opened. Refused here, a caller whose entry
-            # died would lose an accepted answer to the limits; what goes uncounted is bounded
-            # by the sessions admitted, since the newest connection of each replaces the others.
-            self._uncounted.add(work)
+            # The session was admitted when it was opened. If it were refused here, a caller whose
+            # entry died would lose an accepted answer to the limits. The uncounted sessions are
+            # bounded by the admitted ones, since the newest connection of each replaces the others.
+            self._uncounted.add(request_id)
 
-    def _start(self, session: Session, work: Work, placement: Placement | None) -> None:
+    def _start(
+        self, session: Session, scheduling_request: Work, placement: Placement | None
+    ) -> None:
         access = self.kernel.get(PlatformAccess)
         links = PumpLinks(
             self.kernel.get(Dispatching), access.tokens.seal, self._own, self._nursery.start_soon
         )
-        pump = Pump(session, work, links, self._budget, placement)
-        self._pump_by_work[work.id] = pump
-        self._session_by_work[work.id] = session
+        pump = Pump(session, scheduling_request, links, self._budget, placement)
+        self._pump_by_request[scheduling_request.id] = pump
+        self._session_by_request[scheduling_request.id] = session
         access.metrics.open_sessions.inc()
         self._nursery.start_soon(self._pump, pump, session)
 
@@ -232,13 +255,13 @@
             await pump.run()
         finally:
             self._count_end(session, account)
-            del self._pump_by_work[session.work_id]
-            del self._session_by_work[session.work_id]
+            del self._pump_by_request[session.work_id]
+            del self._session_by_request[session.work_id]
             if session.work_id in self._uncounted:
                 self._uncounted.remove(session.work_id)
             else:
                 self.kernel.get(Accounts).close(account)
-            if not self._session_by_work:
+            if not self._session_by_request:
                 self._idle.set()
 
     def _service_levels(self) -> ServiceLevels:
@@ -255,7 +278,7 @@
         metrics.sessions.labels(account, name).inc()
 
     def _ref(self, contract: Contract, session_id: str) -> SessionRef:
-        """Open a session id; one of another account is as unknown as one never made."""
+        """Decode a session id; one of another account is refused like one that never existed."""
         try:
             ref = self.kernel.get(PlatformAccess).tokens.open(session_id)
         except TokenRefused as error:
@@ -268,9 +291,9 @@
         engine = self.kernel.get(Dispatching).engine(ref.runner)
         if engine is not None:
             return engine
-        # An entry that started while the runner was leaving never gave it work, but the
-        # runner still serves what it has; it is lost only once no list names it.
+        # An entry that started while the runner was leaving never gave it requests, but the runner
+        # still serves what it has; the generation is lost only once no list names the runner.
         for member in self.kernel.get(Instances).all_members():
             if member.id == ref.runner and member.service == ref.service:
                 return self.kernel.get(PlatformAccess).engine(member)
-        raise EgretError(ErrorKind.GENERATION_LOST, "the engine is gone")
+        raise EgretError(ErrorKind.GENERATION_LOST, "the engine is no longer listed")
--- a/egretstack/services/store_reading.py
+++ b/egretstack/services/store_reading.py
@@ -119,8 +119,7 @@
         return None if plan is None else plan.engine
 
     def packed_configuration(self) -> bytes:
-        """Return the configuration in force, packed for peers; it is packed once, on the first
-        request."""
+        """Return the configuration in force, packed for peers once on the first request."""
         if self._packed is None:
             self._packed = pack_text(json.dumps(self._spec).encode())
         return self._packed
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -157,4 +157,4 @@
 
 
 def open_sessions(entry):
-    return len(entry.kernel.get(SessionHost)._session_by_work)
+    return len(entry.kernel.get(SessionHost)._session_by_request)
