--- a/egretstack/services/configuration_news.py
+++ b/egretstack/services/configuration_news.py
@@ -57,9 +57,9 @@
             while announced != configuration.state.revision:
                 announced = configuration.state.revision
                 self.sent += 1
-                news = ConfigNews(configuration.own, announced)
+                announcement = ConfigNews(configuration.own, announced)
                 await self.kernel.get(PeerPort).request(
-                    InstanceId(member.id), member.host, member.ports[port], news
+                    InstanceId(member.id), member.host, member.ports[port], announcement
                 )
         except (PeerGone, PeerRefused):
             return
--- a/egretstack/services/dispatching.py
+++ b/egretstack/services/dispatching.py
@@ -123,7 +123,7 @@
             )
         engine = self.engine(action.runner_id)
         if engine is None:
-            raise EgretError(ErrorKind.NO_RUNNER, f"runner {action.runner_id} is no longer known")
+            raise EgretError(ErrorKind.NO_RUNNER, f"runner {action.runner_id} is gone")
         waiting.placement = Placement(waiting.request, action.runner_id, engine, action.priority)
         return waiting.placement
 
--- a/egretstack/services/ledger_store.py
+++ b/egretstack/services/ledger_store.py
@@ -98,7 +98,7 @@
         """
         number = shard_number(request.key)
         if self._attempts.full or self._store.refuses(number):
-            raise _unavailable("the store was unavailable for this shard a moment ago")
+            raise _unavailable("the store did not answer a moment ago")
         began_s = trio.current_time()
         row = self._new_row(request)
         operation = Operation(
@@ -116,9 +116,7 @@
             log(Event.INTENT_ABANDONED, attempt=row.attempt)
             self._attempts.abandon(row.attempt)
             self._nursery.start_soon(self._forget_after, number, operation.retraction)
-            raise _unavailable(
-                "the intent may have been written; it was abandoned and the call is never sent"
-            )
+            raise _unavailable("the intent may be in the store; it was given up and is never sent")
         self._attempts.forget(row.attempt)
         if outcome is Outcome.FOUND:
             return operation.found
--- a/egretstack/services/relaying.py
+++ b/egretstack/services/relaying.py
@@ -102,8 +102,7 @@
         self._leaving_since_s = trio.current_time()
 
     def task(self, request: ClientRequest, began_s: float) -> Task:
-        """Return a request's task: its route, account, service and deadline. Raises
-        RequestFailed."""
+        """Return a request's task, with its route, account and service. Raises RequestFailed."""
         table = self._table()
         route = table.route(request.host, request.path)
         if route is None:
--- a/egretstack/services/session_host.py
+++ b/egretstack/services/session_host.py
@@ -296,4 +296,4 @@
         for member in self.kernel.get(Instances).all_members():
             if member.id == ref.runner and member.service == ref.service:
                 return self.kernel.get(PlatformAccess).engine(member)
-        raise EgretError(ErrorKind.GENERATION_LOST, "the engine is no longer listed")
+        raise EgretError(ErrorKind.GENERATION_LOST, "the engine is gone")
