--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -1,4 +1,4 @@
-"""Whole entries on the platform's stand-ins, in one process, over loopback sockets."""
+"""Complete entries with stand-ins for the platform, in one process, over loopback sockets."""
 
 import json
 import socket
@@ -27,8 +27,8 @@
 )
 
 WAIT_S = 20.0
-"""Bound on waiting for something that has to happen; no test depends on how long it takes."""
-MAX_ANSWER = 1_000_000
+"""Timeout for events that have to happen; no test depends on how long they take."""
+MAX_ANSWER_BYTES = 1_000_000
 BOUNDS = Bounds(
     runner_drain_s=2,
     grace_s=3,
@@ -48,8 +48,8 @@
 
 
 @dataclass
-class Site:
-    """The stand-ins and the entries."""
+class Deployment:
+    """A simulated deployment: the stand-ins and the entries."""
 
     nursery: trio.Nursery
     store: StoreStandIn
@@ -58,15 +58,15 @@
     kernels: list[Kernel] = field(default_factory=list)
     routes: list[dict] = field(default_factory=list)
     cold_per_s: float = 0.0
-    """What the configuration says that a cold runner bears; 0 for as much as a warm one."""
-    homes: tuple[str, ...] = ()
-    """Regions to which the client account is bound."""
+    """The rate that the configuration allows a cold runner; 0 for the rate of a warm one."""
+    allowed_regions: tuple[str, ...] = ()
+    """Regions to which the client account is restricted."""
     version: int = 0
-    scopes: dict[str, trio.CancelScope] = field(default_factory=dict)
-    """Ends an entry at once, as a kill does."""
+    scope_by_instance: dict[str, trio.CancelScope] = field(default_factory=dict)
+    """Cancelling one ends an entry at once, like a kill."""
 
     def settings(self, number: int) -> NodeSettings:
-        """Give the settings of an entry."""
+        """Return the settings of an entry."""
         return self.kernels[number].settings
 
     def register(
@@ -75,11 +75,12 @@
         """Write a runner's entry, as the runner does."""
         self.store.put("servers", runner_id, runner_spec(service, address, state, **more))
 
-    def spread(self, *zones: str) -> None:
-        """Write the runners' entries anew, of each service one in each of these zones in turn."""
+    def assign_zones(self, *zones: str) -> None:
+        """Write the runners' entries again, and assign the zones in turn to the runners of a
+        service."""
         for service, runners in (("desk", self.plain), ("llm", self.engines)):
-            for one, zone in zip(runners, cycle(zones), strict=False):
-                self.register(one.runner_id, service, one.address, zone=zone)
+            for runner, zone in zip(runners, cycle(zones), strict=False):
+                self.register(runner.runner_id, service, runner.address, zone=zone)
 
     def evacuate(self, *zones: str) -> None:
         """Evacuate zones, as the operator does."""
@@ -89,24 +90,24 @@
     def configure(self, *, keys: tuple[str, ...] = (KEY,)) -> int:
         """Write the next version of the configuration."""
         self.version += 1
-        account = {"allowed-regions": list(self.homes)} if self.homes else {}
+        account = {"allowed-regions": list(self.allowed_regions)} if self.allowed_regions else {}
         spec = configuration(self.version, self.routes, keys, cold_per_s=self.cold_per_s, **account)
         self.store.put("config", "main", spec)
         return self.version
 
     async def until(self, condition) -> None:
-        """Wait until something holds."""
+        """Wait until a condition holds."""
         with trio.fail_after(WAIT_S):
             while not condition():
                 await trio.sleep(0.01)
 
     async def start_entry(self, number: int, *, store: str | None = None, **more) -> Kernel:
-        """Start an entry, with other settings if need be, and wait until its services are up."""
+        """Start an entry, with changed settings if any, and wait until its services are up."""
         settings = node_settings(number, store or self.store.address, self.kernels)
         kernel = Kernel(replace(settings, **more))
         load_services(kernel, tuple(one for one in SERVICES if one != "settings_file"))
         self.kernels.append(kernel)
-        scope = self.scopes[kernel.settings.instance] = trio.CancelScope()
+        scope = self.scope_by_instance[kernel.settings.instance] = trio.CancelScope()
 
         async def run(task_status: trio.TaskStatus[None]) -> None:
             with scope:
@@ -120,12 +121,12 @@
         await self.until(lambda: all(one.get(DirectoryPort).is_ready() for one in self.kernels))
 
     async def resolve(self, directory: str) -> list[str]:
-        """Ask a directory which entries to use."""
+        """Return the entries' addresses from a directory."""
         connection = await connect_upstream(directory, WAIT_S)
         target = f"/egretstack/resolve?name={HOST}&region=bajio&zone=leon-a".encode()
         try:
             head = RequestHead(b"GET", target, ((b"host", b"directory"),))
-            _, body = await exchange(connection, head, b"", MAX_ANSWER)
+            _, body = await exchange(connection, head, b"", MAX_ANSWER_BYTES)
             return json.loads(body)["addresses"]
         finally:
             connection.close()
@@ -133,20 +134,20 @@
     async def call(
         self, path: str, attempt: str, *, entry: int = 0, method: bytes = b"GET", **more
     ) -> tuple[ResponseHead, bytes]:
-        """Make one request as a client, and read its answer whole."""
+        """Make one request as a client, and return the complete answer."""
         address = self.settings(entry).front_address
         connection = await connect_upstream(address, WAIT_S)
         try:
             head, body = client_request(path, attempt, method=method, **more)
             with trio.fail_after(WAIT_S):
-                return await exchange(connection, head, body, MAX_ANSWER)
+                return await exchange(connection, head, body, MAX_ANSWER_BYTES)
         finally:
             connection.close()
 
 
-def node_settings(number: int, store: str, others: list[Kernel]) -> NodeSettings:
-    """Give the settings of an entry on its own loopback address."""
-    ip = f"127.{free_net()}.1.{number + 1}"
+def node_settings(number: int, store: str, seeds: list[Kernel]) -> NodeSettings:
+    """Return the settings of an entry on its own loopback address."""
+    ip = f"127.{free_loopback_net()}.1.{number + 1}"
     return NodeSettings(
         instance=InstanceId(f"entry-{number}"),
         zone=ZoneName("leon-a"),
@@ -159,7 +160,7 @@
         control_address=f"{ip}:8748",
         first_peer_port=7200,
         last_peer_port=7215,
-        seeds=tuple(f"{one.settings.ip}:8748" for one in others[:3]),
+        seeds=tuple(f"{one.settings.ip}:8748" for one in seeds[:3]),
         first_start=False,
         metrics_address=f"{ip}:7201",
         store_address=store,
@@ -168,13 +169,13 @@
     )
 
 
-_net: int | None = None
+_loopback_net: int | None = None
 
 
-def free_net() -> int:
-    """Give the second number of loopback addresses that no other test process uses."""
-    global _net
-    if _net is None:
+def free_loopback_net() -> int:
+    """Return a second octet of loopback addresses that no other test process uses."""
+    global _loopback_net
+    if _loopback_net is None:
         for net in range(20, 250):
             guard = socket.socket()
             try:
@@ -183,9 +184,9 @@
                 guard.close()
                 continue
             _guards.append(guard)
-            _net = net
+            _loopback_net = net
             break
-    return _net
+    return _loopback_net
 
 
 _guards: list[socket.socket] = []
@@ -193,17 +194,17 @@
 
 @asynccontextmanager
 async def platform_site(*, entries: int = 1, plain: int = 2, engines: int = 0):
-    """Give a site with the store, runners and ready entries."""
+    """Start a deployment with the store, runners and ready entries."""
     EngineStandIn.peers_by_address.clear()
-    net = free_net()
+    net = free_loopback_net()
     async with trio.open_nursery() as nursery:
-        site = Site(nursery, StoreStandIn(f"127.{net}.0.10:8742"))
+        site = Deployment(nursery, StoreStandIn(f"127.{net}.0.10:8742"))
         await nursery.start(site.store.run)
         for number in range(plain):
-            one = PlainStandIn(f"127.{net}.2.{number + 1}:8080", f"i-desk-{number}")
-            site.plain.append(one)
-            await nursery.start(one.run)
-            site.register(one.runner_id, "desk", one.address)
+            runner = PlainStandIn(f"127.{net}.2.{number + 1}:8080", f"i-desk-{number}")
+            site.plain.append(runner)
+            await nursery.start(runner.run)
+            site.register(runner.runner_id, "desk", runner.address)
         for number in range(engines):
             engine = EngineStandIn(f"127.{net}.3.{number + 1}:8080", f"i-llm-{number}")
             site.engines.append(engine)
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -19,7 +19,7 @@
     route,
     runner_spec,
 )
-from tests.platform_site import free_net
+from tests.platform_site import free_loopback_net
 from tests.soak.clients import ENDING, REFUSED_TYPE, Kind, Promises, Record, attempt
 from tests.soak.entries import EntryProcess
 from tests.soak.proxy import LinkFault, Proxy
@@ -71,7 +71,7 @@
 
     def __init__(self, seed: int, folder: Path) -> None:
         self.rng = random.Random(seed)
-        net = free_net()
+        net = free_loopback_net()
         EngineStandIn.peers_by_address.clear()
         self.store = StoreStandIn(f"127.{net}.0.10:8742")
         self.plain = [PlainStandIn(f"127.{net}.2.{n}:8080", f"i-desk-{n}", 0.02) for n in (1, 2, 3)]
--- a/tests/test_crash_sharing.py
+++ b/tests/test_crash_sharing.py
@@ -36,7 +36,7 @@
 
 async def kill(site, entry):
     """End an instance at once."""
-    site.scopes[site.settings(entry).instance].cancel()
+    site.scope_by_instance[site.settings(entry).instance].cancel()
     await trio.sleep(0.05)
 
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Whom the directory names to callers after an instance was killed."""
+"""Which instances the directory lists for clients after an instance was killed."""
 
 import trio
 
@@ -12,58 +12,59 @@
 
 load_tests = tests_of(globals())
 
-NAMED_AT_MOST_S = 6.0
-"""The shortest calm of the users' deployments and 3 s: a killed instance is named no longer."""
+MAX_NAMED_S = 6.0
+"""The shortest calm time of the users' deployments, and 3 s; no killed instance is listed for
+longer."""
 PERIOD_S = 0.25
 
 
-def names(site, number):
-    """Count the addresses that a directory would name now."""
+def address_count(site, number):
+    """Return the number of addresses that a directory would list now."""
     port = site.kernels[number].get(DirectoryPort)
     return len(port.ready_addresses(RegionName("bajio"), HOST))
 
 
-def test_a_killed_instance_is_named_for_seconds_only_whoever_vouches_for_it():
-    # An instance is killed, and right after it the home that vouched for it. The next home takes
-    # the former one's word for a moment, as it has heard few reports itself. Callers are sent to
-    # the killed one for no longer than the users' rule allows.
-    view = Fleet(known(0), 0.0)
+def test_a_killed_instance_is_listed_for_a_bounded_time_after_a_change_of_home():
+    # Guards against listing a killed instance for longer than the users' rule allows. The home that
+    # reported it as live is killed right after it, and the next home has received few reports
+    # itself, so it relies on the former home's list for a moment.
+    fleet = Fleet(known(0), 0.0)
     first, killed, following = known(1), known(2), known(3)
-    everyone = [first, killed, following]
-    for one in everyone:
-        view.heard(0.0, one)
-    view.told(0.0, first.instance.id, everyone)
+    instances = [first, killed, following]
+    for instance in instances:
+        fleet.heard(0.0, instance)
+    fleet.told(0.0, first.instance.id, instances)
     now_s, named_s = 0.0, 0.0
-    while now_s < 2 * NAMED_AT_MOST_S:
+    while now_s < 2 * MAX_NAMED_S:
         now_s += PERIOD_S
-        view.heard(now_s, following)
+        fleet.heard(now_s, following)
         if now_s > 0.9:
-            told = [following] if now_s > 2.2 else [killed, following]
-            view.told(now_s, following.instance.id, told)
-        if killed in view.live(now_s):
+            live = [following] if now_s > 2.2 else [killed, following]
+            fleet.told(now_s, following.instance.id, live)
+        if killed in fleet.live(now_s):
             named_s = now_s
     check.assertGreater(named_s, 0.0)
-    check.assertLess(named_s, NAMED_AT_MOST_S)
-    check.assertIn(following, view.live(now_s))
+    check.assertLess(named_s, MAX_NAMED_S)
+    check.assertIn(following, fleet.live(now_s))
 
 
 @on_real_clock
-async def test_callers_are_sent_to_a_killed_instance_no_more_and_never_again():
-    # Three instances, one of which is killed. The directories of the others drop it, and do not
-    # name it again as their home changes.
+async def test_a_killed_instance_is_dropped_from_the_directories_for_good():
+    # One of three instances is killed. The directories of the others drop it, and must not list it
+    # again when their home changes.
     async with platform_site(entries=3) as site:
-        gone = site.settings(2).front_address
+        killed = site.settings(2).front_address
         directories = [site.settings(number).directory_address for number in range(2)]
-        # Once all are ready, a directory answers at once, if only with its own address.
+        # Once all are ready, a directory answers at once, though perhaps only with its own address.
         check.assertTrue(await site.resolve(directories[0]))
-        await site.until(lambda: all(names(site, number) >= 3 for number in range(2)))
-        site.scopes[site.settings(2).instance].cancel()
+        await site.until(lambda: all(address_count(site, number) >= 3 for number in range(2)))
+        site.scope_by_instance[site.settings(2).instance].cancel()
         with trio.fail_after(WAIT_S):
-            while any([gone in await site.resolve(one) for one in directories]):
+            while any([killed in await site.resolve(one) for one in directories]):
                 await trio.sleep(PERIOD_S)
         for _ in range(12):
-            for one in directories:
-                named = await site.resolve(one)
-                check.assertNotIn(gone, named)
-                check.assertTrue(named)
+            for directory in directories:
+                addresses = await site.resolve(directory)
+                check.assertNotIn(killed, addresses)
+                check.assertTrue(addresses)
             await trio.sleep(PERIOD_S)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Zones that an operator evacuates: what is sent there, what goes on there, what callers get."""
+"""Evacuated zones: where requests go, what happens to streams there, and what clients get."""
 
 import json
 
@@ -24,12 +24,12 @@
 LEON_A, LEON_B = ZoneName("leon-a"), ZoneName("leon-b")
 
 
-def entry(name, deleted=False):
+def evacuation_change(name, deleted=False):
     return Change(StoredObject(name, 5, {}), deleted)
 
 
-def knows(site, *zones):
-    """Tell whether every entry takes just these zones for evacuated."""
+def evacuated_everywhere(site, *zones):
+    """Return whether every entry knows exactly these zones as evacuated."""
     ports = [kernel.get(FleetPort) for kernel in site.kernels]
     return all(port.runners.evacuated == frozenset(zones) for port in ports)
 
@@ -41,43 +41,45 @@
     return table
 
 
-async def calls(site, count, entry=0, **more):
-    """Make calls; give their statuses."""
+async def call_statuses(site, count, entry=0, **more):
+    """Make calls; return the set of their statuses."""
     made = [await site.call("/notes/1", f"r-{n}", entry=entry, **more) for n in range(count)]
     return {head.status for head, _ in made}
 
 
-def test_a_later_reading_goes_before_an_earlier_one():
-    # An instance has read an evacuation itself; the home, which reads later, tells it without.
-    known = Evacuations()
-    check.assertFalse(known.is_known)
-    check.assertEqual(known.take([LEON_A], 7, 1.0).begun, {LEON_A})
-    check.assertIsNone(known.take([], 6, 2.0))
-    check.assertEqual(known.zones, {LEON_A})
-    check.assertEqual(known.take([LEON_B], 8, 3.0).ended, {LEON_A})
-    check.assertEqual(known.age_s(5.0), 2.0)
+def test_an_earlier_reading_does_not_replace_a_later_one():
+    # An instance has read an evacuation itself, and then gets an older reading from the home.
+    evacuations = Evacuations()
+    check.assertFalse(evacuations.is_known)
+    check.assertEqual(evacuations.take([LEON_A], 7, 1.0).begun, {LEON_A})
+    check.assertIsNone(evacuations.take([], 6, 2.0))
+    check.assertEqual(evacuations.zones, {LEON_A})
+    check.assertEqual(evacuations.take([LEON_B], 8, 3.0).ended, {LEON_A})
+    check.assertEqual(evacuations.age_s(5.0), 2.0)
 
 
-def test_news_of_a_home_that_has_read_nothing_tell_nothing():
-    known = Evacuations()
-    check.assertIsNone(known.take([], 0, 1.0))
-    check.assertFalse(known.is_known)
+def test_updates_of_a_home_without_a_reading_are_ignored():
+    evacuations = Evacuations()
+    check.assertIsNone(evacuations.take([], 0, 1.0))
+    check.assertFalse(evacuations.is_known)
 
 
-def test_entries_that_no_operator_writes_evacuate_nothing_and_spoil_no_others():
+def test_invalid_entries_are_skipped_and_valid_ones_still_apply():
     entries = EvacuationEntries()
     names = ["leon-a", "", "x" * 500, "leon\nb", "nowhere"]
-    bad = entries.take([entry(name) for name in names])
+    bad = entries.take([evacuation_change(name) for name in names])
     check.assertEqual([one.name for one in bad], names[1:4])
     check.assertEqual(entries.zones(), {"leon-a", "nowhere"})
-    bad = entries.take([entry(f"z-{number}") for number in range(MAX_ZONES)])
+    bad = entries.take([evacuation_change(f"z-{number}") for number in range(MAX_ZONES)])
     check.assertEqual(len(entries.zones()), MAX_ZONES)
     check.assertEqual(len(bad), 2)
-    entries.take([entry("leon-a", deleted=True), entry("leon-b", deleted=True)])
+    entries.take(
+        [evacuation_change("leon-a", deleted=True), evacuation_change("leon-b", deleted=True)]
+    )
     check.assertNotIn("leon-a", entries.zones())
 
 
-def test_runners_of_an_evacuated_zone_get_no_work_and_are_barred_if_there_are_no_others():
+def test_runners_of_an_evacuated_zone_get_no_requests():
     table = table_of("leon-a", "leon-b")
     table.evacuate(1.0, frozenset({LEON_A}))
     check.assertEqual([one.zone for one in table.ready(ENGINES)], [LEON_B])
@@ -88,9 +90,9 @@
     check.assertFalse(table_of().is_barred(ENGINES, None))
 
 
-def test_runners_of_a_zone_that_is_back_are_taken_to_be_cold_for_a_start():
-    # Their entries tell that they are cold at the next heartbeat only; all work that waits would
-    # go to them before, and they crash.
+def test_runners_of_a_restored_zone_count_as_cold_at_first():
+    # Their entries show that they are cold only at the next heartbeat; before that, all queued
+    # requests would be sent to them and crash them.
     table = table_of("leon-a", "leon-b")
     cold, warm = (one.id for one in table.by_id.values())
     table.evacuate(1.0, frozenset({LEON_A}))
@@ -101,31 +103,32 @@
 
 
 @on_real_clock
-async def test_nothing_more_is_sent_to_an_evacuated_zone_until_it_is_taken_back():
-    # The operator evacuates a zone. Calls go to the other one from then on, from the instance that
-    # read it as from the one that was told; they come back when it is taken back.
+async def test_no_calls_reach_an_evacuated_zone_until_it_is_restored():
+    # Calls go to the other zone once the operator has evacuated one, both from the instance that
+    # read the evacuation and from the one that got it as an update; they return after the
+    # evacuation.
     async with platform_site(entries=2, plain=2) as site:
-        site.spread("leon-a", "leon-b")
+        site.assign_zones("leon-a", "leon-b")
         site.evacuate("leon-a")
-        await site.until(lambda: knows(site, "leon-a"))
+        await site.until(lambda: evacuated_everywhere(site, "leon-a"))
         before = sum(site.plain[0].runs_by_attempt.values())
         for number in range(2):
-            check.assertEqual(await calls(site, 10, entry=number), {200})
+            check.assertEqual(await call_statuses(site, 10, entry=number), {200})
         check.assertEqual(sum(site.plain[0].runs_by_attempt.values()), before)
         site.store.remove("evacuations", "leon-a")
-        await site.until(lambda: knows(site))
-        await calls(site, 10)
+        await site.until(lambda: evacuated_everywhere(site))
+        await call_statuses(site, 10)
         check.assertGreater(sum(site.plain[0].runs_by_attempt.values()), before)
 
 
 @on_real_clock
-async def test_a_stream_in_an_evacuated_zone_goes_on_in_another_one():
-    # The reader sees no gap: the run is copied to an engine of another zone and goes on there,
-    # though the one it leaves works on.
+async def test_a_stream_in_an_evacuated_zone_continues_in_another_zone():
+    # The reader sees no gap: the run is copied to an engine of another zone and continues there,
+    # although the engine it leaves is still working.
     async with platform_site(engines=2) as site:
         for engine in site.engines:
             engine.events = 150
-        site.spread("leon-a", "leon-b")
+        site.assign_zones("leon-a", "leon-b")
         table = site.kernels[0].get(FleetPort).runners
         await site.until(lambda: len({one.zone for one in table.by_id.values()}) > 1)
         reader = await read(site, "s-1", 5)
@@ -138,74 +141,75 @@
 
 
 @on_real_clock
-async def test_a_stream_that_has_nowhere_to_go_ends_where_it_is():
+async def test_a_stream_without_another_zone_finishes_on_its_engine():
     async with platform_site(engines=2) as site:
-        site.spread("leon-a", "leon-b")
+        site.assign_zones("leon-a", "leon-b")
         reader = await read(site, "s-1", 5)
         site.evacuate("leon-a", "leon-b")
-        await site.until(lambda: knows(site, "leon-a", "leon-b"))
+        await site.until(lambda: evacuated_everywhere(site, "leon-a", "leon-b"))
         await site.until(lambda: reader.ended.is_set())
         check_whole(reader, site.engines[0].events)
         check.assertEqual(sum(len(one.continued) for one in site.engines), 0)
 
 
 @on_real_clock
-async def test_with_all_zones_evacuated_callers_are_told_so_at_once():
-    # Callers are refused with the time to come back, and nothing ran: waiting for room until their
-    # time is up would tell them nothing more.
+async def test_with_all_zones_evacuated_requests_are_refused_at_once():
+    # Requests are refused with a retry time, and nothing ran. Keeping them queued until their
+    # deadline would be of no use to the clients.
     async with platform_site(plain=1, engines=1) as site:
         site.evacuate("leon-a")
-        await site.until(lambda: knows(site, "leon-a"))
+        await site.until(lambda: evacuated_everywhere(site, "leon-a"))
         for path, method in (("/notes/1", b"GET"), ("/holds/1", b"POST"), ("/plans/1", b"POST")):
             began_s = trio.current_time()
             head, body = await site.call(path, f"a{path}", method=method)
             check.assertLess(trio.current_time() - began_s, 2.0)
             check.assertEqual(head.status, 503)
-            told_s = float(first_value(head.headers, b"retry-after"))
-            check.assertEqual(told_s, BARRED_RETRY_S)
+            retry_after_s = float(first_value(head.headers, b"retry-after"))
+            check.assertEqual(retry_after_s, BARRED_RETRY_S)
             check.assertIn("no zone", json.loads(body)["detail"])
         check.assertEqual(sum(site.plain[0].runs_by_attempt.values()), 0)
         check.assertEqual(sum(site.engines[0].runs_by_attempt.values()), 0)
 
 
 @on_real_clock
-async def test_an_evacuation_holds_while_the_store_is_down_and_over_a_restart():
-    # The store falls silent after an evacuation, and forgets its history. What is known holds; an
-    # instance that starts meanwhile serves once the others have told it, and sends nothing there.
+async def test_an_evacuation_persists_through_a_store_outage_and_an_instance_start():
+    # The store stops answering after an evacuation, and forgets its history. What is known stays in
+    # force. An instance that starts meanwhile serves once it has the updates of the others, and
+    # sends nothing to the evacuated zone.
     async with platform_site(entries=2, plain=2) as site:
-        site.spread("leon-a", "leon-b")
+        site.assign_zones("leon-a", "leon-b")
         site.evacuate("leon-a")
-        await site.until(lambda: knows(site, "leon-a"))
+        await site.until(lambda: evacuated_everywhere(site, "leon-a"))
         before = sum(site.plain[0].runs_by_attempt.values())
         site.store.fault = StoreFault.SILENT
         site.store.forget_history()
         kernel = await site.start_entry(2)
         await site.until(lambda: kernel.get(DirectoryPort).is_ready())
         for number in range(3):
-            check.assertEqual(await calls(site, 5, entry=number), {200})
-        check.assertTrue(knows(site, "leon-a"))
+            check.assertEqual(await call_statuses(site, 5, entry=number), {200})
+        check.assertTrue(evacuated_everywhere(site, "leon-a"))
         check.assertEqual(sum(site.plain[0].runs_by_attempt.values()), before)
         site.store.remove("evacuations", "leon-a")
         site.store.fault = StoreFault.NONE
-        await site.until(lambda: knows(site))
+        await site.until(lambda: evacuated_everywhere(site))
 
 
 @on_real_clock
-async def test_an_instance_that_hears_no_home_reads_evacuations_itself():
-    # Two instances; the second one is cut off from the first for datagrams, and not from the store.
+async def test_an_instance_without_updates_of_a_home_reads_evacuations_itself():
+    # The datagrams between two instances are lost; both of them still reach the store.
     async with platform_site(entries=2, plain=2) as site:
-        site.spread("leon-a", "leon-b")
+        site.assign_zones("leon-a", "leon-b")
         for kernel in site.kernels:
             kernel.get(FleetPort).send_encoded = lambda address, data: None
         site.evacuate("leon-b")
-        await site.until(lambda: knows(site, "leon-b"))
+        await site.until(lambda: evacuated_everywhere(site, "leon-b"))
 
 
 @on_real_clock
-async def test_an_entry_that_names_no_zone_harms_nothing():
+async def test_an_entry_that_names_no_zone_is_ignored():
     async with platform_site(plain=1) as site:
         site.store.put("evacuations", "x" * 500, {"zone": -1})
         site.store.put("evacuations", "leon-b", ["no object"])
-        await site.until(lambda: knows(site, "leon-b"))
+        await site.until(lambda: evacuated_everywhere(site, "leon-b"))
         site.store.put("servers", "i-desk-9", runner_spec("desk", "127.0.0.1:1"))
-        check.assertEqual(await calls(site, 3), {200})
+        check.assertEqual(await call_statuses(site, 3), {200})
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -33,11 +33,11 @@
 
 async def bind(site, *homes, **homes_by_route):
     """Bind the account, and routes by name, to regions; wait until all entries know."""
-    site.homes = homes
+    site.allowed_regions = homes
     for row in site.routes:
         row["allowed-regions"] = homes_by_route.get(row["name"], [])
     version = site.configure()
-    site.spread("leon-a", "colima")
+    site.assign_zones("leon-a", "colima")
     await site.until(
         lambda: all(
             one.get(StoreReading).gate.version == version
--- a/tests/test_http1_client.py
+++ b/tests/test_http1_client.py
@@ -5,7 +5,7 @@
 import trio
 
 from egretstack.http1 import RequestHead, UpstreamBroken, connect_upstream, exchange, open_listener
-from tests.platform_site import free_net
+from tests.platform_site import free_loopback_net
 from tests.support import check, on_real_clock, tests_of
 
 load_tests = tests_of(globals())
@@ -16,7 +16,7 @@
     # Every client of the process would lose its connection: the upstream accepted and closed at
     # once, the reader saw that before the sender ran, and the error of the sender, which nobody
     # expected, ended the process.
-    address = f"127.{free_net()}.6.1:8080"
+    address = f"127.{free_loopback_net()}.6.1:8080"
     host, _, port = address.rpartition(":")
 
     async def close_at_once(stream):
--- a/tests/test_platform_bad_input.py
+++ b/tests/test_platform_bad_input.py
@@ -6,7 +6,7 @@
 from egretstack.platform import ObjectKind, Store, StoreAway
 from egretstack.services.front_port import FrontPort
 from standins.platform import HOST, KEY, StandInServer
-from tests.platform_site import WAIT_S, free_net, platform_site
+from tests.platform_site import WAIT_S, free_loopback_net, platform_site
 from tests.support import check, on_real_clock, tests_of
 
 load_tests = tests_of(globals())
@@ -92,7 +92,7 @@
 @on_real_clock
 async def test_hostile_answers_of_the_store_count_as_away():
     async with trio.open_nursery() as nursery:
-        server = HostileStore(f"127.{free_net()}.5.1:8742")
+        server = HostileStore(f"127.{free_loopback_net()}.5.1:8742")
         await nursery.start(server.run)
         store = Store(server.address)
         for body in (
--- a/tests/test_platform_streams.py
+++ b/tests/test_platform_streams.py
@@ -215,7 +215,7 @@
 
 
 async def _kill(site, kernel):
-    site.scopes[kernel.settings.instance].cancel()
+    site.scope_by_instance[kernel.settings.instance].cancel()
     await trio.sleep(0.05)
 
 
--- a/tests/test_request_counter.py
+++ b/tests/test_request_counter.py
@@ -8,10 +8,10 @@
 load_tests = tests_of(globals())
 
 
-async def test_callers_that_ask_again_and_again_do_not_keep_a_leaving_entry_up():
-    # An entry takes no new work any more, and callers with old addresses come in so often that
-    # there is always a refusal on its way. The stop waits for what was begun before, and for
-    # callers that follow a session, and for nothing else.
+async def test_refused_requests_do_not_delay_the_shutdown():
+    # An entry accepts no new requests, and callers with old addresses come so often that there is
+    # always a refusal in progress. The shutdown waits only for requests that began before it, and
+    # for callers that follow a session.
     counter = RequestCounter()
     ends = {"/v1/responses": trio.Event(), "/v1/responses/abc": trio.Event()}
 
--- a/tests/test_runner_leaving.py
+++ b/tests/test_runner_leaving.py
@@ -87,7 +87,7 @@
         leaving.says_leaving = True
         await ask_steadily(site, "/notes/1", 20, 0.01)
         await site.until(lambda: all(sees_leaving(site, leaving, entry) for entry in range(2)))
-        site.scopes[site.settings(1).instance].cancel()
+        site.scope_by_instance[site.settings(1).instance].cancel()
         await site.start_entry(2)
         await site.until(lambda: sees_leaving(site, leaving, 2))
         before = len(leaving.arrived_s)
--- a/tests/test_runner_limits.py
+++ b/tests/test_runner_limits.py
@@ -146,7 +146,7 @@
         limited = site.plain[0]
         limit([limited], 1.0)
         begin_s = await hear(site, [limited], "/holds/1", method=b"POST")
-        site.scopes[site.settings(1).instance].cancel()
+        site.scope_by_instance[site.settings(1).instance].cancel()
         number = len(site.kernels)
         await site.start_entry(number)
         await site.until(lambda: is_told(site, limited, number))
