--- a/egretstack/services/engine_placing.py
+++ b/egretstack/services/engine_placing.py
@@ -146,8 +146,10 @@
         self._home.placer.remove(run.request.attempt)
 
     def record_first_token(self, run: Run, read_s: float, waited_s: float) -> None:
-        """Record a first token, `read_s` after the send and `waited_s` after the request
-        arrived."""
+        """Record a first token.
+
+        It came `read_s` after the send, and `waited_s` after the request arrived.
+        """
         self._metrics.observe_answer(RouteKind.STREAM, waited_s)
         self._home.placer.registry.record_first_token(run.request.prompt_tokens, read_s)
 
@@ -259,8 +261,7 @@
         )
 
     def _backoff_left_s(self, request: GenerationRequest) -> float:
-        """Return the time until an engine accepts a request from here; 0 if now, or if there is
-        none."""
+        """Return the time until an engine accepts a request; 0 if now, or if there is no engine."""
         now_s, backoffs = trio.current_time(), self._home.backoffs
         usable = [
             runner
@@ -273,8 +274,7 @@
         return min(times, default=0.0)
 
     def _free_locally_after_s(self, request: GenerationRequest) -> float:
-        """Return the time until an engine may get a request without the home's decision; 0 if
-        now."""
+        """Return the time until an engine may get a request without the home; 0 if now."""
         placer = self._home.placer
         return placer.time_until_allowed_s(trio.current_time(), request, SendOrigin.ALONE)
 
--- a/egretstack/services/relaying.py
+++ b/egretstack/services/relaying.py
@@ -102,8 +102,7 @@
         self._leaving_since_s = trio.current_time()
 
     def task(self, request: ClientRequest, began_s: float) -> RelayTask:
-        """Return what a request's head decides about it: route, account and service. Raises
-        RequestFailed."""
+        """Return a request's task, with its route, account and service. Raises RequestFailed."""
         table = self._table()
         route = table.route(request.host, request.path)
         if route is None:
