--- a/egretstack/crashes/__init__.py
+++ b/egretstack/crashes/__init__.py
@@ -4,13 +4,13 @@
     REFUSE_WEIGHT,
     CrashRecord,
     Strike,
-    record_of,
+    record_from_row,
     record_row,
-    strike_of,
+    strike_from_row,
     strike_row,
     strike_weight,
 )
-from egretstack.crashes._reports import CrashReports, clear_of
+from egretstack.crashes._reports import CrashReports, clear_from_row
 from egretstack.crashes._table import CrashTable
 
 __all__ = [
@@ -19,10 +19,10 @@
     "CrashReports",
     "CrashTable",
     "Strike",
-    "clear_of",
-    "record_of",
+    "clear_from_row",
+    "record_from_row",
     "record_row",
-    "strike_of",
+    "strike_from_row",
     "strike_row",
     "strike_weight",
 ]
--- a/egretstack/crashes/_record.py
+++ b/egretstack/crashes/_record.py
@@ -86,7 +86,7 @@
     return [record.round, dict(record.weight_by_runner), record.recurred]
 
 
-def record_of(row: object) -> CrashRecord:
+def record_from_row(row: object) -> CrashRecord:
     """Read the row of a record. Raises MessageError."""
     try:
         number, weights, recurred = row
@@ -107,7 +107,7 @@
     return [content, strike.runner, *ages_ms, strike.weight, strike.round]
 
 
-def strike_of(row: object, now_s: float) -> tuple[ContentId, Strike]:
+def strike_from_row(row: object, now_s: float) -> tuple[ContentId, Strike]:
     """Read the row of a strike. Raises MessageError."""
     try:
         content, runner, sent_ms, ended_ms, weight, number = row
--- a/egretstack/crashes/_reports.py
+++ b/egretstack/crashes/_reports.py
@@ -19,11 +19,11 @@
         self._strikes: deque[tuple[ContentId, Strike]] = deque(maxlen=MOST_TOLD)
         self._clears: deque[tuple[float, ContentId, int]] = deque(maxlen=MOST_TOLD)
 
-    def struck(self, content: ContentId, strike: Strike) -> None:
+    def record_strike(self, content: ContentId, strike: Strike) -> None:
         """Note that a runner ended while it ran a request."""
         self._strikes.append((content, strike))
 
-    def cleared(self, now_s: float, content: ContentId, cleared_round: int) -> None:
+    def record_clear(self, now_s: float, content: ContentId, cleared_round: int) -> None:
         """Note that a runner answered a request, which began that round."""
         self._clears.append((now_s, content, cleared_round))
 
@@ -40,7 +40,7 @@
         return [[content, cleared_round] for _, content, cleared_round in self._clears]
 
 
-def clear_of(row: object) -> tuple[ContentId, int]:
+def clear_from_row(row: object) -> tuple[ContentId, int]:
     """Read the row of an answer that clears a request. Raises MessageError."""
     try:
         content, cleared_round = row
--- a/egretstack/crashes/_table.py
+++ b/egretstack/crashes/_table.py
@@ -38,17 +38,17 @@
         known = self._known_by_content.get(content)
         return None if known is None else known.record
 
-    def refuses(self, content: ContentId) -> bool:
+    def is_refused(self, content: ContentId) -> bool:
         """Tell whether no runner may get a request."""
         known = self._known_by_content.get(content)
         return known is not None and known.record.is_refused
 
-    def suspects(self, content: ContentId) -> bool:
+    def is_suspected(self, content: ContentId) -> bool:
         """Tell whether a runner has ended while it ran a request, which nothing has cleared."""
         known = self._known_by_content.get(content)
         return known is not None and known.record.weight > 0
 
-    def refused(self) -> int:
+    def refused_count(self) -> int:
         """Give how many requests no runner may get."""
         return sum(one.record.is_refused for one in self._known_by_content.values())
 
@@ -57,7 +57,7 @@
         known = self._known_by_content.get(content)
         return 0 if known is None else known.record.round
 
-    def strike(self, now_s: float, content: ContentId, strike: Strike) -> bool:
+    def record_strike(self, now_s: float, content: ContentId, strike: Strike) -> bool:
         """Note that a runner ended while it ran a request; tell whether that is news."""
         if strike.round < self.round(content):
             return False
@@ -77,24 +77,24 @@
         self._merge(now_s, content, record)
         return record.round
 
-    def take(self, now_s: float, content: ContentId, record: CrashRecord) -> bool:
+    def merge_record(self, now_s: float, content: ContentId, record: CrashRecord) -> bool:
         """Take what another instance or the store knows; tell whether it is news."""
         known = self._known_by_content.setdefault(content, _Known())
         if record.weight:
             known.first_ended_s = min(known.first_ended_s, now_s)
         return self._merge(now_s, content, record)
 
-    def take_clear(self, now_s: float, content: ContentId, cleared_round: int) -> bool:
+    def merge_clear(self, now_s: float, content: ContentId, cleared_round: int) -> bool:
         """Take it that another instance cleared a request; tell whether it is news."""
         if content not in self._known_by_content:
             return False
         return self._merge(now_s, content, CrashRecord(cleared_round))
 
-    def told(self) -> dict[ContentId, CrashRecord]:
+    def shared_records(self) -> dict[ContentId, CrashRecord]:
         """Give the records that every instance has to know; any may answer or break the request."""
         return {content: known.record for content, known in self._known_by_content.items()}
 
-    def lasting(self) -> dict[ContentId, CrashRecord]:
+    def durable_records(self) -> dict[ContentId, CrashRecord]:
         """Give the records that have to outlive every process.
 
         A single end is left out: of a runner that ends by itself, all runs would be recorded.
@@ -105,7 +105,7 @@
             if len(known.record.weight_by_runner) > 1
         }
 
-    def forget_old(self, now_s: float) -> None:
+    def forget_expired(self, now_s: float) -> None:
         """Forget what nothing was heard of for long."""
         for content, known in list(self._known_by_content.items()):
             keep_s = KEEP_S if len(known.record.weight_by_runner) > 1 else KEEP_SINGLE_S
@@ -113,7 +113,7 @@
                 del self._known_by_content[content]
 
     @contextmanager
-    def told_when_refused(self, content: ContentId, wake: Callable[[], None]) -> Iterator[None]:
+    def notify_when_refused(self, content: ContentId, wake: Callable[[], None]) -> Iterator[None]:
         """Call `wake` if a request is refused while the context lasts."""
         waiting = self._waiting_by_content.setdefault(content, set())
         waiting.add(wake)
--- a/egretstack/placing/__init__.py
+++ b/egretstack/placing/__init__.py
@@ -1,36 +1,44 @@
 """Where generations and calls run: decisions without I/O, with the time passed in."""
 
 from egretstack.placing._balancer import PlainBalancer
-from egretstack.placing._cold_ration import ColdRation
+from egretstack.placing._cold_allocation import ColdAllocation
 from egretstack.placing._lengths import LengthForecast
-from egretstack.placing._limit_ration import LimitRation
+from egretstack.placing._limit_allocation import LimitAllocation
 from egretstack.placing._links import CopyLinks, copy_time_s
 from egretstack.placing._loads import EngineLoad
-from egretstack.placing._move_turns import MoveTurns
-from egretstack.placing._patience import longest_wait_s
+from egretstack.placing._move_permits import MovePermits
 from egretstack.placing._placer import Placed, Placer, PlaceRefused
-from egretstack.placing._run import Placement, Run, Work, run_of, run_row, work_of, work_row
-from egretstack.placing._runner_rests import RunnerRests
-from egretstack.placing._send_bounds import SendBound, SendBounds, SendPart
+from egretstack.placing._run import (
+    GenerationRequest,
+    Placement,
+    Run,
+    request_from_row,
+    request_row,
+    run_from_row,
+    run_row,
+)
+from egretstack.placing._runner_backoffs import RunnerBackoffs
+from egretstack.placing._send_bounds import CombinedSendBounds, SendBound, SendOrigin
 from egretstack.placing._split import FleetSplit
 from egretstack.placing._strikes import (
     AnswerCount,
     FleetStrikes,
     RecentAnswers,
-    count_of,
+    count_from_row,
     count_row,
 )
+from egretstack.placing._wait_limit import longest_wait_s
 
 __all__ = [
     "AnswerCount",
-    "ColdRation",
+    "ColdAllocation",
     "CopyLinks",
     "EngineLoad",
     "FleetSplit",
     "FleetStrikes",
     "LengthForecast",
-    "LimitRation",
-    "MoveTurns",
+    "LimitAllocation",
+    "MovePermits",
     "PlaceRefused",
     "Placed",
     "Placement",
@@ -38,17 +46,17 @@
     "PlainBalancer",
     "RecentAnswers",
     "Run",
-    "RunnerRests",
+    "RunnerBackoffs",
     "SendBound",
-    "SendBounds",
-    "SendPart",
-    "Work",
+    "CombinedSendBounds",
+    "SendOrigin",
+    "GenerationRequest",
     "copy_time_s",
-    "count_of",
+    "count_from_row",
     "count_row",
     "longest_wait_s",
-    "run_of",
+    "run_from_row",
     "run_row",
-    "work_of",
-    "work_row",
+    "request_from_row",
+    "request_row",
 ]
--- a/egretstack/placing/_balancer.py
+++ b/egretstack/placing/_balancer.py
@@ -44,7 +44,7 @@
         self._zone = zone
         self._rng = rng
         self._seen_by_id: dict[RunnerId, _Seen] = {}
-        self.recent = RecentAnswers()
+        self.recent_answers = RecentAnswers()
 
     def choose(
         self,
@@ -67,21 +67,21 @@
         rows = [(*self._cost(now_s, runner), self._rng.random(), runner) for runner in runners]
         return min(rows, key=lambda row: row[:3])[3]
 
-    def sent(self, runner_id: RunnerId) -> None:
+    def record_sent(self, runner_id: RunnerId) -> None:
         """Note a call that goes out."""
         self._seen(runner_id).in_flight += 1
 
-    def turned_away(self, runner_id: RunnerId) -> None:
+    def record_rejected(self, runner_id: RunnerId) -> None:
         """Note that a runner turned a call away and said for how long; it is no worse for that."""
         seen = self._seen(runner_id)
         seen.in_flight = max(0, seen.in_flight - 1)
 
-    def unreachable(self, now_s: float, runner_id: RunnerId) -> None:
+    def record_unreachable(self, now_s: float, runner_id: RunnerId) -> None:
         """Note that a runner accepts no connection: it is left alone at once."""
-        self.recent.note(now_s, runner_id, broke=True)
+        self.recent_answers.record(now_s, runner_id, broke=True)
         self._seen(runner_id).rests_until_s = now_s + REST_S
 
-    def ended(
+    def record_ended(
         self,
         now_s: float,
         runner_id: RunnerId,
--- a/egretstack/placing/_copies.py
+++ b/egretstack/placing/_copies.py
@@ -4,13 +4,13 @@
 
 from egretstack.fleet import Runner, RunnerTable
 from egretstack.ids import RunnerId, ServiceName
-from egretstack.placing._book import Loads, RunBook
 from egretstack.placing._demand import RecentDemand
 from egretstack.placing._links import CopyLinks, copy_time_s
 from egretstack.placing._loads import EngineLoad
-from egretstack.placing._run import Run, Work
+from egretstack.placing._run import GenerationRequest, Run
+from egretstack.placing._run_registry import Loads, RunRegistry
 from egretstack.placing._send_bounds import SendBound
-from egretstack.routing import EnginePlan
+from egretstack.routing import EngineConfig
 
 FULL_SHARE = 0.95
 """Part of an engine's memory that runs and copies may take; an engine that fills up preempts the
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        book: RunBook,
+        book: RunRegistry,
         runners: RunnerTable,
         rng: random.Random,
         bounds: SendBound | None = None,
@@ -57,7 +57,7 @@
         self._demand_by_service: dict[ServiceName, RecentDemand] = {}
 
     def note_demand(
-        self, now_s: float, service: ServiceName, engine: EnginePlan, loads: Loads, waiting: float
+        self, now_s: float, service: ServiceName, engine: EngineConfig, loads: Loads, waiting: float
     ) -> None:
         """Note the memory that runs need, on leaving engines too, and work that waits."""
         capacity = engine.kv_capacity_tokens * len(self._runners.ready(service))
@@ -71,7 +71,12 @@
         self._demand(service).note(now_s, (held + waiting) / capacity)
 
     def backup(
-        self, now_s: float, work: Work, engine: EnginePlan, runner: Runner, loads: Loads
+        self,
+        now_s: float,
+        work: GenerationRequest,
+        engine: EngineConfig,
+        runner: Runner,
+        loads: Loads,
     ) -> RunnerId | None:
         """Choose where a run is copied while it grows, or None."""
         expected = self._book.expected_output(work)
@@ -95,7 +100,7 @@
         return chosen.id
 
     def destination(
-        self, now_s: float, run: Run, engine: EnginePlan, loads: Loads
+        self, now_s: float, run: Run, engine: EngineConfig, loads: Loads
     ) -> RunnerId | None:
         """Choose an engine to which a run's memory is copied now, or None.
 
@@ -104,20 +109,20 @@
         """
         leaving = not self._runners.is_ready(run.runner)
         source = self._runners.by_id.get(run.runner)
-        need = self._book.soon_tokens(run)
+        need = self._book.forecast_tokens(run)
         if source is None:
             return None
-        if not leaving and not self._may_copy(now_s, run.work.service, engine, loads, need):
+        if not leaving and not self._may_copy(now_s, run.request.service, engine, loads, need):
             return None
         rooms = []
-        for other in self._targets(run.work.service):
+        for other in self._targets(run.request.service):
             load = loads.get(other.id)
             if load is None or other.id == run.runner or load.runs >= engine.batch_slots:
                 continue
-            if not run.work.may_run_in(other.zone):
+            if not run.request.may_run_in(other.zone):
                 continue
             if leaving:
-                fits = load.taken_tokens + need <= FULL_SHARE * engine.kv_capacity_tokens
+                fits = load.used_tokens + need <= FULL_SHARE * engine.kv_capacity_tokens
             else:
                 free = self._links.wait_s(now_s, source.id, other.id) <= LINK_FREE_S
                 fits = free and self._has_room_in_case(engine, load, need)
@@ -128,18 +133,18 @@
                 rooms.append((cost, self._rng.random(), other.id))
         return min(rooms)[2] if rooms else None
 
-    def begin(self, now_s: float, run: Run, destination_id: RunnerId, engine: EnginePlan) -> None:
+    def begin(self, now_s: float, run: Run, destination_id: RunnerId, engine: EngineConfig) -> None:
         """Note that a run's memory is being copied to an engine."""
         source = self._runners.by_id.get(run.runner)
         destination = self._runners.by_id.get(destination_id)
         if source is None or destination is None:
             return
         if run.backup != destination_id:
-            tokens = run.work.prompt_tokens + run.made_tokens
+            tokens = run.request.prompt_tokens + run.generated_tokens
             self._links.begin(now_s, engine, source, destination, tokens)
         run.backup = destination_id
 
-    def forget_gone(self) -> None:
+    def forget_removed(self) -> None:
         """Forget engines that are no longer known."""
         self._links.forget(set(self._runners.by_id))
 
@@ -148,10 +153,10 @@
         ready = self._runners.ready(service)
         if self._bounds is None:
             return ready
-        return [one for one in ready if not self._bounds.is_scarce(one)] or ready
+        return [one for one in ready if not self._bounds.is_rate_limited(one)] or ready
 
     def _may_copy(
-        self, now_s: float, service: ServiceName, engine: EnginePlan, loads: Loads, need: float
+        self, now_s: float, service: ServiceName, engine: EngineConfig, loads: Loads, need: float
     ) -> bool:
         """Tell whether runs leave enough memory, over all engines, for one more copy in case."""
         ready = self._runners.ready(service)
@@ -160,22 +165,22 @@
         return copies + need <= free_share * engine.kv_capacity_tokens * len(ready)
 
     @staticmethod
-    def _has_room_in_case(engine: EnginePlan, load: EngineLoad, need: float) -> bool:
+    def _has_room_in_case(engine: EngineConfig, load: EngineLoad, need: float) -> bool:
         if load.copy_tokens + need > COPIES_SHARE * engine.kv_capacity_tokens:
             return False
-        return load.taken_tokens + need <= COPY_SHARE * engine.kv_capacity_tokens
+        return load.used_tokens + need <= COPY_SHARE * engine.kv_capacity_tokens
 
     def _cost(
-        self, now_s: float, engine: EnginePlan, source: Runner, other: Runner, load: EngineLoad
+        self, now_s: float, engine: EngineConfig, source: Runner, other: Runner, load: EngineLoad
     ) -> float:
-        filled = load.taken_tokens / max(1, engine.kv_capacity_tokens)
+        filled = load.used_tokens / max(1, engine.kv_capacity_tokens)
         apart = OTHER_ZONE_SHARE if source.zone != other.zone else 0.0
         return filled + apart + LINK_WEIGHT * self._links.wait_s(now_s, source.id, other.id)
 
     def _time_cost_s(
         self,
         now_s: float,
-        engine: EnginePlan,
+        engine: EngineConfig,
         source: Runner,
         other: Runner,
         load: EngineLoad,
@@ -186,7 +191,7 @@
         Some five runs have to leave within some 1.5 s, one after another; in the same zone each
         takes half the time.
         """
-        filled = load.taken_tokens / max(1, engine.kv_capacity_tokens)
+        filled = load.used_tokens / max(1, engine.kv_capacity_tokens)
         copy_s = copy_time_s(engine, tokens, near=source.zone == other.zone)
         wait_s = self._links.wait_s(now_s, source.id, other.id)
         return wait_s + copy_s + FILLED_WEIGHT_S * filled
--- a/egretstack/placing/_lengths.py
+++ b/egretstack/placing/_lengths.py
@@ -43,7 +43,7 @@
     def __init__(self) -> None:
         self._group_by_key: dict[tuple[ServiceName, int], _Group] = {}
 
-    def finished(
+    def record_finished(
         self, service: ServiceName, most_tokens: int, estimate: int | None, tokens: int
     ) -> None:
         """Note a generation that came to its end."""
--- a/egretstack/placing/_limit_ration.py
+++ b/egretstack/placing/_limit_allocation.py
@@ -10,7 +10,7 @@
 
 from egretstack.fleet import Runner, RunnerLimits, RunnerTable
 from egretstack.ids import RunnerId
-from egretstack.placing._send_bounds import SendBound, SendPart
+from egretstack.placing._send_bounds import SendBound, SendOrigin
 from egretstack.placing._split import FleetSplit
 
 WINDOW_S = 4.0
@@ -57,7 +57,7 @@
         return self.held
 
 
-class LimitRation(SendBound):
+class LimitAllocation(SendBound):
     """What this instance may send to runners that name limits."""
 
     def __init__(self, split: FleetSplit, runners: RunnerTable, limits: RunnerLimits) -> None:
@@ -67,11 +67,13 @@
         self._bucket_by_use: dict[tuple[RunnerId, bool], _Bucket] = {}
         """By runner, and whether it is what the home places."""
 
-    def allows(self, now_s: float, runner: Runner, part: SendPart) -> bool:
+    def allows(self, now_s: float, runner: Runner, part: SendOrigin) -> bool:
         """Tell whether one more request may go to a runner; always, if it names no limit."""
-        return self.free_after_s(now_s, runner, part) <= 0.0
+        return self.time_until_allowed_s(now_s, runner, part) <= 0.0
 
-    def free_after_s(self, now_s: float, runner: Runner, part: SendPart, ahead: int = 0) -> float:
+    def time_until_allowed_s(
+        self, now_s: float, runner: Runner, part: SendOrigin, ahead: int = 0
+    ) -> float:
         """Give when a request may go to a runner, `ahead` others before it; 0 if at once."""
         allowance = self._allowance(runner.id, part)
         if allowance is None:
@@ -81,51 +83,51 @@
         held = self._bucket(now_s, runner.id, part).fill(now_s, allowance)
         return max(0.0, 1.0 + ahead - held) / allowance.per_s
 
-    def sent(self, now_s: float, runner_id: RunnerId, part: SendPart) -> None:
+    def record_sent(self, now_s: float, runner_id: RunnerId, part: SendOrigin) -> None:
         """Note a request that goes to a runner."""
         allowance = self._allowance(runner_id, part)
         if allowance is not None:
             bucket = self._bucket(now_s, runner_id, part)
             bucket.held = bucket.fill(now_s, allowance) - 1.0
 
-    def forget_gone(self) -> None:
+    def forget_removed(self) -> None:
         """Forget runners that are no longer known."""
         for use in [one for one in self._bucket_by_use if one[0] not in self._runners.by_id]:
             del self._bucket_by_use[use]
 
-    def is_scarce(self, runner: Runner) -> bool:
+    def is_rate_limited(self, runner: Runner) -> bool:
         """Tell whether a runner takes too little to go on there with streams that broke off."""
         return self._limits.per_s(runner.id) is not None
 
-    def _allowance(self, runner_id: RunnerId, part: SendPart) -> _Allowance | None:
+    def _allowance(self, runner_id: RunnerId, part: SendOrigin) -> _Allowance | None:
         """Give what may be sent to a runner from a part of its limit; None if it names none."""
         named = self._limits.per_s(runner_id)
         if named is None:
             return None
         limit = max(LEAST_PER_S, named)
-        if part is SendPart.PLAIN:
+        if part is SendOrigin.PLAIN:
             spare = WINDOW_S * (OVERAGE * named - MAIN_SHARE * limit) + SLACK
             return self._even_allowance(runner_id, MAIN_SHARE * limit, spare, CALLS_AT_ONCE * spare)
         spare = WINDOW_S * (OVERAGE * named - (MAIN_SHARE + OWN_SHARE) * limit) + SLACK
         homes = max(1.0, HOME_AT_ONCE * spare)
         if self._is_home_use(part):
-            return _Allowance(MAIN_SHARE * limit * self._split.heard_share, homes)
+            return _Allowance(MAIN_SHARE * limit * self._split.reachable_share, homes)
         return self._even_allowance(runner_id, OWN_SHARE * limit, spare - MOST_HOMES * homes, 0.0)
 
     def _even_allowance(
         self, runner_id: RunnerId, per_s: float, spare: float, at_once: float
     ) -> _Allowance:
         """Split a rate, and what may be sent at once, among as many instances as `spare` bears."""
-        most = min(self._split.instances, int(spare))
-        if not self._split.is_among(runner_id, most):
+        most = min(self._split.instance_count, int(spare))
+        if not self._split.is_sender(runner_id, most):
             return _Allowance(0.0, 0.0)
         return _Allowance(per_s / most, max(1.0, at_once / most))
 
-    def _is_home_use(self, part: SendPart) -> bool:
+    def _is_home_use(self, part: SendOrigin) -> bool:
         """Tell whether a part is the home's; one that hears few places by its own part alone."""
-        return part is SendPart.HOME and self._split.heard_share * MOST_HOMES >= 1.0
+        return part is SendOrigin.HOME and self._split.reachable_share * MOST_HOMES >= 1.0
 
-    def _bucket(self, now_s: float, runner_id: RunnerId, part: SendPart) -> _Bucket:
+    def _bucket(self, now_s: float, runner_id: RunnerId, part: SendOrigin) -> _Bucket:
         use = runner_id, self._is_home_use(part)
         bucket = self._bucket_by_use.get(use)
         if bucket is None:
--- a/egretstack/placing/_links.py
+++ b/egretstack/placing/_links.py
@@ -6,7 +6,7 @@
 
 from egretstack.fleet import Runner
 from egretstack.ids import RunnerId
-from egretstack.routing import EnginePlan
+from egretstack.routing import EngineConfig
 
 BITS = 8
 MEGA = 1e6
@@ -14,7 +14,7 @@
 """A copy to another availability zone takes so many times as long."""
 
 
-def copy_time_s(engine: EnginePlan, tokens: float, *, near: bool) -> float:
+def copy_time_s(engine: EngineConfig, tokens: float, *, near: bool) -> float:
     """Give how long a copy of so many tokens takes by itself, within a zone or across zones."""
     if engine.link_mbps <= 0:
         return 0.0
@@ -37,7 +37,7 @@
         return max(0.0, until_s - now_s)
 
     def begin(
-        self, now_s: float, engine: EnginePlan, source: Runner, destination: Runner, tokens: float
+        self, now_s: float, engine: EngineConfig, source: Runner, destination: Runner, tokens: float
     ) -> None:
         """Note a copy of so many tokens."""
         copy_s = copy_time_s(engine, tokens, near=source.zone == destination.zone)
--- a/egretstack/placing/_loads.py
+++ b/egretstack/placing/_loads.py
@@ -15,33 +15,33 @@
     """Memory that its runs take now or soon."""
     copy_tokens: float = 0.0
     """Memory that copies of runs elsewhere take now or soon."""
-    unread: int = 0
+    pending_prefills: int = 0
     """Runs that wait for their first token."""
-    unread_until_s: float = 0.0
+    prefilled_at_s: float = 0.0
     """When all prompts sent so far are forecast to have been read."""
 
     @property
-    def taken_tokens(self) -> float:
+    def used_tokens(self) -> float:
         """Memory that runs and copies take."""
         return self.held_tokens + self.copy_tokens
 
-    def wait_s(self, now_s: float) -> float:
+    def prefill_wait_s(self, now_s: float) -> float:
         """Give how long a prompt sent now waits before it is read."""
-        return max(0.0, self.unread_until_s - now_s)
+        return max(0.0, self.prefilled_at_s - now_s)
 
 
 def load_row(runner: RunnerId, load: EngineLoad, now_s: float) -> list:
     """Give the row of a load for a message."""
-    wait_ms = round(load.wait_s(now_s) * 1000)
+    wait_ms = round(load.prefill_wait_s(now_s) * 1000)
     return [runner, load.runs, round(load.held_tokens), round(load.copy_tokens), wait_ms]
 
 
-def load_of(row: object, now_s: float) -> tuple[RunnerId, EngineLoad]:
+def load_from_row(row: object, now_s: float) -> tuple[RunnerId, EngineLoad]:
     """Read the row of a load. Raises MessageError."""
     try:
         runner, runs, held, copies, wait_ms = row
         load = EngineLoad(int(runs), float(held), float(copies))
-        load.unread_until_s = now_s + int(wait_ms) / 1000
+        load.prefilled_at_s = now_s + int(wait_ms) / 1000
         return RunnerId(str(runner)), load
     except (TypeError, ValueError) as error:
         raise MessageError(f"not a load: {error}") from error
--- a/egretstack/placing/_move_turns.py
+++ b/egretstack/placing/_move_permits.py
@@ -24,14 +24,14 @@
     """Engines that had no room for the run's copy a moment ago."""
 
 
-class MoveTurns:
+class MovePermits:
     """One turn at a time for each engine that runs are copied off."""
 
     def __init__(self) -> None:
         self._holder_by_source: dict[RunnerId, tuple[str, float]] = {}
         self._asking_by_source: dict[RunnerId, dict[str, _Asking]] = {}
 
-    def ask(
+    def request(
         self,
         now_s: float,
         source: RunnerId,
@@ -45,25 +45,25 @@
         holder = self._holder_by_source.get(source)
         if holder is not None and now_s - holder[1] < TURN_S:
             return holder[0] == attempt
-        return self.grant(now_s, source) == attempt
+        return self.grant_next(now_s, source) == attempt
 
-    def free_ended(self, source: RunnerId, has_ended: Callable[[str], bool]) -> None:
+    def release_ended(self, source: RunnerId, has_ended: Callable[[str], bool]) -> None:
         """Take the turn back from a run that has ended; the news of it may have been lost."""
         holder = self._holder_by_source.get(source)
         if holder is not None and has_ended(holder[0]):
-            self.done(source, holder[0])
+            self.release(source, holder[0])
 
     def holder(self, source: RunnerId) -> str | None:
         """Give the run that has the turn."""
         holder = self._holder_by_source.get(source)
         return None if holder is None else holder[0]
 
-    def refused(self, source: RunnerId, attempt: str) -> frozenset[RunnerId]:
+    def refusing_engines(self, source: RunnerId, attempt: str) -> frozenset[RunnerId]:
         """Give the engines that a run which asks was refused by."""
         asking = self._asking_by_source.get(source, {}).get(attempt)
         return frozenset() if asking is None else asking.refused
 
-    def grant(self, now_s: float, source: RunnerId) -> str | None:
+    def grant_next(self, now_s: float, source: RunnerId) -> str | None:
         """Give the turn to the first of those that ask, if nobody has it; None if nobody asks."""
         holder = self._holder_by_source.get(source)
         if holder is not None and now_s - holder[1] < TURN_S:
@@ -77,7 +77,7 @@
         self._holder_by_source[source] = (first, now_s)
         return first
 
-    def done(self, source: RunnerId, attempt: str) -> None:
+    def release(self, source: RunnerId, attempt: str) -> None:
         """Note that a turn is over."""
         asking = self._asking_by_source.get(source, {})
         asking.pop(attempt, None)
--- a/egretstack/placing/_placer.py
+++ b/egretstack/placing/_placer.py
@@ -10,13 +10,13 @@
 
 from egretstack.fleet import Runner, RunnerTable
 from egretstack.ids import InstanceId, RunnerId
-from egretstack.placing._book import GROWTH_TOKENS, Loads, RunBook
 from egretstack.placing._copies import FULL_SHARE, SHORT_TOKENS, CopyPlanner
 from egretstack.placing._loads import EngineLoad
-from egretstack.placing._run import Placement, Run, Work
-from egretstack.placing._send_bounds import SendBound, SendPart
+from egretstack.placing._run import GenerationRequest, Placement, Run
+from egretstack.placing._run_registry import GROWTH_TOKENS, Loads, RunRegistry
+from egretstack.placing._send_bounds import SendBound, SendOrigin
 from egretstack.placing._wait_list import Waiting, WaitList
-from egretstack.routing import EnginePlan
+from egretstack.routing import EngineConfig
 
 MEMORY_WEIGHT_S = 0.6
 """What a full memory counts for, in seconds of waiting for the first token."""
@@ -60,38 +60,38 @@
     def __init__(
         self, runners: RunnerTable, rng: random.Random, bounds: SendBound | None = None
     ) -> None:
-        self.book = RunBook(runners)
+        self.registry = RunRegistry(runners)
         self._runners = runners
         self._bounds = bounds
         """Bounds what engines get; None if nothing does."""
         self._rng = rng
-        self._copies = CopyPlanner(self.book, runners, rng, bounds)
+        self._copies = CopyPlanner(self.registry, runners, rng, bounds)
         self._waiting = WaitList()
 
     def place(
-        self, now_s: float, work: Work, engine: EnginePlan, *, whole: bool
+        self, now_s: float, work: GenerationRequest, engine: EngineConfig, *, fleet_wide: bool
     ) -> Placement | PlaceRefused:
         """Choose an engine at once, whoever else waits, and note it."""
-        before = self.book.placement(work)
+        before = self.registry.recent_placement(work)
         if before is not None:
             return before
-        loads = self.book.loads(now_s, whole=whole)
-        part = SendPart.HOME if whole else SendPart.ALONE
-        return self._place(now_s, work, engine, work.patience_s, loads, FULL_SHARE, part)
+        loads = self.registry.loads(now_s, fleet_wide=fleet_wide)
+        part = SendOrigin.HOME if fleet_wide else SendOrigin.ALONE
+        return self._place(now_s, work, engine, work.first_token_budget_s, loads, FULL_SHARE, part)
 
-    def wait(self, now_s: float, work: Work, engine: EnginePlan) -> None:
+    def enqueue(self, now_s: float, work: GenerationRequest, engine: EngineConfig) -> None:
         """Let a work wait for room; `settle` tells when it has some."""
         self._waiting.ask(now_s, work, engine)
 
-    def settle(self, now_s: float) -> list[Placed]:
+    def place_waiting(self, now_s: float) -> list[Placed]:
         """Place what waits, in its order, as far as there is room."""
         if not len(self._waiting):
             return []
         placed = []
-        loads = self.book.loads(now_s, whole=True)
+        loads = self.registry.loads(now_s, fleet_wide=True)
         blocked = False
-        crowding = self.book.crowding_accounts()
-        in_order = self._waiting.in_order(now_s, self.book.prefill_per_s, crowding)
+        crowding = self.registry.crowding_accounts()
+        in_order = self._waiting.in_order(now_s, self.registry.prefill_per_s, crowding)
         for tried, one in enumerate(in_order):
             if tried == 0:
                 self._copies.note_demand(
@@ -99,12 +99,14 @@
                 )
             if tried >= MAX_TRIED:
                 break
-            late = one.is_late(now_s, one.work.prompt_tokens / self.book.prefill_per_s)
+            late = one.is_late(now_s, one.work.prompt_tokens / self.registry.prefill_per_s)
             # What follows may not take the room that the first in order waits for; what is short
             # gives it back before that matters.
             if blocked and (late or not self._is_short(one.work)):
                 continue
-            decided = self.book.placement(one.work) or self._place_waiting(now_s, one, late, loads)
+            decided = self.registry.recent_placement(one.work) or self._place_queued(
+                now_s, one, late, loads
+            )
             if isinstance(decided, Placement):
                 placed.append(Placed(one.work.attempt, decided))
             else:
@@ -113,13 +115,15 @@
             self._waiting.placed(one.attempt)
         return placed
 
-    def room_after_s(self, now_s: float, work: Work) -> float:
+    def forecast_retry_s(self, now_s: float, work: GenerationRequest) -> float:
         """Forecast when a work that finds no room may come back."""
-        loads = self.book.loads(now_s, whole=True)
-        waits = [loads[one.id].wait_s(now_s) for one in self._candidates(work, loads)]
+        loads = self.registry.loads(now_s, fleet_wide=True)
+        waits = [loads[one.id].prefill_wait_s(now_s) for one in self._candidates(work, loads)]
         return min(RETRY_MOST_S, max(RETRY_LEAST_S, min(waits, default=RETRY_MOST_S)))
 
-    def free_after_s(self, now_s: float, work: Work, part: SendPart) -> float:
+    def time_until_allowed_s(
+        self, now_s: float, work: GenerationRequest, part: SendOrigin
+    ) -> float:
         """Give when bounds let some engine take a work, after those that wait; 0 if now.
 
         Whether it has room is another matter.
@@ -131,62 +135,62 @@
         if any(bounds.allows(now_s, one, part) for one in engines):
             return 0.0
         ahead = self._waiting.before(work) // len(engines)
-        return min(bounds.free_after_s(now_s, one, part, ahead) for one in engines)
+        return min(bounds.time_until_allowed_s(now_s, one, part, ahead) for one in engines)
 
-    def ended(self, attempt: str) -> None:
+    def remove(self, attempt: str) -> None:
         """Note that a work has given up, or is over."""
         self._waiting.drop(attempt)
-        self.book.ended(attempt)
+        self.registry.forget_placement(attempt)
 
-    def gone(self, live: Iterable[InstanceId]) -> None:
+    def retain_instances(self, live: Iterable[InstanceId]) -> None:
         """Forget what instances ran that are not among the living."""
-        self.book.gone(live)
-        self._copies.forget_gone()
+        self.registry.retain_instances(live)
+        self._copies.forget_removed()
         if self._bounds is not None:
-            self._bounds.forget_gone()
+            self._bounds.forget_removed()
 
     def move_run(
         self,
         now_s: float,
         attempt: str,
         runner_id: RunnerId,
-        engine: EnginePlan,
+        engine: EngineConfig,
         source_id: RunnerId | None = None,
     ) -> RunnerId | None:
         """Note that a run goes on at another engine; choose where it is copied from now on.
 
         Never at `source_id`, where it broke off: that engine may have ended.
         """
-        run = self.book.run(attempt)
+        run = self.registry.find_run(attempt)
         runner = self._runners.by_id.get(runner_id)
         if run is None or runner is None:
             return None
-        self._note_sent(now_s, runner_id, SendPart.HOME)
+        self._note_sent(now_s, runner_id, SendOrigin.HOME)
         run.runner, run.backup = runner_id, None
-        loads = self.book.loads(now_s, whole=True)
+        loads = self.registry.loads(now_s, fleet_wide=True)
         loads = {one: load for one, load in loads.items() if one != source_id}
-        run.backup = self._copies.backup(now_s, run.work, engine, runner, loads)
+        run.backup = self._copies.backup(now_s, run.request, engine, runner, loads)
         return run.backup
 
     def begin_copy(
         self,
         now_s: float,
         run: Run,
-        engine: EnginePlan,
+        engine: EngineConfig,
         refused: frozenset[RunnerId] = frozenset(),
     ) -> RunnerId | None:
         """Choose an engine to which a run is copied now, and note it; None if none has room.
 
         Those that have just `refused` the copy are passed over: what fills them is not in the book.
         """
-        loads = self.book.loads(now_s, whole=True)
+        loads = self.registry.loads(now_s, fleet_wide=True)
         loads = {runner_id: load for runner_id, load in loads.items() if runner_id not in refused}
         destination = self._copies.destination(now_s, run, engine, loads)
         if destination is not None:
             self._copies.begin(now_s, run, destination, engine)
         return destination
 
-    def _place_waiting(
+    def _place_queued(
         self, now_s: float, one: Waiting, late: bool, loads: Loads
     ) -> Placement | PlaceRefused:
         patience_s = LATE_READ_S if late else one.in_time_until_s - now_s
@@ -196,12 +200,12 @@
     def _place(
         self,
         now_s: float,
-        work: Work,
-        engine: EnginePlan,
+        work: GenerationRequest,
+        engine: EngineConfig,
         patience_s: float,
         loads: Loads,
         full_share: float,
-        part: SendPart = SendPart.HOME,
+        part: SendOrigin = SendOrigin.HOME,
     ) -> Placement | PlaceRefused:
         room = full_share * engine.kv_capacity_tokens
         fitting = [
@@ -215,20 +219,20 @@
         chosen = self._best(now_s, engine, fitting, loads)
         backup = self._copies.backup(now_s, work, engine, chosen, loads)
         placement = Placement(chosen.id, backup)
-        self.book.place(now_s, work, placement, loads)
+        self.registry.record_placement(now_s, work, placement, loads)
         self._note_sent(now_s, chosen.id, part)
         return placement
 
-    def _note_sent(self, now_s: float, runner_id: RunnerId, part: SendPart) -> None:
+    def _note_sent(self, now_s: float, runner_id: RunnerId, part: SendOrigin) -> None:
         if self._bounds is not None:
-            self._bounds.sent(now_s, runner_id, part)
+            self._bounds.record_sent(now_s, runner_id, part)
 
-    def _candidates(self, work: Work, loads: Loads) -> list[Runner]:
+    def _candidates(self, work: GenerationRequest, loads: Loads) -> list[Runner]:
         """Give the engines to choose from; a suspected one only if there is no other."""
         ready = [one for one in self._allowed(work) if one.id in loads]
         return [one for one in ready if one.id not in self._runners.suspects] or ready
 
-    def _allowed(self, work: Work) -> list[Runner]:
+    def _allowed(self, work: GenerationRequest) -> list[Runner]:
         """Give the engines that may run a work, whatever runs there."""
         return [
             runner
@@ -236,14 +240,14 @@
             if runner.id not in work.excluded and work.may_run_in(runner.zone)
         ]
 
-    def _is_short(self, work: Work) -> bool:
-        return self.book.expected_output(work) < SHORT_TOKENS
+    def _is_short(self, work: GenerationRequest) -> bool:
+        return self.registry.expected_output(work) < SHORT_TOKENS
 
     def _fits(
         self,
         now_s: float,
-        work: Work,
-        engine: EnginePlan,
+        work: GenerationRequest,
+        engine: EngineConfig,
         patience_s: float,
         runner: Runner,
         load: EngineLoad,
@@ -252,14 +256,17 @@
         """Tell whether an engine has a slot, room, and time to read the prompt."""
         if load.runs >= min(engine.batch_slots, runner.slots):
             return False
-        need = work.prompt_tokens + min(GROWTH_TOKENS, self.book.expected_output(work))
-        taken = load.taken_tokens
+        need = work.prompt_tokens + min(GROWTH_TOKENS, self.registry.expected_output(work))
+        taken = load.used_tokens
         if taken and taken + need > room:
             return False
-        return load.wait_s(now_s) + work.prompt_tokens / self.book.prefill_per_s <= patience_s
+        return (
+            load.prefill_wait_s(now_s) + work.prompt_tokens / self.registry.prefill_per_s
+            <= patience_s
+        )
 
     def _best(
-        self, now_s: float, engine: EnginePlan, fitting: list[Runner], loads: Loads
+        self, now_s: float, engine: EngineConfig, fitting: list[Runner], loads: Loads
     ) -> Runner:
         scored = [
             (self._score_s(now_s, engine, runner, loads[runner.id]), runner) for runner in fitting
@@ -268,8 +275,8 @@
         return self._rng.choice([one for score_s, one in scored if score_s <= best_s + NEAR_S])
 
     @staticmethod
-    def _score_s(now_s: float, engine: EnginePlan, runner: Runner, load: EngineLoad) -> float:
-        memory_s = MEMORY_WEIGHT_S * load.taken_tokens / max(1, engine.kv_capacity_tokens)
+    def _score_s(now_s: float, engine: EngineConfig, runner: Runner, load: EngineLoad) -> float:
+        memory_s = MEMORY_WEIGHT_S * load.used_tokens / max(1, engine.kv_capacity_tokens)
         batch_s = BATCH_WEIGHT_S * load.runs / max(1, engine.batch_slots)
         cold_s = COLD_WEIGHT_S if runner.cold_s > 0 else 0.0
-        return load.wait_s(now_s) + memory_s + batch_s + cold_s
+        return load.prefill_wait_s(now_s) + memory_s + batch_s + cold_s
--- a/egretstack/placing/_run.py
+++ b/egretstack/placing/_run.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class GenerationRequest:
     """A generation that wants an engine."""
 
     attempt: str
@@ -17,9 +17,9 @@
     length_hint: int | None
     rank: int
     """0 is the most urgent."""
-    patience_s: float
+    first_token_budget_s: float
     """Time left until the first token comes late for the caller."""
-    wait_s: float
+    max_wait_s: float
     """How long the caller may be kept waiting for room."""
     prompt_id: str = ""
     """The same for a caller that comes back after a refusal; empty if it can't be told."""
@@ -46,15 +46,15 @@
 class Run:
     """A generation on an engine, as its instance last told of it."""
 
-    work: Work
+    request: GenerationRequest
     runner: RunnerId
     backup: RunnerId | None
-    made_tokens: int = 0
+    generated_tokens: int = 0
     started: bool = False
     """Whether its first token came."""
 
 
-def work_row(work: Work) -> list:
+def request_row(work: GenerationRequest) -> list:
     """Give the row of a work for a message."""
     return [
         work.attempt,
@@ -63,8 +63,8 @@
         work.max_output_tokens,
         work.length_hint,
         work.rank,
-        round(work.patience_s * 1000),
-        round(work.wait_s * 1000),
+        round(work.first_token_budget_s * 1000),
+        round(work.max_wait_s * 1000),
         work.prompt_id,
         list(work.excluded),
         work.account,
@@ -72,12 +72,12 @@
     ]
 
 
-def work_of(row: object) -> Work:
+def request_from_row(row: object) -> GenerationRequest:
     """Read the row of a work. Raises MessageError."""
     try:
         attempt, service, prompt, most, hint, rank, patience_ms, wait_ms, *rest = row
         prompt_id, excluded, account, zones = rest
-        return Work(
+        return GenerationRequest(
             str(attempt),
             ServiceName(str(service)),
             int(prompt),
@@ -97,14 +97,14 @@
 
 def run_row(run: Run) -> list:
     """Give the row of a run for a message."""
-    return [work_row(run.work), run.runner, run.backup, run.made_tokens, run.started]
+    return [request_row(run.request), run.runner, run.backup, run.generated_tokens, run.started]
 
 
-def run_of(row: object) -> Run:
+def run_from_row(row: object) -> Run:
     """Read the row of a run. Raises MessageError."""
     try:
         work, runner, backup, made, started = row
         copy = None if backup is None else RunnerId(str(backup))
-        return Run(work_of(work), RunnerId(str(runner)), copy, int(made), bool(started))
+        return Run(request_from_row(work), RunnerId(str(runner)), copy, int(made), bool(started))
     except (TypeError, ValueError) as error:
         raise MessageError(f"not a run: {error}") from error
--- a/egretstack/placing/_send_bounds.py
+++ b/egretstack/placing/_send_bounds.py
@@ -8,7 +8,7 @@
 from egretstack.ids import RunnerId
 
 
-class SendPart(Enum):
+class SendOrigin(Enum):
     """Who decides on a request, and so which part of a bound it draws on."""
 
     HOME = "home"
@@ -25,51 +25,55 @@
     """Bounds what runners get, for one reason."""
 
     @abstractmethod
-    def allows(self, now_s: float, runner: Runner, part: SendPart) -> bool:
+    def allows(self, now_s: float, runner: Runner, part: SendOrigin) -> bool:
         """Tell whether one more request may go to a runner."""
 
     @abstractmethod
-    def free_after_s(self, now_s: float, runner: Runner, part: SendPart, ahead: int = 0) -> float:
+    def time_until_allowed_s(
+        self, now_s: float, runner: Runner, part: SendOrigin, ahead: int = 0
+    ) -> float:
         """Give when a request may go to a runner, `ahead` others before it; 0 if at once."""
 
     @abstractmethod
-    def sent(self, now_s: float, runner_id: RunnerId, part: SendPart) -> None:
+    def record_sent(self, now_s: float, runner_id: RunnerId, part: SendOrigin) -> None:
         """Note a request that goes to a runner."""
 
     @abstractmethod
-    def forget_gone(self) -> None:
+    def forget_removed(self) -> None:
         """Forget runners that are no longer known."""
 
-    def is_scarce(self, runner: Runner) -> bool:
+    def is_rate_limited(self, runner: Runner) -> bool:
         """Tell whether a runner takes too little to go on there with streams that broke off."""
         return False
 
 
-class SendBounds(SendBound):
+class CombinedSendBounds(SendBound):
     """Several bounds, all of which hold."""
 
     def __init__(self, bounds: Iterable[SendBound]) -> None:
         self._bounds = tuple(bounds)
 
-    def allows(self, now_s: float, runner: Runner, part: SendPart) -> bool:
+    def allows(self, now_s: float, runner: Runner, part: SendOrigin) -> bool:
         """Tell whether one more request may go to a runner."""
         return all(one.allows(now_s, runner, part) for one in self._bounds)
 
-    def free_after_s(self, now_s: float, runner: Runner, part: SendPart, ahead: int = 0) -> float:
+    def time_until_allowed_s(
+        self, now_s: float, runner: Runner, part: SendOrigin, ahead: int = 0
+    ) -> float:
         """Give when a request may go to a runner, `ahead` others before it; 0 if at once."""
-        times = (one.free_after_s(now_s, runner, part, ahead) for one in self._bounds)
+        times = (one.time_until_allowed_s(now_s, runner, part, ahead) for one in self._bounds)
         return max(times, default=0.0)
 
-    def sent(self, now_s: float, runner_id: RunnerId, part: SendPart) -> None:
+    def record_sent(self, now_s: float, runner_id: RunnerId, part: SendOrigin) -> None:
         """Note a request that goes to a runner."""
         for one in self._bounds:
-            one.sent(now_s, runner_id, part)
+            one.record_sent(now_s, runner_id, part)
 
-    def forget_gone(self) -> None:
+    def forget_removed(self) -> None:
         """Forget runners that are no longer known."""
         for one in self._bounds:
-            one.forget_gone()
+            one.forget_removed()
 
-    def is_scarce(self, runner: Runner) -> bool:
+    def is_rate_limited(self, runner: Runner) -> bool:
         """Tell whether a runner takes too little to go on there with streams that broke off."""
-        return any(one.is_scarce(runner) for one in self._bounds)
+        return any(one.is_rate_limited(runner) for one in self._bounds)
--- a/egretstack/placing/_split.py
+++ b/egretstack/placing/_split.py
@@ -12,25 +12,25 @@
         self._own = own
         self.others: tuple[InstanceId, ...] = ()
         """All other instances that were ever heard of, living or not."""
-        self.heard = 0
+        self.reachable = 0
         """How many of them this instance hears now."""
 
     @property
-    def instances(self) -> int:
+    def instance_count(self) -> int:
         """How many instances there are, this one among them."""
         return 1 + len(self.others)
 
     @property
-    def heard_share(self) -> float:
+    def reachable_share(self) -> float:
         """Part of the fleet that this instance hears: the homes of a split fleet add up to one."""
-        return (1 + self.heard) / self.instances
+        return (1 + self.reachable) / self.instance_count
 
-    def is_among(self, runner_id: RunnerId, most: int) -> bool:
+    def is_sender(self, runner_id: RunnerId, most: int) -> bool:
         """Tell whether this is one of `most` instances that send to a runner.
 
         Which ones goes by a hash of runner and instance, so that each runner has others.
         """
-        if most >= self.instances:
+        if most >= self.instance_count:
             return True
         own = _digest(runner_id, self._own)
         return sum(_digest(runner_id, other) < own for other in self.others) < most
--- a/egretstack/placing/_strikes.py
+++ b/egretstack/placing/_strikes.py
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         self._outcomes_by_id: dict[RunnerId, deque[tuple[float, bool]]] = {}
 
-    def note(self, now_s: float, runner_id: RunnerId, *, broke: bool) -> None:
+    def record(self, now_s: float, runner_id: RunnerId, *, broke: bool) -> None:
         """Note that a runner answered, in whatever way, or broke what it was sent."""
         outcomes = self._outcomes_by_id.setdefault(runner_id, deque(maxlen=MOST_COUNTED))
         outcomes.append((now_s, broke))
@@ -71,7 +71,9 @@
         self._broke_s_by_id: dict[RunnerId, float] = {}
         """When each suspect was last told to have broken a call."""
 
-    def reported(self, now_s: float, instance: InstanceId, counts: Iterable[AnswerCount]) -> None:
+    def record_report(
+        self, now_s: float, instance: InstanceId, counts: Iterable[AnswerCount]
+    ) -> None:
         """Take an instance's counts, in place of its earlier ones."""
         self._counts_by_instance[instance] = (now_s, tuple(counts))
 
@@ -93,7 +95,7 @@
                 del self._broke_s_by_id[runner_id]
         return frozenset(self._broke_s_by_id)
 
-    def forget(self, kept: Iterable[RunnerId]) -> None:
+    def retain(self, kept: Iterable[RunnerId]) -> None:
         """Forget runners that are not among those kept."""
         kept = set(kept)
         for runner_id in set(self._broke_s_by_id) - kept:
@@ -117,7 +119,7 @@
     return [count.runner, count.answered, count.broke]
 
 
-def count_of(row: object) -> AnswerCount:
+def count_from_row(row: object) -> AnswerCount:
     """Read the row of a count. Raises MessageError."""
     try:
         runner, answered, broke = row
--- a/egretstack/placing/_wait_list.py
+++ b/egretstack/placing/_wait_list.py
@@ -8,8 +8,8 @@
 from collections.abc import Collection, Iterator
 from dataclasses import dataclass
 
-from egretstack.placing._run import Work
-from egretstack.routing import EnginePlan
+from egretstack.placing._run import GenerationRequest
+from egretstack.routing import EngineConfig
 
 FORGET_S = 0.8
 """How long a work waits after its last question; it asks again several times in that time."""
@@ -22,8 +22,8 @@
 class Waiting:
     """One work that waits."""
 
-    work: Work
-    engine: EnginePlan
+    work: GenerationRequest
+    engine: EngineConfig
     order: tuple[int, float]
     """Rank, then the time of the first question."""
     in_time_until_s: float
@@ -46,7 +46,7 @@
     def __len__(self) -> int:
         return len(self._by_attempt)
 
-    def ask(self, now_s: float, work: Work, engine: EnginePlan) -> None:
+    def ask(self, now_s: float, work: GenerationRequest, engine: EngineConfig) -> None:
         """Note a work that asks for room, for the first time or again."""
         known = self._by_attempt.get(work.attempt)
         if known is not None:
@@ -57,7 +57,7 @@
                 work, engine, (work.rank, now_s), until_s, now_s
             )
 
-    def before(self, work: Work) -> int:
+    def before(self, work: GenerationRequest) -> int:
         """Give how many other works for the same service wait."""
         service, attempt = work.service, work.attempt
         waiting = self._by_attempt.values()
@@ -96,9 +96,9 @@
         """Give the prompts of all that wait, together."""
         return sum(one.work.prompt_tokens for one in self._by_attempt.values())
 
-    def _in_time_until_s(self, now_s: float, work: Work) -> float:
+    def _in_time_until_s(self, now_s: float, work: GenerationRequest) -> float:
         """Give when a work is late; a prompt that was here before keeps its first time."""
-        until_s = now_s + work.patience_s
+        until_s = now_s + work.first_token_budget_s
         if not work.prompt_id:
             return until_s
         known = self._in_time_until_s_by_prompt
--- a/egretstack/platform/_configuration.py
+++ b/egretstack/platform/_configuration.py
@@ -19,13 +19,13 @@
 )
 from egretstack.routing import (
     ClientAccount,
-    ColdPlan,
-    EnginePlan,
+    ColdStartConfig,
+    EngineConfig,
     Route,
     RouteKind,
     RouteTarget,
     RoutingConfiguration,
-    ServicePlan,
+    ServiceConfig,
     key_digest,
 )
 
@@ -113,7 +113,7 @@
         anonymous=flag(row, "allow-anonymous"),
         resumable=flag(row, "can-resume"),
         gap_target_s=gap_ms / 1000 if gap_ms else None,
-        homes=_homes(row),
+        allowed_regions=_homes(row),
     )
 
 
@@ -137,20 +137,20 @@
     )
 
 
-def _service(row: Body) -> ServicePlan:
+def _service(row: Body) -> ServiceConfig:
     engine = row.get("engine")
-    return ServicePlan(
+    return ServiceConfig(
         name=ServiceName(text(row, "name")),
         health_path=text(row, "health-path", "/health"),
         max_connections=whole(row, "max-conns", 64),
         engine=_engine(engine) if isinstance(engine, dict) else None,
-        cold=_cold(row),
+        cold_start=_cold(row),
     )
 
 
-def _cold(row: Body) -> ColdPlan:
-    return ColdPlan(
-        start_s=_within(row, "cold-start-s", MOST_COLD_START_S),
+def _cold(row: Body) -> ColdStartConfig:
+    return ColdStartConfig(
+        warm_up_s=_within(row, "cold-start-s", MOST_COLD_START_S),
         requests_per_s=_within(row, "cold-per-s", MOST_COLD_PER_S),
     )
 
@@ -163,8 +163,8 @@
     return value
 
 
-def _engine(row: Body) -> EnginePlan:
-    return EnginePlan(
+def _engine(row: Body) -> EngineConfig:
+    return EngineConfig(
         batch_slots=whole(row, "slots"),
         kv_capacity_tokens=whole(row, "kv-capacity-tokens"),
         kv_token_bytes=whole(row, "kv-token-bytes", 0),
@@ -172,7 +172,7 @@
         moves=flag(row, "moves"),
         backups=flag(row, "backups"),
         tokens_per_event=max(1, whole(row, "stride", 1)),
-        copy_life_s=number(row, "handle-s", 5),
+        copy_ttl_s=number(row, "handle-s", 5),
     )
 
 
--- a/egretstack/relay/_engine_calls.py
+++ b/egretstack/relay/_engine_calls.py
@@ -11,7 +11,7 @@
     UpstreamConnection,
     connect_upstream,
 )
-from egretstack.placing import Run, SendPart
+from egretstack.placing import Run, SendOrigin
 from egretstack.platform import runner_answer, runner_request
 from egretstack.relay._tools import CONNECT_TIMEOUT_S, RelayTools, Task
 from egretstack.traffic import ContinueFrom, RunnerAnswer
@@ -61,10 +61,10 @@
         log(Event.CONNECT_FAILED, request=task.request.attempt_id, error=str(error))
         return None
     if not is_reserved:
-        if not tools.bounds.allows(trio.current_time(), runner, SendPart.CONTINUED):
+        if not tools.bounds.allows(trio.current_time(), runner, SendOrigin.CONTINUED):
             connection.close()
             return None
-        tools.bounds.sent(trio.current_time(), runner.id, SendPart.CONTINUED)
+        tools.bounds.record_sent(trio.current_time(), runner.id, SendOrigin.CONTINUED)
     answer = None
     sent_s = trio.current_time()
     try:
--- a/egretstack/relay/_mover.py
+++ b/egretstack/relay/_mover.py
@@ -15,7 +15,7 @@
 from egretstack.fleet import Runner
 from egretstack.http1 import ConnectFailed, UpstreamBroken, connect_upstream, exchange
 from egretstack.ids import RunnerId
-from egretstack.placing import Run, SendPart, copy_time_s
+from egretstack.placing import Run, SendOrigin, copy_time_s
 from egretstack.platform import BadBody, free_copy_request, move_answer, move_request
 from egretstack.relay._tools import CONNECT_TIMEOUT_S, RelayTools, Task
 from egretstack.traffic import MoveAnswer, MoveOutcome
@@ -135,7 +135,7 @@
             return False
         while not self._is_leaving(source):
             self._done(source)
-            if not await self._wait(source, destination, engine.copy_life_s * RENEW_SHARE):
+            if not await self._wait(source, destination, engine.copy_ttl_s * RENEW_SHARE):
                 return False
             if self._is_leaving(source):
                 await self._turn()
@@ -163,7 +163,7 @@
 
     def _may_go_on_at(self, destination: Runner) -> bool:
         now_s = trio.current_time()
-        return self._tools.bounds.allows(now_s, destination, SendPart.CONTINUED)
+        return self._tools.bounds.allows(now_s, destination, SendOrigin.CONTINUED)
 
     def _has_to_hurry(self, source: Runner) -> bool:
         if self._tools.runners.is_evacuated(source.id):
@@ -173,7 +173,7 @@
 
     async def _turn(self) -> Runner:
         while True:
-            refused = {*self._refused, *self._tools.rests.resting(trio.current_time())}
+            refused = {*self._refused, *self._tools.rests.in_backoff(trio.current_time())}
             destination_id = await self._tools.placing.move_turn(self._run, refused)
             destination = self._tools.runners.by_id.get(destination_id)
             if destination is not None and not self._tools.runners.is_leaving(destination_id):
@@ -207,7 +207,7 @@
         # Told with the next report: the memory is taken from the first call on, and work placed
         # there meanwhile would be preempted.
         self._run.backup = destination.id
-        tokens = self._run.work.prompt_tokens + self._run.made_tokens - self._copied_tokens
+        tokens = self._run.request.prompt_tokens + self._run.generated_tokens - self._copied_tokens
         answer = await self._order(source, destination, stop=False)
         self._told(source, destination, answer, began_s, stop=False)
         if answer.outcome is not MoveOutcome.COPIED or not answer.handle:
@@ -227,7 +227,7 @@
     async def _stop(self, source: Runner, destination: Runner) -> bool:
         self._stopping = True
         # Runs that stop side by side would all count on the same part of what the engine takes.
-        self._tools.bounds.sent(trio.current_time(), destination.id, SendPart.CONTINUED)
+        self._tools.bounds.record_sent(trio.current_time(), destination.id, SendOrigin.CONTINUED)
         began_s = trio.current_time()
         answer = await self._order(source, destination, stop=True)
         self._told(source, destination, answer, began_s, stop=True)
--- a/egretstack/relay/_opening.py
+++ b/egretstack/relay/_opening.py
@@ -13,7 +13,7 @@
     connect_upstream,
 )
 from egretstack.ids import RunnerId
-from egretstack.placing import Placement, Run, Work, longest_wait_s
+from egretstack.placing import GenerationRequest, Placement, Run, longest_wait_s
 from egretstack.platform import runner_answer
 from egretstack.relay._engine_calls import ask_engine
 from egretstack.relay._knowledge import RequestFailed, crashes_runners
@@ -74,19 +74,19 @@
     def _attempt(self) -> str:
         return self._task.request.attempt_id
 
-    def _work(self, excluded: tuple[RunnerId, ...]) -> Work:
+    def _work(self, excluded: tuple[RunnerId, ...]) -> GenerationRequest:
         wants, account = self._task.request.generation, self._task.account
         waited_s = trio.current_time() - self._task.began_s
         target_s = self._task.route.target_latency_s
-        return Work(
+        return GenerationRequest(
             attempt=self._attempt,
             service=self._task.service.name,
             prompt_tokens=wants.prompt_tokens if wants else 0,
             max_output_tokens=wants.max_output_tokens if wants else 0,
             length_hint=wants.length_hint if wants else None,
             rank=self._task.rank,
-            patience_s=max(0.0, target_s - waited_s),
-            wait_s=longest_wait_s(target_s, waited_s, self._task.time_left_s()),
+            first_token_budget_s=max(0.0, target_s - waited_s),
+            max_wait_s=longest_wait_s(target_s, waited_s, self._task.time_left_s()),
             prompt_id=wants.prompt_id(account.name if account else "") if wants else "",
             excluded=excluded,
             account=account.name if account else "",
@@ -118,9 +118,9 @@
         runners = self._tools.runners
         if runners.is_evacuated(runner.id) or runners.is_leaving(runner.id):
             return False
-        return runner.id not in self._tools.rests.resting(trio.current_time())
+        return runner.id not in self._tools.rests.in_backoff(trio.current_time())
 
-    async def _place(self, work: Work) -> Placement:
+    async def _place(self, work: GenerationRequest) -> Placement:
         """Wait for a place, or for the request to be refused. Raises RequestFailed."""
         self._check_refused()
         with (
--- a/egretstack/relay/_plain.py
+++ b/egretstack/relay/_plain.py
@@ -21,7 +21,7 @@
     exchange,
 )
 from egretstack.ids import RunnerId
-from egretstack.placing import SendPart
+from egretstack.placing import SendOrigin
 from egretstack.platform import client_head, runner_answer, runner_request
 from egretstack.relay._knowledge import CRASHES_DETAIL, RequestFailed, RunKnowledge
 from egretstack.relay._tools import CONNECT_TIMEOUT_S, RelayTools, Task
@@ -107,7 +107,7 @@
             runner
             for runner in self._usable(task)
             if runner.id not in progress.excluded
-            and self._tools.bounds.allows(now_s, runner, SendPart.PLAIN)
+            and self._tools.bounds.allows(now_s, runner, SendOrigin.PLAIN)
         ]
         return self._tools.balancer.choose(
             now_s,
@@ -124,7 +124,9 @@
     def _free_after_s(self, task: Task) -> float:
         """Give when some runner may get one more request; 0 if now, or if there is none."""
         now_s, bounds = trio.current_time(), self._tools.bounds
-        times = (bounds.free_after_s(now_s, one, SendPart.PLAIN) for one in self._usable(task))
+        times = (
+            bounds.time_until_allowed_s(now_s, one, SendOrigin.PLAIN) for one in self._usable(task)
+        )
         return min(MOST_RETRY_S, min(times, default=0.0))
 
     def _may_send_again(self, task: Task, progress: _Progress, result: _Result) -> bool:
@@ -164,20 +166,20 @@
         except ConnectFailed as error:
             log(Event.CONNECT_FAILED, request=task.request.attempt_id, error=str(error))
             progress.connect_tries += 1
-            self._tools.balancer.unreachable(trio.current_time(), runner.id)
+            self._tools.balancer.record_unreachable(trio.current_time(), runner.id)
             self._tools.on_break()
             return _Result.NOT_SENT, None
         if self._tools.crashes.refuses(task.content):
             connection.close()
             return _Result.NOT_SENT, None
-        if not self._tools.bounds.allows(trio.current_time(), runner, SendPart.PLAIN):
+        if not self._tools.bounds.allows(trio.current_time(), runner, SendOrigin.PLAIN):
             self._tools.pool.give_back(connection)
             return _Result.NOT_SENT, None
         progress.sends += 1
         if progress.sends > 1:
             self._tools.budget.repeated(trio.current_time(), task.service.name)
-        self._tools.balancer.sent(runner.id)
-        self._tools.bounds.sent(trio.current_time(), runner.id, SendPart.PLAIN)
+        self._tools.balancer.record_sent(runner.id)
+        self._tools.bounds.record_sent(trio.current_time(), runner.id, SendOrigin.PLAIN)
         began_s = trio.current_time()
         try:
             return await self._exchange(task, runner, connection, progress)
@@ -213,7 +215,7 @@
             await self._note_broken(task, runner, began_s).wait()
             log(Event.UPSTREAM_BROKEN, request=task.request.attempt_id, error=repr(error))
             return _Result.UNKNOWN, None
-        self._tools.balancer.recent.note(trio.current_time(), runner.id, broke=False)
+        self._tools.balancer.recent_answers.record(trio.current_time(), runner.id, broke=False)
         judged = runner_answer(answer)
         self._tools.heard(task, runner.id, judged, began_s)
         result = _judge(task, judged)
@@ -235,9 +237,9 @@
         if result in (_Result.ANSWERED, _Result.FAILED):
             self._tools.crashes.answered(task.content)
         if judged.rest_s is not None:
-            self._tools.balancer.turned_away(runner.id)
+            self._tools.balancer.record_rejected(runner.id)
             return result, WholeAnswer(client_head(judged), body)
-        self._tools.balancer.ended(
+        self._tools.balancer.record_ended(
             trio.current_time(),
             runner.id,
             failed=result is not _Result.ANSWERED,
@@ -256,11 +258,11 @@
         return self._tools.crashes.broke(attempt, task.content, runner.id, sent_s)
 
     def _broke(self, runner: Runner) -> None:
-        self._tools.balancer.recent.note(trio.current_time(), runner.id, broke=True)
+        self._tools.balancer.recent_answers.record(trio.current_time(), runner.id, broke=True)
         self._tools.on_break()
 
     def _ended(self, runner: Runner, *, failed: bool) -> None:
-        self._tools.balancer.ended(trio.current_time(), runner.id, failed=failed)
+        self._tools.balancer.record_ended(trio.current_time(), runner.id, failed=failed)
 
 
 def _judge(task: Task, answer: RunnerAnswer) -> _Result:
--- a/egretstack/relay/_stream.py
+++ b/egretstack/relay/_stream.py
@@ -16,7 +16,7 @@
     UpstreamConnection,
 )
 from egretstack.ids import RunnerId
-from egretstack.placing import Run, SendPart
+from egretstack.placing import Run, SendOrigin
 from egretstack.platform import client_head, runner_answer
 from egretstack.relay._client_stream import ClientStream
 from egretstack.relay._cursor import EventCursor, EventGap
@@ -270,8 +270,8 @@
     def _may_go_on_at(self, runner: Runner) -> bool:
         now_s = trio.current_time()
         if self._saved is not None and self._saved.is_reserved:
-            return runner.id not in self._tools.rests.resting(now_s)
-        return self._tools.bounds.allows(now_s, runner, SendPart.CONTINUED)
+            return runner.id not in self._tools.rests.in_backoff(now_s)
+        return self._tools.bounds.allows(now_s, runner, SendOrigin.CONTINUED)
 
     def _go_on_wait_s(self) -> float:
         """Give how long the reader and the copy surely wait."""
@@ -279,7 +279,7 @@
         by_target_s = READER_TARGETS * route.target_latency_s
         by_gap_s = READER_GAPS * (route.gap_target_s or 0.0)
         patience_s = max(READER_LEAST_S, by_target_s, by_gap_s)
-        return GO_ON_WAIT_SHARE * min(patience_s, self._task.service.engine.copy_life_s)
+        return GO_ON_WAIT_SHARE * min(patience_s, self._task.service.engine.copy_ttl_s)
 
     async def _wait_to_go_on_at(self, runner: Runner) -> bool:
         """Wait a moment for a runner that takes few requests; tell whether it takes this one."""
@@ -325,7 +325,7 @@
         if self._pace.passed(len(events)):
             self._tools.placing.first_token(self._run, self._pace.read_s, self._pace.first_s)
         self._run.started = True
-        self._run.made_tokens = self._pace.events * self._task.service.engine.tokens_per_event
+        self._run.generated_tokens = self._pace.events * self._task.service.engine.tokens_per_event
         await self._client.send(b"".join(event.data for event in events))
 
     def _start_mover(self) -> None:
--- a/egretstack/relay/_tools.py
+++ b/egretstack/relay/_tools.py
@@ -10,11 +10,18 @@
 from egretstack.fleet import Runner, RunnerTable
 from egretstack.http1 import ConnectionPool
 from egretstack.ids import ContentId, RunnerId, ZoneName
-from egretstack.placing import Placement, PlainBalancer, Run, RunnerRests, SendBound, Work
+from egretstack.placing import (
+    GenerationRequest,
+    Placement,
+    PlainBalancer,
+    Run,
+    RunnerBackoffs,
+    SendBound,
+)
 from egretstack.relay._budget import RetryBudget
 from egretstack.relay._crash_guard import CrashGuard
 from egretstack.relay._runner_words import RunnerWords
-from egretstack.routing import ClientAccount, EnginePlan, Route, ServicePlan
+from egretstack.routing import ClientAccount, EngineConfig, Route, ServiceConfig
 from egretstack.traffic import ClientRequest, RunnerAnswer, SendTerms
 
 RANKS = 100
@@ -30,7 +37,7 @@
     """Where generations run; asks the home, or decides here while the home is silent."""
 
     @abstractmethod
-    async def place(self, work: Work, engine: EnginePlan) -> Placement:
+    async def place(self, work: GenerationRequest, engine: EngineConfig) -> Placement:
         """Give the place of a generation. Raises RequestFailed."""
 
     @abstractmethod
@@ -50,7 +57,7 @@
         """Give the output that a run is still expected to make."""
 
     @abstractmethod
-    async def backup_for(self, run: Run, engine: EnginePlan, source: RunnerId) -> RunnerId | None:
+    async def backup_for(self, run: Run, engine: EngineConfig, source: RunnerId) -> RunnerId | None:
         """Choose where the memory of a run that moved off `source` is copied from now on."""
 
     @abstractmethod
@@ -76,7 +83,7 @@
     pool: ConnectionPool
     bounds: SendBound
     """What runners may get for now."""
-    rests: RunnerRests
+    rests: RunnerBackoffs
     crashes: CrashGuard
     words: RunnerWords
     on_break: Callable[[], None] = lambda: None
@@ -91,7 +98,7 @@
         """Count what an engine made of a run; the end of one that leaves tells nothing."""
         if broke and not self.runners.is_ready(runner):
             return
-        self.balancer.recent.note(trio.current_time(), runner, broke=broke)
+        self.balancer.recent_answers.record(trio.current_time(), runner, broke=broke)
         if broke:
             self.on_break()
 
@@ -102,7 +109,7 @@
 
     request: ClientRequest
     route: Route
-    service: ServicePlan
+    service: ServiceConfig
     account: ClientAccount | None
     began_s: float
     deadline_s: float
--- a/egretstack/routing/__init__.py
+++ b/egretstack/routing/__init__.py
@@ -2,28 +2,28 @@
 
 from egretstack.routing._model import (
     ClientAccount,
-    ColdPlan,
-    EnginePlan,
+    ColdStartConfig,
+    EngineConfig,
     Route,
     RouteKind,
     RouteTarget,
     RoutingConfiguration,
-    ServicePlan,
-    common_homes,
+    ServiceConfig,
+    common_regions,
 )
 from egretstack.routing._table import RoutingTable, VersionGate, key_digest
 
 __all__ = [
     "ClientAccount",
-    "ColdPlan",
-    "EnginePlan",
+    "ColdStartConfig",
+    "EngineConfig",
     "Route",
     "RouteKind",
     "RouteTarget",
     "RoutingConfiguration",
     "RoutingTable",
-    "ServicePlan",
+    "ServiceConfig",
     "VersionGate",
-    "common_homes",
+    "common_regions",
     "key_digest",
 ]
--- a/egretstack/routing/_model.py
+++ b/egretstack/routing/_model.py
@@ -45,12 +45,12 @@
     """Whether a caller may ask for the rest of a stream it has seen in part."""
     gap_target_s: float | None
     """Longest pause between two events for which a stream is still on time."""
-    homes: frozenset[RegionName] = frozenset()
+    allowed_regions: frozenset[RegionName] = frozenset()
     """Regions whose runners alone may run its requests; empty if all may."""
 
 
 @dataclass(frozen=True, slots=True)
-class EnginePlan:
+class EngineConfig:
     """What all engines of a service have in common."""
 
     batch_slots: int
@@ -61,29 +61,29 @@
     moves: bool
     backups: bool
     tokens_per_event: int
-    copy_life_s: float
+    copy_ttl_s: float
     """How long an engine keeps a copied run that nobody continues."""
 
 
 @dataclass(frozen=True, slots=True)
-class ColdPlan:
+class ColdStartConfig:
     """How runners that are cold have to be treated."""
 
-    start_s: float
+    warm_up_s: float
     """How long a runner is cold after it has started."""
     requests_per_s: float
     """What a cold one bears; 0 if it bears what a warm one does."""
 
 
 @dataclass(frozen=True, slots=True)
-class ServicePlan:
+class ServiceConfig:
     """One service behind the routes; `engine` is None for a plain service."""
 
     name: ServiceName
     health_path: str
     max_connections: int
-    engine: EnginePlan | None
-    cold: ColdPlan = ColdPlan(0.0, 0.0)
+    engine: EngineConfig | None
+    cold_start: ColdStartConfig = ColdStartConfig(0.0, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,16 +93,18 @@
     name: AccountId
     rank: int | None
     """Goes before a route's rank; None leaves the order to the route."""
-    homes: frozenset[RegionName] = frozenset()
+    allowed_regions: frozenset[RegionName] = frozenset()
     """Regions whose runners alone may run its requests; empty if all may."""
 
 
-def common_homes(route: Route, account: ClientAccount | None) -> frozenset[RegionName] | None:
+def common_regions(route: Route, account: ClientAccount | None) -> frozenset[RegionName] | None:
     """Give the regions in which a request may run; None if all, empty if none.
 
     Where both the route and the account have some, both bind.
     """
-    bound = [one for one in (route.homes, account.homes if account else None) if one]
+    bound = [
+        one for one in (route.allowed_regions, account.allowed_regions if account else None) if one
+    ]
     return frozenset.intersection(*bound) if bound else None
 
 
@@ -112,7 +114,7 @@
 
     version: int
     routes: tuple[Route, ...]
-    service_by_name: dict[ServiceName, ServicePlan]
+    service_by_name: dict[ServiceName, ServiceConfig]
     account_by_key_digest: dict[str, ClientAccount]
     limits: ServerLimits
     has_accounts: bool
--- a/egretstack/routing/_table.py
+++ b/egretstack/routing/_table.py
@@ -3,7 +3,7 @@
 from hashlib import sha256
 
 from egretstack.ids import RegionName, ServiceName
-from egretstack.routing._model import ClientAccount, Route, RoutingConfiguration, ServicePlan
+from egretstack.routing._model import ClientAccount, Route, RoutingConfiguration, ServiceConfig
 
 
 def key_digest(key: str) -> str:
@@ -34,12 +34,12 @@
                 return route
         return None
 
-    def homes(self, host: str) -> frozenset[RegionName]:
+    def allowed_regions(self, host: str) -> frozenset[RegionName]:
         """Give the regions in which requests to a host may run, as far as its routes bind them."""
         routes = self._routes_by_host.get(_bare_host(host), ())
-        return frozenset().union(*(route.homes for route in routes))
+        return frozenset().union(*(route.allowed_regions for route in routes))
 
-    def service(self, name: ServiceName) -> ServicePlan | None:
+    def service(self, name: ServiceName) -> ServiceConfig | None:
         """Give a service by name."""
         return self.configuration.service_by_name.get(name)
 
--- a/egretstack/services/crash_guard.py
+++ b/egretstack/services/crash_guard.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from egretstack.crashes import CrashReports, Strike, clear_of, strike_of, strike_weight
+from egretstack.crashes import CrashReports, Strike, clear_from_row, strike_from_row, strike_weight
 from egretstack.events import Event, log
 from egretstack.fleet import InstanceReport, Runner
 from egretstack.http1 import ConnectFailed
@@ -71,7 +71,7 @@
             "egret_relay_refused_contents",
             "Requests that no runner gets, as runners end under them.",
         )
-        gauge.set_function(self._port.crashes.refused)
+        gauge.set_function(self._port.crashes.refused_count)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Probe and share until cancelled."""
@@ -83,24 +83,24 @@
             task_status.started()
             while True:
                 await trio.sleep(FORGET_PERIOD_S)
-                self._port.crashes.forget_old(trio.current_time())
+                self._port.crashes.forget_expired(trio.current_time())
 
     def refuses(self, content: ContentId) -> bool:
         """Tell whether no runner may get a request now."""
-        return self._port.crashes.refuses(content)
+        return self._port.crashes.is_refused(content)
 
     def told_when_refused(
         self, content: ContentId, wake: Callable[[], None]
     ) -> AbstractContextManager[None]:
         """Call `wake` if a request is refused while the context lasts."""
-        return self._port.crashes.told_when_refused(content, wake)
+        return self._port.crashes.notify_when_refused(content, wake)
 
     def answered(self, content: ContentId) -> None:
         """Take note that a runner ran a request to an end and lives."""
         now_s = trio.current_time()
         cleared_round = self._port.clear(now_s, content)
         if cleared_round is not None:
-            self._reports.cleared(now_s, content, cleared_round)
+            self._reports.record_clear(now_s, content, cleared_round)
             self._port.tell_soon()
 
     def broke(
@@ -121,7 +121,7 @@
         else:
             self._broken_by_runner[runner] = [broken]
             self._nursery.start_soon(self._probe, known)
-        if self._port.crashes.suspects(content):
+        if self._port.crashes.is_suspected(content):
             return broken.judged
         unsuspected = trio.Event()
         unsuspected.set()
@@ -184,7 +184,7 @@
             self._port.crashes.round(broken.content),
         )
         self._strike(broken.content, strike)
-        self._reports.struck(broken.content, strike)
+        self._reports.record_strike(broken.content, strike)
 
     def _strike(self, content: ContentId, strike: Strike) -> None:
         if self._port.strike(trio.current_time(), content, strike):
@@ -193,8 +193,8 @@
     def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
         now_s = trio.current_time()
         try:
-            strikes = [strike_of(row, now_s) for row in report.strikes]
-            clears = [clear_of(row) for row in report.clears]
+            strikes = [strike_from_row(row, now_s) for row in report.strikes]
+            clears = [clear_from_row(row) for row in report.clears]
         except MessageError as error:
             log(Event.PEER_REFUSED, sender=instance, error=str(error))
             return
--- a/egretstack/services/crash_list.py
+++ b/egretstack/services/crash_list.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from egretstack.crashes import CrashRecord, record_of, record_row
+from egretstack.crashes import CrashRecord, record_from_row, record_row
 from egretstack.events import Event, log
 from egretstack.fleet import StoreSight
 from egretstack.ids import ContentId
@@ -80,7 +80,7 @@
                 self._port.clear(now_s, content)
             return None
         try:
-            record = record_of(change.object.spec.get(FIELD))
+            record = record_from_row(change.object.spec.get(FIELD))
         except MessageError:
             return change.object.name
         self._stored_by_content[content] = record
@@ -104,7 +104,7 @@
                 await trio.sleep(AWAY_PAUSE_S)
 
     async def _write_all(self) -> None:
-        lasting = self._port.crashes.lasting()
+        lasting = self._port.crashes.durable_records()
         for content, record in lasting.items():
             if self._stored_by_content.get(content) != record:
                 await self._write(content, record)
--- a/egretstack/services/directory_port.py
+++ b/egretstack/services/directory_port.py
@@ -126,7 +126,7 @@
         live = self._port.fleet.live(trio.current_time())
         ready = [known.instance for known in live if known.state is InstanceState.READY]
         table = self._store.gate.table
-        homes = frozenset() if table is None else table.homes(host)
+        homes = frozenset() if table is None else table.allowed_regions(host)
         near = nearest(ready, self._region_by_zone, region, homes)
         ready = [one.front_address for one in near]
         if len(ready) > MAX_ADDRESSES:
--- a/egretstack/services/engine_placing.py
+++ b/egretstack/services/engine_placing.py
@@ -22,9 +22,9 @@
 from egretstack.ids import RunnerId
 from egretstack.kernel import Kernel, Service
 from egretstack.messages import Message
-from egretstack.placing import Placement, Run, SendPart, Work, work_row
+from egretstack.placing import GenerationRequest, Placement, Run, SendOrigin, request_row
 from egretstack.relay import EnginePlacing, RequestFailed, barred
-from egretstack.routing import EnginePlan, RouteKind
+from egretstack.routing import EngineConfig, RouteKind
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.placing_home import MOST_RETRY_S, PlacingHome
 from egretstack.services.relay_metrics import RelayMetrics
@@ -81,7 +81,7 @@
         task_status.started()
         await trio.sleep_forever()
 
-    async def place(self, work: Work, engine: EnginePlan) -> Placement:
+    async def place(self, work: GenerationRequest, engine: EngineConfig) -> Placement:
         """Give the place of a generation, once there is room. Raises RequestFailed.
 
         It waits at the home for as long as its caller can be expected to, and is then refused; at
@@ -90,13 +90,13 @@
         began_s = trio.current_time()
         tried: Placement | _NoPlace = _NoPlace(REFUSED_RETRY_S)
         try:
-            with trio.move_on_after(work.wait_s):
+            with trio.move_on_after(work.max_wait_s):
                 while isinstance(tried, _NoPlace) and not tried.is_final:
-                    left_s = began_s + work.wait_s - trio.current_time()
+                    left_s = began_s + work.max_wait_s - trio.current_time()
                     tried = await self._try_place(work, engine, left_s)
         finally:
             if isinstance(tried, _NoPlace):
-                self._home.placer.ended(work.attempt)
+                self._home.placer.remove(work.attempt)
                 self._tell(PlaceDrop(work.attempt))
         waited_ms = round((trio.current_time() - began_s) * 1000)
         if isinstance(tried, _NoPlace):
@@ -107,7 +107,7 @@
         return tried
 
     async def _try_place(
-        self, work: Work, engine: EnginePlan, left_s: float
+        self, work: GenerationRequest, engine: EngineConfig, left_s: float
     ) -> Placement | _NoPlace:
         """Ask for a place once, with `left_s` left to wait. Raises RequestFailed."""
         if self._port.runners.is_barred(work.service, work.zones):
@@ -125,7 +125,7 @@
         return _NoPlace(answer.retry_after_ms / 1000, answer.refused)
 
     async def _try_alone(
-        self, work: Work, engine: EnginePlan, left_s: float
+        self, work: GenerationRequest, engine: EngineConfig, left_s: float
     ) -> Placement | _NoPlace:
         """Place a work by this instance's own view."""
         placed = self._place_alone(work, engine)
@@ -138,29 +138,29 @@
 
     def begin(self, run: Run) -> None:
         """Note a run that goes out."""
-        self._run_by_attempt[run.work.attempt] = run
+        self._run_by_attempt[run.request.attempt] = run
 
     def end(self, run: Run) -> None:
         """Note that a run is over here."""
-        self._run_by_attempt.pop(run.work.attempt, None)
-        self._home.placer.ended(run.work.attempt)
+        self._run_by_attempt.pop(run.request.attempt, None)
+        self._home.placer.remove(run.request.attempt)
 
     def first_token(self, run: Run, read_s: float, waited_s: float) -> None:
         """Note a first token: `read_s` after the send, and `waited_s` after the request came."""
         self._metrics.answered(RouteKind.STREAM, waited_s)
-        self._home.placer.book.first_token(run.work.prompt_tokens, read_s)
+        self._home.placer.registry.record_first_token(run.request.prompt_tokens, read_s)
 
     def tokens_left(self, run: Run) -> float:
         """Give the output that a run is still expected to make."""
-        return self._home.placer.book.tokens_left(run)
+        return self._home.placer.registry.tokens_left(run)
 
-    async def backup_for(self, run: Run, engine: EnginePlan, source: RunnerId) -> RunnerId | None:
+    async def backup_for(self, run: Run, engine: EngineConfig, source: RunnerId) -> RunnerId | None:
         """Choose where the memory of a run that moved is copied from now on.
 
         While the home is silent there is none: each instance by its own view would choose the
         engine that looks emptiest to all.
         """
-        attempt = run.work.attempt
+        attempt = run.request.attempt
         ask = BackupAsk(self.kernel.settings.instance, attempt, run.runner, source)
         answer = await self._ask(attempt, ask, times=1)
         if not isinstance(answer, BackupAnswer) or not answer.backup:
@@ -172,7 +172,7 @@
 
         `refused` names engines that had no room for its copy a moment ago.
         """
-        attempt, source = run.work.attempt, run.runner
+        attempt, source = run.request.attempt, run.runner
         own = self.kernel.settings.instance
         turn = self._turn_by_attempt[attempt] = trio.Event()
         try:
@@ -193,14 +193,14 @@
 
     def _move_order(self, run: Run) -> float:
         """Give the order of moves off one runner: urgent first, then those with most to lose."""
-        return RANK_STEP * run.work.rank - self.tokens_left(run)
+        return RANK_STEP * run.request.rank - self.tokens_left(run)
 
-    async def _ask_place(self, work: Work) -> PlaceAnswer | None:
+    async def _ask_place(self, work: GenerationRequest) -> PlaceAnswer | None:
         """Ask the home, and wait there for a place; None if the home is silent.
 
         An answer without a runner tells that the home is there and no place came yet.
         """
-        ask = PlaceAsk(self.kernel.settings.instance, work_row(work))
+        ask = PlaceAsk(self.kernel.settings.instance, request_row(work))
         first = await self._ask(work.attempt, ask, times=ASK_TIMES)
         if not isinstance(first, PlaceAnswer):
             return None
@@ -240,18 +240,18 @@
         else:
             self._port.send(address, message)
 
-    def _place_alone(self, work: Work, engine: EnginePlan) -> Placement | None:
+    def _place_alone(self, work: GenerationRequest, engine: EngineConfig) -> Placement | None:
         now_s = trio.current_time()
         self._home.refresh()
-        decided = self._home.placer.place(now_s, work, engine, whole=self._port.is_home())
+        decided = self._home.placer.place(now_s, work, engine, fleet_wide=self._port.is_home())
         return decided if isinstance(decided, Placement) else None
 
-    def _without_resting(self, work: Work) -> Work:
+    def _without_resting(self, work: GenerationRequest) -> GenerationRequest:
         """Give a work that keeps off the engines which want nothing from this instance now."""
-        resting = self._home.rests.resting(trio.current_time())
+        resting = self._home.rests.in_backoff(trio.current_time())
         return replace(work, excluded=(*work.excluded, *resting)) if resting else work
 
-    def _rested_after_s(self, work: Work) -> float:
+    def _rested_after_s(self, work: GenerationRequest) -> float:
         """Give when some engine wants a work from this instance; 0 if now, or if there is none."""
         now_s, rests = trio.current_time(), self._home.rests
         usable = [
@@ -259,13 +259,13 @@
             for one in self._port.runners.ready(work.service)
             if one.id not in work.excluded and work.may_run_in(one.zone)
         ]
-        times = (rests.free_after_s(now_s, one, SendPart.ALONE) for one in usable)
+        times = (rests.time_until_allowed_s(now_s, one, SendOrigin.ALONE) for one in usable)
         return min(times, default=0.0)
 
-    def _free_alone_after_s(self, work: Work) -> float:
+    def _free_alone_after_s(self, work: GenerationRequest) -> float:
         """Give when some engine may take a work without the home's word; 0 if now."""
         placer = self._home.placer
-        return placer.free_after_s(trio.current_time(), work, SendPart.ALONE)
+        return placer.time_until_allowed_s(trio.current_time(), work, SendOrigin.ALONE)
 
     def _take_place(self, answer: PlaceAnswer) -> Placement:
         """Take the home's answer, and the runners it names if they are news here.
@@ -303,7 +303,7 @@
         elif turn.attempt not in self._copying:
             self._tell(MoveDone(self.kernel.settings.instance, turn.attempt, turn.source))
 
-    def _log_placed(self, work: Work, placed: Placement, waited_ms: int) -> None:
+    def _log_placed(self, work: GenerationRequest, placed: Placement, waited_ms: int) -> None:
         now_s = trio.current_time()
         log(
             Event.PLACED,
--- a/egretstack/services/fleet_news.py
+++ b/egretstack/services/fleet_news.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from egretstack.crashes import record_of, record_row
+from egretstack.crashes import record_from_row, record_row
 from egretstack.events import Event, log
 from egretstack.fleet import (
     REPEAT_AFTER_S,
@@ -196,7 +196,7 @@
             for runner in runners.by_id.values()
         }
         rows |= {f"{_ZONE}{zone}": [] for zone in self._port.evacuations.zones}
-        crashes = self._port.crashes.told().items()
+        crashes = self._port.crashes.shared_records().items()
         rows |= {f"{_CRASH}{content}": record_row(record) for content, record in crashes}
         limits = self._port.limits.limited().items()
         rows |= {f"{_LIMIT}{runner}": [per_s] for runner, per_s in limits}
@@ -331,7 +331,7 @@
         for key in keys:
             if key in rows:
                 content = ContentId(key[1:])
-                self._port.take_crash_record(now_s, content, record_of(rows[key]))
+                self._port.take_crash_record(now_s, content, record_from_row(rows[key]))
 
     def _use_evacuations(self, now_s: float, news: FleetNews, changed: bool) -> None:
         # Under another home the rows may be the same as this instance told when it was home itself.
--- a/egretstack/services/fleet_port.py
+++ b/egretstack/services/fleet_port.py
@@ -309,8 +309,8 @@
 
     def take_crash_record(self, now_s: float, content: ContentId, record: CrashRecord) -> None:
         """Take what the home or the store knows of a request under which runners ended."""
-        refused = self.crashes.refuses(content)
-        if self.crashes.take(now_s, content, record):
+        refused = self.crashes.is_refused(content)
+        if self.crashes.merge_record(now_s, content, record):
             self._crashes_changed(content, was_refused=refused)
 
     def strike(self, now_s: float, content: ContentId, strike: Strike) -> bool:
@@ -318,21 +318,21 @@
 
         Tells whether that is news.
         """
-        refused = self.crashes.refuses(content)
-        changed = self.crashes.strike(now_s, content, strike)
+        refused = self.crashes.is_refused(content)
+        changed = self.crashes.record_strike(now_s, content, strike)
         if changed:
             self._crashes_changed(content, was_refused=refused)
         return changed
 
     def take_clear(self, now_s: float, content: ContentId, cleared_round: int) -> None:
         """Take it that a runner answered a request of another instance."""
-        refused = self.crashes.refuses(content)
-        if self.crashes.take_clear(now_s, content, cleared_round):
+        refused = self.crashes.is_refused(content)
+        if self.crashes.merge_clear(now_s, content, cleared_round):
             self._crashes_changed(content, was_refused=refused)
 
     def clear(self, now_s: float, content: ContentId) -> int | None:
         """Note that a request was answered, or let free; give the round that begins, if any."""
-        refused = self.crashes.refuses(content)
+        refused = self.crashes.is_refused(content)
         cleared_round = self.crashes.clear(now_s, content)
         if cleared_round is not None:
             self._crashes_changed(content, was_refused=refused)
@@ -343,7 +343,7 @@
         self._crash_takers.append(taker)
 
     def _crashes_changed(self, content: ContentId, *, was_refused: bool) -> None:
-        refuses = self.crashes.refuses(content)
+        refuses = self.crashes.is_refused(content)
         if refuses != was_refused:
             event = Event.CONTENT_REFUSED if refuses else Event.CONTENT_CLEARED
             record = self.crashes.record(content)
--- a/egretstack/services/placing_home.py
+++ b/egretstack/services/placing_home.py
@@ -25,22 +25,22 @@
 from egretstack.kernel import Kernel, Service
 from egretstack.messages import Message
 from egretstack.placing import (
-    ColdRation,
+    ColdAllocation,
+    CombinedSendBounds,
     FleetSplit,
-    LimitRation,
-    MoveTurns,
+    LimitAllocation,
+    MovePermits,
     Placement,
     Placer,
     Run,
-    RunnerRests,
-    SendBounds,
-    SendPart,
-    run_of,
+    RunnerBackoffs,
+    SendOrigin,
+    request_from_row,
+    run_from_row,
     run_row,
-    work_of,
 )
 from egretstack.platform import NodeSettings
-from egretstack.routing import ColdPlan
+from egretstack.routing import ColdStartConfig
 from egretstack.services.engine_reports import EngineReports
 from egretstack.services.fleet_news import FleetNewsService
 from egretstack.services.fleet_port import IDLE_LOOK_S, FleetPort
@@ -65,17 +65,17 @@
         self._store = kernel.get(StoreReading)
         settings: NodeSettings = kernel.settings
         self.split = FleetSplit(settings.instance)
-        self.cold = ColdRation(self.split, self._port.runners, settings.bounds)
+        self.cold = ColdAllocation(self.split, self._port.runners, settings.bounds)
         self.cold.plan = self._cold_plan
-        limits = LimitRation(self.split, self._port.runners, self._port.limits)
-        self.rests = RunnerRests(self._port.runners)
-        self.bounds = SendBounds((self.cold, limits, self.rests))
+        limits = LimitAllocation(self.split, self._port.runners, self._port.limits)
+        self.rests = RunnerBackoffs(self._port.runners)
+        self.bounds = CombinedSendBounds((self.cold, limits, self.rests))
         self.placer = Placer(self._port.runners, kernel.rng, self.bounds)
         self.own_runs: Callable[[], list[Run]] = list
         """Gives the runs of this instance."""
         self.answer_here: Callable[[Message], None] = lambda message: None
         """Takes answers to this instance's own questions."""
-        self._turns = MoveTurns()
+        self._turns = MovePermits()
         self._asker_by_attempt: dict[str, InstanceId] = {}
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
@@ -98,9 +98,9 @@
             else:
                 await trio.sleep(IDLE_LOOK_S)
 
-    def _cold_plan(self, service: ServiceName) -> ColdPlan | None:
+    def _cold_plan(self, service: ServiceName) -> ColdStartConfig | None:
         plan = self._store.service(service)
-        return None if plan is None else plan.cold
+        return None if plan is None else plan.cold_start
 
     def ask(self, message: Message) -> None:
         """Take a question of any instance, this one too; what can't be answered is left alone."""
@@ -117,33 +117,33 @@
 
     def refresh(self) -> None:
         """Bring the runs of this instance in the book up to date."""
-        self.placer.book.reported(self.kernel.settings.instance, list(self.own_runs()))
+        self.placer.registry.record_report(self.kernel.settings.instance, list(self.own_runs()))
 
     def _answer_peer(self, message: Message, sender: tuple[str, int]) -> None:
         self.ask(message)
 
     def _place(self, ask: PlaceAsk) -> None:
-        work = work_of(ask.work)
+        work = request_from_row(ask.work)
         asker = InstanceId(ask.sender)
         engine = self._store.engine(work.service)
         if engine is None or not self._can_answer(asker):
             return  # The asker places by its own view.
         self._asker_by_attempt[work.attempt] = asker
-        self.placer.wait(trio.current_time(), work, engine)
+        self.placer.enqueue(trio.current_time(), work, engine)
         if work.attempt in self._settle():
             return
-        free_s = self.placer.free_after_s(trio.current_time(), work, SendPart.HOME)
-        if free_s > work.wait_s:
+        free_s = self.placer.time_until_allowed_s(trio.current_time(), work, SendOrigin.HOME)
+        if free_s > work.max_wait_s:
             self._drop(PlaceDrop(work.attempt))
             self._answer(asker, PlaceAnswer(work.attempt, "", "", _retry_ms(free_s), [], True))
             return
-        room_s = self.placer.room_after_s(trio.current_time(), work)
+        room_s = self.placer.forecast_retry_s(trio.current_time(), work)
         self._answer(asker, PlaceAnswer(work.attempt, "", "", _retry_ms(room_s), [], False))
 
     def _settle(self) -> set[str]:
         """Place what waits and tell those who asked; give the attempts that have a place now."""
         self.refresh()
-        placed = self.placer.settle(trio.current_time())
+        placed = self.placer.place_waiting(trio.current_time())
         for one in placed:
             asker = self._asker_by_attempt.pop(one.attempt, None)
             if asker is not None:
@@ -156,14 +156,14 @@
         return PlaceAnswer(attempt, place.runner, place.backup or "", 0, rows, False)
 
     def _drop(self, drop: PlaceDrop) -> None:
-        self.placer.ended(drop.attempt)
+        self.placer.remove(drop.attempt)
         self._asker_by_attempt.pop(drop.attempt, None)
 
     def _choose_backup(self, ask: BackupAsk) -> None:
         asker = InstanceId(ask.sender)
         self.refresh()
-        run = self.placer.book.run(ask.attempt)
-        engine = None if run is None else self._store.engine(run.work.service)
+        run = self.placer.registry.find_run(ask.attempt)
+        engine = None if run is None else self._store.engine(run.request.service)
         if engine is None or not self._can_answer(asker):
             return  # The asker goes on without a copy.
         runner = RunnerId(ask.runner)
@@ -174,14 +174,16 @@
     def _take_turn_ask(self, ask: MoveAsk) -> None:
         asker = InstanceId(ask.sender)
         self.refresh()
-        if not self._can_answer(asker) or self.placer.book.run(ask.attempt) is None:
+        if not self._can_answer(asker) or self.placer.registry.find_run(ask.attempt) is None:
             return  # Asked again soon; the run's report may have been lost.
         self._asker_by_attempt[ask.attempt] = asker
         source = RunnerId(ask.source)
-        self._turns.free_ended(source, lambda attempt: self.placer.book.run(attempt) is None)
+        self._turns.release_ended(
+            source, lambda attempt: self.placer.registry.find_run(attempt) is None
+        )
         refused = frozenset(RunnerId(str(one)) for one in ask.refused)
         before = self._turns.holder(source)
-        self._turns.ask(trio.current_time(), source, ask.attempt, ask.order, refused)
+        self._turns.request(trio.current_time(), source, ask.attempt, ask.order, refused)
         holder = self._turns.holder(source)
         if holder is not None and (holder == ask.attempt or holder != before):
             self._give_turn(holder, source)
@@ -194,16 +196,16 @@
         """
         following: str | None = attempt
         while following is not None and not self._tell_turn(following, source):
-            self._turns.done(source, following)
-            following = self._turns.grant(trio.current_time(), source)
+            self._turns.release(source, following)
+            following = self._turns.grant_next(trio.current_time(), source)
 
     def _tell_turn(self, attempt: str, source: RunnerId) -> bool:
-        run = self.placer.book.run(attempt)
-        engine = None if run is None else self._store.engine(run.work.service)
+        run = self.placer.registry.find_run(attempt)
+        engine = None if run is None else self._store.engine(run.request.service)
         asker = self._asker_by_attempt.get(attempt)
         if engine is None or asker is None:
             return False
-        refused = self._turns.refused(source, attempt)
+        refused = self._turns.refusing_engines(source, attempt)
         destination = self.placer.begin_copy(trio.current_time(), run, engine, refused)
         if destination is None:
             return False
@@ -211,9 +213,9 @@
         return True
 
     def _end_turn(self, attempt: str, source: RunnerId) -> None:
-        self._turns.done(source, attempt)
+        self._turns.release(source, attempt)
         self._asker_by_attempt.pop(attempt, None)
-        following = self._turns.grant(trio.current_time(), source)
+        following = self._turns.grant_next(trio.current_time(), source)
         if following is not None:
             self._give_turn(following, source)
 
@@ -231,20 +233,20 @@
     def _load_rows(self) -> list:
         self.refresh()
         now_s = trio.current_time()
-        self.placer.gone(known.instance.id for known in self._port.fleet.live(now_s))
-        return self.placer.book.load_rows(now_s)
+        self.placer.retain_instances(known.instance.id for known in self._port.fleet.live(now_s))
+        return self.placer.registry.load_rows(now_s)
 
     def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
-        self.placer.book.reported(instance, [run_of(row) for row in report.runs])
+        self.placer.registry.record_report(instance, [run_from_row(row) for row in report.runs])
 
     def _take_measure(self, runner: RunnerId, report: RunnerReport) -> None:
         self.refresh()
-        self.placer.book.measured(trio.current_time(), runner, report.kv_used_tokens)
+        self.placer.registry.record_measured(trio.current_time(), runner, report.kv_used_tokens)
 
     def _take_loads(self, told: FleetLoads, sender: tuple[str, int]) -> None:
         now_s = trio.current_time()
         if told.home == self._port.fleet.home(now_s):
-            self.placer.book.told(now_s, told.loads)
+            self.placer.registry.update_loads(now_s, told.loads)
 
 
 def _retry_ms(wait_s: float) -> int:
--- a/egretstack/services/relaying.py
+++ b/egretstack/services/relaying.py
@@ -16,8 +16,8 @@
     Route,
     RouteKind,
     RoutingTable,
-    ServicePlan,
-    common_homes,
+    ServiceConfig,
+    common_regions,
 )
 from egretstack.services.crash_guard import CrashGuardService
 from egretstack.services.engine_placing import EnginePlacingService
@@ -94,7 +94,7 @@
         others = self._port.fleet.known()
         self.tools.budget.instances = len(others) + 1
         self._split.others = tuple(one.id for one in others)
-        self._split.heard = len(self._port.fleet.live(now_s)) - 1
+        self._split.reachable = len(self._port.fleet.live(now_s)) - 1
 
     def leave(self) -> None:
         """Take no new work that could not end before the process has to."""
@@ -134,7 +134,7 @@
             raise RequestFailed(ErrorKind.UNAUTHENTICATED, "no account has this key")
         return account
 
-    def _service(self, table: RoutingTable, route: Route) -> ServicePlan:
+    def _service(self, table: RoutingTable, route: Route) -> ServiceConfig:
         weights = [target.weight for target in route.targets]
         rng: random.Random = self.kernel.rng
         target = rng.choices(route.targets, weights)[0] if sum(weights) > 0 else route.targets[0]
@@ -147,7 +147,7 @@
 
     def _zones(self, route: Route, account: ClientAccount | None) -> frozenset[ZoneName] | None:
         """Give the availability zones whose runners alone may run a request; None if all may."""
-        homes = common_homes(route, account)
+        homes = common_regions(route, account)
         if homes is None:
             return None
         regions = self._node.region_by_zone.items()
--- a/egretstack/services/runner_returns.py
+++ b/egretstack/services/runner_returns.py
@@ -45,7 +45,7 @@
             if not self._port.is_home():
                 continue
             evacuated = self._port.runners.evacuated
-            resting = self._rests.resting(trio.current_time())
+            resting = self._rests.in_backoff(trio.current_time())
             returned = [
                 one
                 for one in self._port.runners.returned()
--- a/egretstack/services/runner_strikes.py
+++ b/egretstack/services/runner_strikes.py
@@ -6,7 +6,7 @@
 from egretstack.fleet import InstanceReport, rows_of
 from egretstack.ids import InstanceId, RunnerId
 from egretstack.kernel import Kernel, Service
-from egretstack.placing import FleetStrikes, count_of, count_row
+from egretstack.placing import FleetStrikes, count_from_row, count_row
 from egretstack.services.fleet_port import IDLE_LOOK_S, FleetPort
 from egretstack.services.relaying import Relaying
 from egretstack.services.store_reading import StoreReading
@@ -40,11 +40,11 @@
                 self._judge()
 
     def _rows(self) -> list:
-        return [count_row(one) for one in self._balancer.recent.counts(trio.current_time())]
+        return [count_row(one) for one in self._balancer.recent_answers.counts(trio.current_time())]
 
     def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
-        counts = rows_of(report.answers, count_of)
-        self._strikes.reported(trio.current_time(), instance, counts)
+        counts = rows_of(report.answers, count_from_row)
+        self._strikes.record_report(trio.current_time(), instance, counts)
         if self._port.is_home() and any(one.broke for one in counts):
             self._judge()
 
@@ -55,8 +55,8 @@
     def _judge(self) -> None:
         now_s = trio.current_time()
         own = self.kernel.settings.instance
-        self._strikes.reported(now_s, own, self._balancer.recent.counts(now_s))
-        self._strikes.forget(self._port.runners.by_id)
+        self._strikes.record_report(now_s, own, self._balancer.recent_answers.counts(now_s))
+        self._strikes.retain(self._port.runners.by_id)
         suspects = self._strikes.suspects(now_s, self._engines())
         if suspects != self._port.runners.suspects:
             log(Event.RUNNERS_SUSPECTED, runners=",".join(sorted(suspects)))
--- a/egretstack/services/runner_words.py
+++ b/egretstack/services/runner_words.py
@@ -39,7 +39,7 @@
         while True:
             await trio.sleep(FORGET_PERIOD_S)
             self._port.limits.forget(self._port.runners.by_id)
-            self._bounds.forget_gone()
+            self._bounds.forget_removed()
 
     def heard(self, runner: RunnerId, answer: RunnerAnswer, sent_s: float) -> None:
         """Take what a runner says beside its answer to a request that was sent at `sent_s`."""
@@ -52,7 +52,7 @@
         if answer.leaving:
             self._port.notice(runner)
         if answer.rest_s is not None:
-            self._rests.asked(trio.current_time(), runner, answer.rest_s)
+            self._rests.record_requested(trio.current_time(), runner, answer.rest_s)
 
     def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
         try:
--- a/egretstack/services/store_reading.py
+++ b/egretstack/services/store_reading.py
@@ -26,7 +26,7 @@
     decode_configuration,
     parse_object,
 )
-from egretstack.routing import EnginePlan, ServicePlan, VersionGate
+from egretstack.routing import EngineConfig, ServiceConfig, VersionGate
 from egretstack.services.fleet_port import IDLE_LOOK_S, FleetPort
 from egretstack.services.relay_metrics import RelayMetrics
 
@@ -105,11 +105,11 @@
             return False
         return self.gate.table is not None and bool(self._port.runners.by_id)
 
-    def service(self, service: ServiceName) -> ServicePlan | None:
+    def service(self, service: ServiceName) -> ServiceConfig | None:
         """Give the plan of a service; None if the configuration has none of that name."""
         return None if self.gate.table is None else self.gate.table.service(service)
 
-    def engine(self, service: ServiceName) -> EnginePlan | None:
+    def engine(self, service: ServiceName) -> EngineConfig | None:
         """Give what is common to the engines of a service; None if it has none."""
         plan = self.service(service)
         return None if plan is None else plan.engine
--- a/scripts/slopes_fleet.py
+++ b/scripts/slopes_fleet.py
@@ -33,8 +33,8 @@
 from egretstack.fleet import Instance as FleetInstance
 from egretstack.ids import InstanceId, RunnerName, ServiceName, ZoneName
 from egretstack.messages import decode, encode
-from egretstack.placing import Placer, Run, Work, run_of, run_row
-from egretstack.routing import EnginePlan
+from egretstack.placing import GenerationRequest, Placer, Run, run_from_row, run_row
+from egretstack.routing import EngineConfig
 from scripts._slope import MICROSECONDS, REPEATS, Slope, fit, show
 
 INSTANCES = (7, 30, 70, 420)
@@ -44,7 +44,7 @@
 ROUNDS = 50
 NEWEST = 1 << 31
 SERVICE = ServiceName("llm")
-PLAN = EnginePlan(
+PLAN = EngineConfig(
     batch_slots=24,
     kv_capacity_tokens=22_000,
     kv_token_bytes=327_680,
@@ -52,7 +52,7 @@
     moves=True,
     backups=True,
     tokens_per_event=4,
-    copy_life_s=5.0,
+    copy_ttl_s=5.0,
 )
 
 
@@ -100,9 +100,11 @@
     return Runner(start, SERVICE, address, ZoneName("zone-a"), 24, RunnerState.READY, 0)
 
 
-def work(name: str) -> Work:
+def work(name: str) -> GenerationRequest:
     """Give a long generation."""
-    return Work(name, SERVICE, 3_000, 1_756, 500, 0, 1.8, 3.6, f"{hash(name) & (1 << 64) - 1:016x}")
+    return GenerationRequest(
+        name, SERVICE, 3_000, 1_756, 500, 0, 1.8, 3.6, f"{hash(name) & (1 << 64) - 1:016x}"
+    )
 
 
 def _runs(count: int, engines: int = 1) -> list[Run]:
@@ -160,7 +162,9 @@
         report = decode(msgpack.unpackb(data[number % len(data)]))
         sender = instance_of(report.sender)
         view.heard(now_s, sender)
-        placer.book.reported(sender.instance.id, [run_of(row) for row in report.runs])
+        placer.registry.record_report(
+            sender.instance.id, [run_from_row(row) for row in report.runs]
+        )
         view.home(now_s)
 
     return _best_us(take)
@@ -171,12 +175,12 @@
     table = RunnerTable()
     table.take(0.0, [runner(number) for number in range(engines)], 1, 0.0)
     placer = Placer(table, random.Random(1))
-    placer.book.reported(InstanceId("e"), _runs(RUNS_OF_ENGINE * engines, engines))
+    placer.registry.record_report(InstanceId("e"), _runs(RUNS_OF_ENGINE * engines, engines))
 
     def place(number: int) -> None:
-        placer.wait(0.0, work(f"w{number}"), PLAN)
-        placer.settle(0.0)
-        placer.ended(f"w{number}")
+        placer.enqueue(0.0, work(f"w{number}"), PLAN)
+        placer.place_waiting(0.0)
+        placer.remove(f"w{number}")
 
     return _best_us(place)
 
--- a/tests/crash_site.py
+++ b/tests/crash_site.py
@@ -39,7 +39,7 @@
 def refused_everywhere(site, path):
     """Tell whether every instance refuses the ending request."""
     content = content_of(path)
-    return all(crashes(site, entry).refuses(content) for entry in range(len(site.kernels)))
+    return all(crashes(site, entry).is_refused(content) for entry in range(len(site.kernels)))
 
 
 def is_known(site, runner_id):
--- a/tests/fleet_fixtures.py
+++ b/tests/fleet_fixtures.py
@@ -10,12 +10,12 @@
     StoreSight,
 )
 from egretstack.ids import InstanceId, RunnerId, RunnerName, ServiceName, ZoneName
-from egretstack.placing import Work
-from egretstack.routing import EnginePlan
+from egretstack.placing import GenerationRequest
+from egretstack.routing import EngineConfig
 
 ENGINES = ServiceName("match-llm")
 PLAIN = ServiceName("desk-app")
-ENGINE = EnginePlan(
+ENGINE = EngineConfig(
     batch_slots=24,
     kv_capacity_tokens=34_000,
     kv_token_bytes=327_680,
@@ -23,7 +23,7 @@
     moves=True,
     backups=True,
     tokens_per_event=4,
-    copy_life_s=5.0,
+    copy_ttl_s=5.0,
 )
 
 
@@ -76,4 +76,4 @@
     """Give a generation that wants an engine."""
     names = tuple(RunnerId(one) for one in excluded)
     terms = (patience_s, wait_s, prompt_id, names, account, zones)
-    return Work(attempt, ENGINES, prompt, most, hint, rank, *terms)
+    return GenerationRequest(attempt, ENGINES, prompt, most, hint, rank, *terms)
--- a/tests/test_cold_ration.py
+++ b/tests/test_cold_ration.py
@@ -8,8 +8,8 @@
 
 from egretstack.fleet import RunnerTable
 from egretstack.ids import InstanceId, RunnerId
-from egretstack.placing import ColdRation, FleetSplit, Placement, Placer, SendPart
-from egretstack.routing import ColdPlan
+from egretstack.placing import ColdAllocation, FleetSplit, Placement, Placer, SendOrigin
+from egretstack.routing import ColdStartConfig
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.store_reading import StoreReading
 from tests.fleet_fixtures import ENGINE, PLAIN, runner, work
@@ -32,9 +32,9 @@
     names = [InstanceId(f"entry-{one}") for one in range(instances)]
     split = FleetSplit(names[number])
     split.others = tuple(name for name in names if name != names[number])
-    split.heard = len(split.others) if heard is None else heard
-    ration = ColdRation(split, table, bounds)
-    ration.plan = lambda service: ColdPlan(START_S, per_s)
+    split.reachable = len(split.others) if heard is None else heard
+    ration = ColdAllocation(split, table, bounds)
+    ration.plan = lambda service: ColdStartConfig(START_S, per_s)
     return ration
 
 
@@ -44,7 +44,7 @@
     for step in range(300):
         now_s = step * 0.01
         while ration.allows(now_s, one, part):
-            ration.sent(now_s, one.id, part)
+            ration.record_sent(now_s, one.id, part)
             times.append(now_s)
     return max(
         (sum(begin <= at < begin + 1.0 for at in times) for begin in times),
@@ -73,14 +73,14 @@
     for number, heard in ((0, near - 1), (instances - 1, instances - near - 1)):
         if heard >= 0:
             ration = ration_of(table, number, instances, heard=heard, per_s=per_s, bounds=bounds)
-            most += sent_in_a_second(ration, one, SendPart.HOME)
+            most += sent_in_a_second(ration, one, SendOrigin.HOME)
     whole = per_s * overage + slack
-    for part, before in ((SendPart.ALONE, most), (SendPart.PLAIN, 0)):
+    for part, before in ((SendOrigin.ALONE, most), (SendOrigin.PLAIN, 0)):
         total = before
         for number in range(instances):
             ration = ration_of(table, number, instances, per_s=per_s, bounds=bounds)
             while ration.allows(0.0, one, part):
-                ration.sent(0.0, one.id, part)
+                ration.record_sent(0.0, one.id, part)
                 total += 1
         check.assertLessEqual(total, whole)
 
@@ -88,7 +88,7 @@
 def test_the_home_of_a_whole_fleet_gives_a_cold_runner_what_it_bears():
     one = runner("a", cold_s=60.0)
     ration = ration_of(table_of(one), instances=74)
-    check.assertEqual(sent_in_a_second(ration, one, SendPart.HOME), 27)
+    check.assertEqual(sent_in_a_second(ration, one, SendOrigin.HOME), 27)
 
 
 def test_a_runner_that_is_warm_or_not_bound_gets_what_is_sent():
@@ -100,8 +100,8 @@
         (ration_of(table, bounds=replace(BOUNDS, cold_overage=None)), cold),
     ):
         for _ in range(500):
-            ration.sent(0.0, one.id, SendPart.PLAIN)
-        check.assertTrue(ration.allows(0.0, one, SendPart.PLAIN))
+            ration.record_sent(0.0, one.id, SendOrigin.PLAIN)
+        check.assertTrue(ration.allows(0.0, one, SendOrigin.PLAIN))
 
 
 def test_a_runner_is_cold_for_as_long_as_its_entry_said():
@@ -131,7 +131,7 @@
     table = table_of(cold, warm)
     placer = Placer(table, random.Random(1), ration_of(table, per_s=3.0))
     placed = [
-        placer.place(0.0, work(f"w-{n}", prompt=200, hint=20), ENGINE, whole=True)
+        placer.place(0.0, work(f"w-{n}", prompt=200, hint=20), ENGINE, fleet_wide=True)
         for n in range(20)
     ]
     check.assertTrue(all(isinstance(one, Placement) for one in placed))
@@ -145,7 +145,7 @@
     got = []
     for step in range(30):
         attempt = work(f"w-{step}", prompt=100, hint=20)
-        decided = placer.place(step * 0.1, attempt, ENGINE, whole=True)
+        decided = placer.place(step * 0.1, attempt, ENGINE, fleet_wide=True)
         got.append(isinstance(decided, Placement))
     check.assertEqual(sum(got[:10]), 2)
     check.assertGreaterEqual(sum(got), 5)
@@ -155,7 +155,7 @@
     one, other = runner("a", PLAIN, cold_s=60.0), runner("b", PLAIN, cold_s=60.0)
     table = table_of(one, other)
     allowed = [
-        [ration_of(table, n, 74).allows(0.0, it, SendPart.PLAIN) for n in range(74)]
+        [ration_of(table, n, 74).allows(0.0, it, SendOrigin.PLAIN) for n in range(74)]
         for it in (one, other)
     ]
     for row in allowed:
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -8,10 +8,10 @@
     CrashReports,
     CrashTable,
     Strike,
-    clear_of,
-    record_of,
+    clear_from_row,
+    record_from_row,
     record_row,
-    strike_of,
+    strike_from_row,
     strike_row,
     strike_weight,
 )
@@ -39,7 +39,7 @@
 def struck(*strikes):
     table = CrashTable()
     for one in strikes:
-        table.strike(one.ended_s, "c", one)
+        table.record_strike(one.ended_s, "c", one)
     return table
 
 
@@ -52,15 +52,15 @@
 
 @given(records)
 def test_a_record_comes_back_from_its_row(record):
-    check.assertEqual(record_of(record_row(record)), record)
+    check.assertEqual(record_from_row(record_row(record)), record)
 
 
 def test_a_request_is_refused_once_three_runners_have_ended_under_it():
     table = struck(end("a", 0, 1), end("b", 2, 3))
-    check.assertFalse(table.refuses("c"))
-    check.assertTrue(table.strike(5, "c", end("c", 4, 5)))
-    check.assertTrue(table.refuses("c"))
-    check.assertFalse(table.refuses("other"))
+    check.assertFalse(table.is_refused("c"))
+    check.assertTrue(table.record_strike(5, "c", end("c", 4, 5)))
+    check.assertTrue(table.is_refused("c"))
+    check.assertFalse(table.is_refused("other"))
 
 
 def test_one_end_told_again_and_again_counts_once():
@@ -70,13 +70,13 @@
 
 def test_equal_requests_at_runners_that_end_together_are_no_cause():
     table = struck(end("a", 0, 5), end("b", 1, 5.1), end("c", 2, 5.2), end("d", 3, 5.3))
-    check.assertFalse(table.refuses("c"))
-    table.strike(7, "c", end("e", 6, 7))
-    check.assertTrue(table.refuses("c"))
+    check.assertFalse(table.is_refused("c"))
+    table.record_strike(7, "c", end("e", 6, 7))
+    check.assertTrue(table.is_refused("c"))
 
 
 def test_ends_that_are_told_out_of_order_recur_all_the_same():
-    check.assertTrue(struck(end("c", 6, 7), end("b", 3, 4), end("a", 0, 1)).refuses("c"))
+    check.assertTrue(struck(end("c", 6, 7), end("b", 3, 4), end("a", 0, 1)).is_refused("c"))
 
 
 def test_a_long_stream_that_goes_on_at_copies_is_a_less_likely_cause():
@@ -84,75 +84,75 @@
     check.assertEqual(strike_weight(1.0, 1.0 + EARLY_S), EARLY_WEIGHT)
     check.assertEqual(strike_weight(1.0, 1.1 + EARLY_S), LATE_WEIGHT)
     late = [end(f"r-{n}", 2 * n, 2 * n + 1, LATE_WEIGHT) for n in range(6)]
-    check.assertFalse(struck(*late[:5]).refuses("c"))
-    check.assertTrue(struck(*late).refuses("c"))
+    check.assertFalse(struck(*late[:5]).is_refused("c"))
+    check.assertTrue(struck(*late).is_refused("c"))
 
 
 def test_an_answer_clears_a_request_and_outdates_what_was_told_before():
     table = struck(end("a", 0, 1), end("b", 2, 3))
     check.assertEqual(table.clear(4, "c"), 1)
     check.assertIsNone(table.clear(4, "c"))
-    check.assertFalse(table.strike(4, "c", end("b", 2, 3)))
-    check.assertFalse(table.suspects("c"))
-    table.strike(6, "c", end("d", 5, 6, number=1))
-    check.assertTrue(table.suspects("c"))
-    check.assertFalse(table.refuses("c"))
+    check.assertFalse(table.record_strike(4, "c", end("b", 2, 3)))
+    check.assertFalse(table.is_suspected("c"))
+    table.record_strike(6, "c", end("d", 5, 6, number=1))
+    check.assertTrue(table.is_suspected("c"))
+    check.assertFalse(table.is_refused("c"))
 
 
 def test_another_instances_answer_clears_only_what_is_held():
     table = struck(end("a", 0, 1))
-    check.assertTrue(table.take_clear(2, "c", 1))
-    check.assertFalse(table.take_clear(2, "c", 1))
-    check.assertFalse(table.take_clear(2, "unknown", 1))
+    check.assertTrue(table.merge_clear(2, "c", 1))
+    check.assertFalse(table.merge_clear(2, "c", 1))
+    check.assertFalse(table.merge_clear(2, "unknown", 1))
     check.assertEqual(len(table), 1)
 
 
 def test_a_run_after_a_restart_recurs():
     table = CrashTable()
-    table.take(0, "c", CrashRecord(0, {"a": 2, "b": 2}, False))
-    check.assertFalse(table.refuses("c"))
-    table.strike(3, "c", end("d", 2, 3))
-    check.assertTrue(table.refuses("c"))
+    table.merge_record(0, "c", CrashRecord(0, {"a": 2, "b": 2}, False))
+    check.assertFalse(table.is_refused("c"))
+    table.record_strike(3, "c", end("d", 2, 3))
+    check.assertTrue(table.is_refused("c"))
 
 
 def test_whoever_waits_for_a_runner_hears_of_the_refusal():
     table = struck(end("a", 0, 1), end("b", 2, 3))
     woken = []
-    with table.told_when_refused("c", lambda: woken.append(True)):
-        table.strike(5, "c", end("d", 4, 5))
+    with table.notify_when_refused("c", lambda: woken.append(True)):
+        table.record_strike(5, "c", end("d", 4, 5))
     check.assertEqual(woken, [True])
-    table.strike(7, "c", end("e", 6, 7))
+    table.record_strike(7, "c", end("e", 6, 7))
     check.assertEqual(woken, [True])
 
 
 def test_old_records_go_and_the_most_suspected_stay():
     table = struck(end("a", 0, 1), end("b", 2, 3), end("d", 4, 5))
     for number in range(MAX_RECORDS + 10):
-        table.strike(10, f"x-{number}", end("z", 0, 10))
+        table.record_strike(10, f"x-{number}", end("z", 0, 10))
     check.assertEqual(len(table), MAX_RECORDS)
-    check.assertTrue(table.refuses("c"))
-    table.forget_old(10 + KEEP_SINGLE_S + 1)
+    check.assertTrue(table.is_refused("c"))
+    table.forget_expired(10 + KEEP_SINGLE_S + 1)
     check.assertEqual(len(table), 1)
-    table.forget_old(6 + KEEP_S)
-    check.assertFalse(table.refuses("c"))
+    table.forget_expired(6 + KEEP_S)
+    check.assertFalse(table.is_refused("c"))
 
 
 def test_only_ends_that_recur_outlive_the_processes():
     table = struck(end("a", 0, 1))
-    check.assertEqual(table.lasting(), {})
-    table.strike(3, "c", end("b", 2, 3))
-    check.assertEqual(set(table.lasting()), {"c"})
+    check.assertEqual(table.durable_records(), {})
+    table.record_strike(3, "c", end("b", 2, 3))
+    check.assertEqual(set(table.durable_records()), {"c"})
 
 
 def test_a_report_repeats_what_was_found_for_a_while():
     reports = CrashReports()
-    reports.struck("c", end("a", 0.0, 1.0, number=2))
-    reports.cleared(2.0, "d", 3)
+    reports.record_strike("c", end("a", 0.0, 1.0, number=2))
+    reports.record_clear(2.0, "d", 3)
     [row] = reports.strike_rows(1.5)
-    content, strike = strike_of(row, 101.5)
+    content, strike = strike_from_row(row, 101.5)
     check.assertEqual((content, strike.runner, strike.round), ("c", "a", 2))
     check.assertAlmostEqual(strike.ended_s, 101.0)
-    check.assertEqual([clear_of(one) for one in reports.clear_rows(2.0)], [("d", 3)])
+    check.assertEqual([clear_from_row(one) for one in reports.clear_rows(2.0)], [("d", 3)])
     check.assertEqual(reports.strike_rows(1.1 + REPEAT_S), [])
     check.assertEqual(reports.clear_rows(2.1 + REPEAT_S), [])
 
@@ -188,10 +188,10 @@
         [0, {"a": 2}, 1],
         [0, {f"r-{n}": 2 for n in range(MAX_RUNNERS + 1)}, True],
     ]
-    check.assertEqual(record_of(good).weight, 2)
+    check.assertEqual(record_from_row(good).weight, 2)
     for row in bad_records:
         with check.assertRaises(MessageError, msg=row):
-            record_of(row)
+            record_from_row(row)
     strike = strike_row("c", end("a", 0, 1), 2.0)
     bad_strikes = [
         None,
@@ -200,10 +200,10 @@
     ]
     for row in bad_strikes:
         with check.assertRaises(MessageError, msg=row):
-            strike_of(row, 2.0)
+            strike_from_row(row, 2.0)
     for row in (None, ["c"], ["c", 0], ["c", -1], ["c", "1"], [1, 1], ["c", 2**40]):
         with check.assertRaises(MessageError, msg=row):
-            clear_of(row)
+            clear_from_row(row)
 
 
 BAD_PARTS = [(0, 5), (0, ""), (1, None), (2, "x"), (3, 1.5), (4, 9), (4, "2"), (5, -1), (5, None)]
--- a/tests/test_crash_sharing.py
+++ b/tests/test_crash_sharing.py
@@ -85,7 +85,7 @@
         site.kernels.clear()
         await site.start_entry(1)
         await site.until_ready()
-        await site.until(lambda: crashes(site).suspects(content_of(PATH)))
+        await site.until(lambda: crashes(site).is_suspected(content_of(PATH)))
         await send_again_and_again(site, PATH, 4, tag="f", headers=GENERATION)
         check.assertEqual(begun(site), ENDS)
 
@@ -173,7 +173,7 @@
             one.ends_under = None
         site.store.remove(KIND, content_of(PATH))
         await site.until(
-            lambda: not any(crashes(site, entry).refuses(content_of(PATH)) for entry in range(2))
+            lambda: not any(crashes(site, entry).is_refused(content_of(PATH)) for entry in range(2))
         )
         check.assertEqual((await send_ending(site, PATH, "e-9", 1, headers=GENERATION))[0], 200)
 
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -54,16 +54,16 @@
         for attempt, (asked_s, wanted) in list(self.waiting.items()):
             if now_s - asked_s > WAIT_S:
                 del self.waiting[attempt]
-                self.placer.ended(attempt)
+                self.placer.remove(attempt)
             else:
-                self.placer.wait(now_s, wanted, ENGINE)
-        for one in self.placer.settle(now_s):
+                self.placer.enqueue(now_s, wanted, ENGINE)
+        for one in self.placer.place_waiting(now_s):
             _, placed = self.waiting.pop(one.attempt)
             self.served[placed.account] = self.served.get(placed.account, 0) + 1
             run = Run(placed, one.placement.runner, None, started=True)
             self.runs[one.attempt] = (now_s + RUN_S, run)
         self.runs = {name: it for name, it in self.runs.items() if it[0] > now_s}
-        self.placer.book.reported(OWN, [run for _, run in self.runs.values()])
+        self.placer.registry.record_report(OWN, [run for _, run in self.runs.values()])
 
     def _share(self, accounts):
         asked = sum(self.asked.get(one, 0) for one in accounts)
@@ -85,6 +85,6 @@
     one = Play()
     for number in range(8):
         one.placer.place(
-            0.0, work(f"w-{number}", account=f"account-{number % 3}"), ENGINE, whole=True
+            0.0, work(f"w-{number}", account=f"account-{number % 3}"), ENGINE, fleet_wide=True
         )
-    check.assertEqual(one.placer.book.crowding_accounts(), frozenset())
+    check.assertEqual(one.placer.registry.crowding_accounts(), frozenset())
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -5,9 +5,9 @@
 
 from egretstack.fleet import Instance, nearest
 from egretstack.ids import InstanceId, RegionName, ZoneName
-from egretstack.placing import work_of, work_row
+from egretstack.placing import request_from_row, request_row
 from egretstack.platform import BadBody, decode_configuration
-from egretstack.routing import common_homes
+from egretstack.routing import common_regions
 from egretstack.services.directory_port import DirectoryPort
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.store_reading import StoreReading
@@ -48,11 +48,11 @@
 
 
 def test_where_route_and_account_are_bound_both_bind():
-    check.assertEqual(common_homes(*decoded(["bajio", "pacifico"], ["pacifico"])), {PACIFICO})
-    check.assertEqual(common_homes(*decoded(["bajio"], ["pacifico"])), frozenset())
-    check.assertEqual(common_homes(*decoded([], ["pacifico"])), {PACIFICO})
-    check.assertIsNone(common_homes(*decoded([])))
-    check.assertEqual(common_homes(decoded(["bajio"])[0], None), {BAJIO})
+    check.assertEqual(common_regions(*decoded(["bajio", "pacifico"], ["pacifico"])), {PACIFICO})
+    check.assertEqual(common_regions(*decoded(["bajio"], ["pacifico"])), frozenset())
+    check.assertEqual(common_regions(*decoded([], ["pacifico"])), {PACIFICO})
+    check.assertIsNone(common_regions(*decoded([])))
+    check.assertEqual(common_regions(decoded(["bajio"])[0], None), {BAJIO})
 
 
 def test_regions_that_no_operator_writes_are_refused():
@@ -68,7 +68,7 @@
 def test_the_zones_of_a_generation_go_with_it_to_the_home():
     for zones in (None, frozenset(), frozenset({COLIMA})):
         one = work("w", zones=zones)
-        check.assertEqual(work_of(work_row(one)), one)
+        check.assertEqual(request_from_row(request_row(one)), one)
 
 
 @on_real_clock
--- a/tests/test_limit_ration.py
+++ b/tests/test_limit_ration.py
@@ -6,7 +6,7 @@
 from egretstack.fleet import RunnerLimits, RunnerTable, limit_of
 from egretstack.ids import InstanceId, RunnerId
 from egretstack.messages import MessageError
-from egretstack.placing import FleetSplit, LimitRation, SendPart
+from egretstack.placing import FleetSplit, LimitAllocation, SendOrigin
 from tests.fleet_fixtures import runner
 from tests.limited_site import OVERAGE, SLACK, WINDOW_S
 from tests.support import check, tests_of
@@ -22,13 +22,13 @@
     """Give one instance's ration of a runner that all know to be limited."""
     split = FleetSplit(InstanceId(f"entry-{number}"))
     split.others = tuple(InstanceId(f"entry-{one}") for one in range(instances) if one != number)
-    split.heard = instances - 1 if heard is None else heard
+    split.reachable = instances - 1 if heard is None else heard
     table = RunnerTable()
     one = runner("a")
     table.take(0.0, [one], 1, 0.0)
     limits = RunnerLimits()
     limits.heard(0.0, A, per_s, 0.0)
-    return LimitRation(split, table, limits), one
+    return LimitAllocation(split, table, limits), one
 
 
 def sent_at(ration, one, *parts):
@@ -38,7 +38,7 @@
         now_s = step * STEP_S
         for part in parts:
             while ration.allows(now_s, one, part):
-                ration.sent(now_s, one.id, part)
+                ration.record_sent(now_s, one.id, part)
                 times.append(now_s)
     return times
 
@@ -65,11 +65,11 @@
         heard = heard_by_home.get(number)
         ration, one = ration_of(number, instances, heard=heard, per_s=per_s)
         if plain:
-            times += sent_at(ration, one, SendPart.PLAIN)
+            times += sent_at(ration, one, SendOrigin.PLAIN)
         elif heard is None:
-            times += sent_at(ration, one, SendPart.CONTINUED)
+            times += sent_at(ration, one, SendOrigin.CONTINUED)
         else:
-            times += sent_at(ration, one, SendPart.HOME, SendPart.CONTINUED)
+            times += sent_at(ration, one, SendOrigin.HOME, SendOrigin.CONTINUED)
     check.assertLessEqual(most_in_a_window(times), OVERAGE * per_s * WINDOW_S + SLACK)
 
 
@@ -79,21 +79,21 @@
     # Guards against parts that leave a limited runner idle, however large the fleet.
     if plain:
         parts = [ration_of(number, instances, per_s=per_s) for number in range(instances)]
-        rates = [one[0]._allowance(A, SendPart.PLAIN).per_s for one in parts]
+        rates = [one[0]._allowance(A, SendOrigin.PLAIN).per_s for one in parts]
     else:
-        rates = [ration_of(0, instances, per_s=per_s)[0]._allowance(A, SendPart.HOME).per_s]
+        rates = [ration_of(0, instances, per_s=per_s)[0]._allowance(A, SendOrigin.HOME).per_s]
     check.assertGreater(sum(rates), 0.85 * per_s)
     check.assertLessEqual(sum(rates), per_s)
 
 
 def test_a_runner_that_takes_many_gets_several_at_once():
     # Guards against callers that are refused one by one where a runner takes hundreds a second.
-    for part in (SendPart.HOME, SendPart.PLAIN):
+    for part in (SendOrigin.HOME, SendOrigin.PLAIN):
         ration, one = ration_of(instances=6, per_s=100.0)
         ration.allows(0.0, one, part)
         sent = 0
         while ration.allows(1.0, one, part):
-            ration.sent(1.0, A, part)
+            ration.record_sent(1.0, A, part)
             sent += 1
         check.assertGreater(sent, 10)
 
@@ -101,15 +101,15 @@
 def test_a_runner_that_takes_nothing_is_asked_now_and_then():
     # Guards against a limit of nothing that nobody ever hears taken back.
     ration, one = ration_of(per_s=0.0)
-    check.assertGreaterEqual(len(sent_at(ration, one, SendPart.PLAIN)), 2)
+    check.assertGreaterEqual(len(sent_at(ration, one, SendOrigin.PLAIN)), 2)
 
 
 def test_the_time_until_a_limited_runner_takes_one_more_is_told():
     ration, one = ration_of(per_s=2.0)
-    check.assertEqual(ration.free_after_s(0.0, one, SendPart.PLAIN), 0.0)
-    ration.sent(0.0, A, SendPart.PLAIN)
-    check.assertAlmostEqual(ration.free_after_s(0.0, one, SendPart.PLAIN), 1 / 1.8)
-    check.assertAlmostEqual(ration.free_after_s(0.0, one, SendPart.PLAIN, 2), 3 / 1.8)
+    check.assertEqual(ration.time_until_allowed_s(0.0, one, SendOrigin.PLAIN), 0.0)
+    ration.record_sent(0.0, A, SendOrigin.PLAIN)
+    check.assertAlmostEqual(ration.time_until_allowed_s(0.0, one, SendOrigin.PLAIN), 1 / 1.8)
+    check.assertAlmostEqual(ration.time_until_allowed_s(0.0, one, SendOrigin.PLAIN, 2), 3 / 1.8)
 
 
 def test_a_limit_named_again_gives_no_second_start():
@@ -120,8 +120,8 @@
     for step in range(STEPS):
         now_s = step * STEP_S
         limits.heard(now_s, A, None if step % 4 == 3 else 1.0, now_s)
-        if step % 4 != 3 and ration.allows(now_s, one, SendPart.PLAIN):
-            ration.sent(now_s, A, SendPart.PLAIN)
+        if step % 4 != 3 and ration.allows(now_s, one, SendOrigin.PLAIN):
+            ration.record_sent(now_s, A, SendOrigin.PLAIN)
             times.append(now_s)
     check.assertLessEqual(most_in_a_window(times), OVERAGE * WINDOW_S + SLACK)
 
--- a/tests/test_move_turns.py
+++ b/tests/test_move_turns.py
@@ -6,7 +6,7 @@
 
 from egretstack.fleet import MoveTurn
 from egretstack.ids import RunnerId
-from egretstack.placing import MoveTurns
+from egretstack.placing import MovePermits
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.placing_home import PlacingHome
 from standins.platform import EngineFault, runner_spec
@@ -24,14 +24,14 @@
 def test_a_run_that_has_ended_does_not_keep_its_turn():
     # The engine's other runs would wait for as long as a turn may last, which is longer than the
     # engine's notice: the news that the run ended was lost.
-    turns = MoveTurns()
-    check.assertTrue(turns.ask(0.0, SOURCE, "ended", 1.0))
-    check.assertFalse(turns.ask(0.1, SOURCE, "next", 2.0))
-    turns.free_ended(SOURCE, lambda attempt: attempt == "other")
+    turns = MovePermits()
+    check.assertTrue(turns.request(0.0, SOURCE, "ended", 1.0))
+    check.assertFalse(turns.request(0.1, SOURCE, "next", 2.0))
+    turns.release_ended(SOURCE, lambda attempt: attempt == "other")
     check.assertEqual(turns.holder(SOURCE), "ended")
-    turns.free_ended(SOURCE, lambda attempt: attempt == "ended")
+    turns.release_ended(SOURCE, lambda attempt: attempt == "ended")
     check.assertIsNone(turns.holder(SOURCE))
-    check.assertTrue(turns.ask(0.1, SOURCE, "next", 2.0))
+    check.assertTrue(turns.request(0.1, SOURCE, "next", 2.0))
 
 
 @on_real_clock
@@ -45,7 +45,7 @@
         home, other = sorted(site.kernels, key=lambda one: not one.get(FleetPort).is_home())
         service = home.get(PlacingHome)
         await site.until(lambda: home.get(FleetPort).address_of(other.settings.instance))
-        service._turns.ask(trio.current_time(), SOURCE, "s-ended", 0.0)
+        service._turns.request(trio.current_time(), SOURCE, "s-ended", 0.0)
         check.assertEqual(service._turns.holder(SOURCE), "s-ended")
         service._answer(other.settings.instance, MoveTurn("s-ended", SOURCE, "i-llm-9"))
         await site.until(lambda: service._turns.holder(SOURCE) is None)
@@ -90,8 +90,8 @@
         site.register(target.runner_id, "llm", target.address, DRAINING)
         await site.until(lambda: not table.is_ready(RunnerId(target.runner_id)))
         readers = [await read(site, name, 3) for name in ("s-1", "s-2")]
-        run = home.placer.book.run("s-1")
-        run.work = _huge(run.work)
+        run = home.placer.registry.find_run("s-1")
+        run.request = _huge(run.request)
         source, target = site.engines[0], site.engines[1]
         target.fault = EngineFault.NONE
         site.store.remove("servers", target.runner_id)
--- a/tests/test_promises_properties.py
+++ b/tests/test_promises_properties.py
@@ -186,12 +186,12 @@
     for number, (attempt, prompt, rank, patience_s, gives_up) in enumerate(steps):
         name = f"w{attempt}"
         if gives_up:
-            one.ended(name)
+            one.remove(name)
             places.pop(name, None)
         elif name not in places:
             asked = work(name, prompt=prompt, rank=rank, patience_s=patience_s, prompt_id=name)
-            one.wait(number * 0.01, asked, ENGINE)
-        for placed in one.settle(number * 0.01):
+            one.enqueue(number * 0.01, asked, ENGINE)
+        for placed in one.place_waiting(number * 0.01):
             check.assertNotIn(placed.attempt, places)
             places[placed.attempt] = Run(work(placed.attempt), placed.placement.runner, None)
         runs = [run.runner for run in places.values()]
--- a/tests/test_runner_crashes.py
+++ b/tests/test_runner_crashes.py
@@ -163,7 +163,7 @@
             await replace_ended(site, f"e{number}")
         for reader in beside:
             await reader.ended.wait()
-            check.assertFalse(crashes(site).refuses(reader.content()))
+            check.assertFalse(crashes(site).is_refused(reader.content()))
         check.assertTrue(any(not reader.broken for reader in beside))
 
 
@@ -230,9 +230,9 @@
         runner.runner_id = "i-behind"
         await site.until(lambda: is_known(site, "i-behind"))
         await send_ending(site, "/holds/1", "e-1")
-        check.assertFalse(crashes(site).suspects(content_of("/holds/1")))
+        check.assertFalse(crashes(site).is_suspected(content_of("/holds/1")))
         site.store.remove("servers", "i-behind")
-        await site.until(lambda: crashes(site).suspects(content_of("/holds/1")))
+        await site.until(lambda: crashes(site).is_suspected(content_of("/holds/1")))
 
 
 @on_real_clock
@@ -242,11 +242,11 @@
         end_under_it(site)
         await send_again_and_again(site, "/notes/1", 1)
         content = content_of("/notes/1")
-        await site.until(lambda: all(crashes(site, n).suspects(content) for n in range(2)))
+        await site.until(lambda: all(crashes(site, n).is_suspected(content) for n in range(2)))
         for one in site.plain:
             one.ends_under = None
         check.assertEqual((await send_ending(site, "/notes/1", "e-9", 1))[0], 200)
-        await site.until(lambda: not any(crashes(site, n).suspects(content) for n in range(2)))
+        await site.until(lambda: not any(crashes(site, n).is_suspected(content) for n in range(2)))
 
 
 def refuse(site, content):
--- a/tests/test_runner_rests.py
+++ b/tests/test_runner_rests.py
@@ -4,7 +4,7 @@
 
 from egretstack.fleet import RunnerTable
 from egretstack.http1 import first_value
-from egretstack.placing import RunnerRests, SendPart
+from egretstack.placing import RunnerBackoffs, SendOrigin
 from standins.platform import GENERATION, StoreFault
 from tests.fleet_fixtures import runner
 from tests.limited_site import ask_steadily
@@ -159,13 +159,13 @@
     table = RunnerTable()
     one = runner("a")
     table.take(0.0, [one], 1, 0.0)
-    rests = RunnerRests(table)
-    rests.asked(1.0, one.id, 3.0)
-    rests.asked(1.5, one.id, 1.0)
-    for part in (SendPart.PLAIN, SendPart.ALONE, SendPart.CONTINUED):
+    rests = RunnerBackoffs(table)
+    rests.record_requested(1.0, one.id, 3.0)
+    rests.record_requested(1.5, one.id, 1.0)
+    for part in (SendOrigin.PLAIN, SendOrigin.ALONE, SendOrigin.CONTINUED):
         check.assertFalse(rests.allows(3.9, one, part))
-        check.assertEqual(rests.free_after_s(3.0, one, part), 1.0)
+        check.assertEqual(rests.time_until_allowed_s(3.0, one, part), 1.0)
         check.assertTrue(rests.allows(4.0, one, part))
-    check.assertTrue(rests.allows(2.0, one, SendPart.HOME))
-    check.assertEqual(rests.resting(2.0), {one.id})
-    check.assertEqual(rests.resting(4.0), set())
+    check.assertTrue(rests.allows(2.0, one, SendOrigin.HOME))
+    check.assertEqual(rests.in_backoff(2.0), {one.id})
+    check.assertEqual(rests.in_backoff(4.0), set())
--- a/tests/test_runner_strikes.py
+++ b/tests/test_runner_strikes.py
@@ -10,7 +10,7 @@
     Placer,
     PlainBalancer,
     RecentAnswers,
-    count_of,
+    count_from_row,
     count_row,
 )
 from egretstack.services.fleet_port import FleetPort
@@ -37,37 +37,37 @@
 
 def test_two_breaks_anywhere_in_the_fleet_make_a_suspect():
     strikes = FleetStrikes()
-    strikes.reported(0.0, InstanceId("e-1"), counts(0, 1))
+    strikes.record_report(0.0, InstanceId("e-1"), counts(0, 1))
     check.assertEqual(strikes.suspects(0.0), frozenset())
-    strikes.reported(0.1, InstanceId("e-2"), counts(0, 1))
+    strikes.record_report(0.1, InstanceId("e-2"), counts(0, 1))
     check.assertEqual(strikes.suspects(0.1), {BAD})
 
 
 def test_a_few_spoilt_answers_in_a_hundred_make_no_suspect():
     strikes = FleetStrikes()
     for number in range(9):
-        strikes.reported(0.0, InstanceId(f"e-{number}"), counts(9, number % 4 == 0))
+        strikes.record_report(0.0, InstanceId(f"e-{number}"), counts(9, number % 4 == 0))
     check.assertEqual(strikes.suspects(0.0), frozenset())
 
 
 def test_a_suspect_is_cleared_by_an_answer_after_its_last_break():
     strikes = FleetStrikes()
-    strikes.reported(0.0, InstanceId("e-1"), counts(0, 3))
+    strikes.record_report(0.0, InstanceId("e-1"), counts(0, 3))
     check.assertEqual(strikes.suspects(0.0), {BAD})
-    strikes.reported(1.2, InstanceId("e-1"), [])
+    strikes.record_report(1.2, InstanceId("e-1"), [])
     check.assertEqual(strikes.suspects(5.0), {BAD})
-    strikes.reported(5.1, InstanceId("e-1"), counts(1, 1))
+    strikes.record_report(5.1, InstanceId("e-1"), counts(1, 1))
     check.assertEqual(strikes.suspects(5.1), {BAD})
-    strikes.reported(6.7, InstanceId("e-1"), counts(1, 0))
+    strikes.record_report(6.7, InstanceId("e-1"), counts(1, 0))
     check.assertEqual(strikes.suspects(6.7), frozenset())
 
 
 def test_a_suspected_engine_is_tried_again_after_a_rest():
     # It gets nothing, so that no answer can clear it; left alone for good it would be lost.
     strikes = FleetStrikes()
-    strikes.reported(0.0, InstanceId("e-1"), counts(0, 2))
+    strikes.record_report(0.0, InstanceId("e-1"), counts(0, 2))
     check.assertEqual(strikes.suspects(0.0, {BAD}), {BAD})
-    strikes.reported(0.5, InstanceId("e-1"), [])
+    strikes.record_report(0.5, InstanceId("e-1"), [])
     check.assertEqual(strikes.suspects(3.9, {BAD}), {BAD})
     check.assertEqual(strikes.suspects(4.1), {BAD})
     check.assertEqual(strikes.suspects(4.1, {BAD}), frozenset())
@@ -78,20 +78,20 @@
     table.take(0.0, [runner("a"), runner("b")], 1, 0.0)
     table.suspects = frozenset({BAD})
     placer = Placer(table, random.Random(1))
-    places = [placer.place(0.0, work(f"w-{n}"), ENGINE, whole=True).runner for n in range(4)]
+    places = [placer.place(0.0, work(f"w-{n}"), ENGINE, fleet_wide=True).runner for n in range(4)]
     check.assertEqual(set(places), {"b"})
     table.take(0.1, [runner("a")], 2, 0.1)
-    check.assertEqual(placer.place(0.1, work("w-9"), ENGINE, whole=True).runner, BAD)
+    check.assertEqual(placer.place(0.1, work("w-9"), ENGINE, fleet_wide=True).runner, BAD)
 
 
 def test_counts_end_with_the_window():
     recent = RecentAnswers()
-    recent.note(0.0, BAD, broke=True)
-    recent.note(0.8, BAD, broke=False)
+    recent.record(0.0, BAD, broke=True)
+    recent.record(0.8, BAD, broke=False)
     check.assertEqual(recent.counts(0.9), counts(1, 1))
     check.assertEqual(recent.counts(1.5), counts(1, 0))
     check.assertEqual(recent.counts(9.0), [])
-    check.assertEqual([count_of(count_row(one)) for one in counts(3, 4)], counts(3, 4))
+    check.assertEqual([count_from_row(count_row(one)) for one in counts(3, 4)], counts(3, 4))
 
 
 def test_a_suspect_gets_only_what_may_be_repeated_and_little_of_that():
@@ -128,12 +128,14 @@
         one = balancers[number]
         chosen = one.choose(now_s, runners, suspects, repeatable=repeatable)
         broke = chosen.id == BAD and rng.random() < 0.5
-        one.sent(chosen.id)
-        one.recent.note(now_s, chosen.id, broke=broke)
-        one.ended(now_s, chosen.id, failed=broke)
+        one.record_sent(chosen.id)
+        one.recent_answers.record(now_s, chosen.id, broke=broke)
+        one.record_ended(now_s, chosen.id, failed=broke)
         lost += broke and not repeatable
         if shared:
-            strikes.reported(now_s, InstanceId(f"e-{number}"), one.recent.counts(now_s))
+            strikes.record_report(
+                now_s, InstanceId(f"e-{number}"), one.recent_answers.counts(now_s)
+            )
             told.append((now_s + TOLD_S, strikes.suspects(now_s)))
     return lost
 
