--- a/egretstack/crashes/__init__.py
+++ b/egretstack/crashes/__init__.py
@@ -1,4 +1,4 @@
-"""Requests under which runners end, and when no runner gets one any more; pure."""
+"""Detects requests that crash their runners, and when to refuse them. Does no I/O."""
 
 from egretstack.crashes._record import (
     REFUSE_WEIGHT,
--- a/egretstack/crashes/_table.py
+++ b/egretstack/crashes/_table.py
@@ -1,4 +1,4 @@
-"""The records of all requests that one instance knows of; pure, with the time passed in."""
+"""The crash records that one instance knows. Does no I/O; the time is passed in."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -8,15 +8,16 @@
 from egretstack.ids import ContentId
 
 MAX_RECORDS = 512
-"""Records that are kept and told, some 40 bytes each on the wire; the least suspected go first."""
-KEEP_S = 3600.0
-"""Time without an end of a runner after which a request is given another try."""
-KEEP_SINGLE_S = 300.0
-"""The same for a request that was in progress at one end only."""
+"""Maximum number of records that are kept and sent, some 40 bytes each on the wire. The least
+suspected are dropped first."""
+RECORD_TTL_S = 3600.0
+"""Time without another strike after which a request is tried again."""
+SINGLE_STRIKE_TTL_S = 300.0
+"""The same for a request with a strike from a single runner."""
 
 
 @dataclass(slots=True)
-class _Known:
+class _Entry:
     record: CrashRecord = field(default_factory=CrashRecord)
     changed_s: float = float("-inf")
     first_ended_s: float = float("inf")
@@ -24,125 +25,131 @@
 
 
 class CrashTable:
-    """Records by content."""
+    """Crash records by content id, the fingerprint of a request."""
 
     def __init__(self) -> None:
-        self._known_by_content: dict[ContentId, _Known] = {}
-        self._waiting_by_content: dict[ContentId, set[Callable[[], None]]] = {}
+        self._entry_by_content: dict[ContentId, _Entry] = {}
+        self._callbacks_by_content: dict[ContentId, set[Callable[[], None]]] = {}
 
     def __len__(self) -> int:
-        return len(self._known_by_content)
+        return len(self._entry_by_content)
 
     def record(self, content: ContentId) -> CrashRecord | None:
-        """Give what is known of a request; None if nothing is."""
-        known = self._known_by_content.get(content)
-        return None if known is None else known.record
+        """Return the crash record of a request; None if there is none."""
+        entry = self._entry_by_content.get(content)
+        return None if entry is None else entry.record
 
     def is_refused(self, content: ContentId) -> bool:
-        """Tell whether no runner may get a request."""
-        known = self._known_by_content.get(content)
-        return known is not None and known.record.is_refused
+        """Return whether no runner may get a request."""
+        entry = self._entry_by_content.get(content)
+        return entry is not None and entry.record.is_refused
 
     def is_suspected(self, content: ContentId) -> bool:
-        """Tell whether a runner has ended while it ran a request, which nothing has cleared."""
-        known = self._known_by_content.get(content)
-        return known is not None and known.record.weight > 0
+        """Return whether a runner ended while it ran a request, and no answer cleared it since."""
+        entry = self._entry_by_content.get(content)
+        return entry is not None and entry.record.weight > 0
 
     def refused_count(self) -> int:
-        """Give how many requests no runner may get."""
-        return sum(one.record.is_refused for one in self._known_by_content.values())
+        """Return how many requests no runner may get."""
+        return sum(entry.record.is_refused for entry in self._entry_by_content.values())
 
     def round(self, content: ContentId) -> int:
-        """Give the round for which an end of a runner counts now."""
-        known = self._known_by_content.get(content)
-        return 0 if known is None else known.record.round
+        """Return the round in which a strike against a request counts now."""
+        entry = self._entry_by_content.get(content)
+        return 0 if entry is None else entry.record.round
 
     def record_strike(self, now_s: float, content: ContentId, strike: Strike) -> bool:
-        """Note that a runner ended while it ran a request; tell whether that is news."""
+        """Record that a runner ended while it ran a request; return whether the record changed."""
         if strike.round < self.round(content):
             return False
-        known = self._known_by_content.setdefault(content, _Known())
-        known.first_ended_s = min(known.first_ended_s, strike.ended_s)
-        known.last_sent_s = max(known.last_sent_s, strike.sent_s)
-        recurred = known.last_sent_s >= known.first_ended_s
+        entry = self._entry_by_content.setdefault(content, _Entry())
+        entry.first_ended_s = min(entry.first_ended_s, strike.ended_s)
+        entry.last_sent_s = max(entry.last_sent_s, strike.sent_s)
+        recurred = entry.last_sent_s >= entry.first_ended_s
         record = CrashRecord(strike.round, {strike.runner: strike.weight}, recurred)
         return self._merge(now_s, content, record)
 
     def clear(self, now_s: float, content: ContentId) -> int | None:
-        """Note that a runner answered a request; give the round, None if nothing was held of it."""
-        known = self._known_by_content.get(content)
-        if known is None or not known.record.weight:
+        """Clear a request that a runner answered.
+
+        Returns its new round, or None if there were no strikes against it.
+        """
+        entry = self._entry_by_content.get(content)
+        if entry is None or not entry.record.weight:
             return None
-        record = known.record.cleared()
+        record = entry.record.cleared()
         self._merge(now_s, content, record)
         return record.round
 
     def merge_record(self, now_s: float, content: ContentId, record: CrashRecord) -> bool:
-        """Take what another instance or the store knows; tell whether it is news."""
-        known = self._known_by_content.setdefault(content, _Known())
+        """Merge a record of another instance or the store; return whether the record changed."""
+        entry = self._entry_by_content.setdefault(content, _Entry())
         if record.weight:
-            known.first_ended_s = min(known.first_ended_s, now_s)
+            entry.first_ended_s = min(entry.first_ended_s, now_s)
         return self._merge(now_s, content, record)
 
     def merge_clear(self, now_s: float, content: ContentId, cleared_round: int) -> bool:
-        """Take it that another instance cleared a request; tell whether it is news."""
-        if content not in self._known_by_content:
+        """Apply another instance's clear of a known request; return whether the record changed."""
+        if content not in self._entry_by_content:
             return False
         return self._merge(now_s, content, CrashRecord(cleared_round))
 
     def shared_records(self) -> dict[ContentId, CrashRecord]:
-        """Give the records that every instance has to know; any may answer or break the request."""
-        return {content: known.record for content, known in self._known_by_content.items()}
+        """Return the records for all instances; any of them may get an answer or a broken run."""
+        return {content: entry.record for content, entry in self._entry_by_content.items()}
 
     def durable_records(self) -> dict[ContentId, CrashRecord]:
-        """Give the records that have to outlive every process.
+        """Return the records that have to survive the end of all processes.
 
-        A single end is left out: of a runner that ends by itself, all runs would be recorded.
+        Records with a single runner are left out: otherwise all runs on a runner that ends by
+        itself would be stored.
         """
         return {
-            content: known.record
-            for content, known in self._known_by_content.items()
-            if len(known.record.weight_by_runner) > 1
+            content: entry.record
+            for content, entry in self._entry_by_content.items()
+            if len(entry.record.weight_by_runner) > 1
         }
 
     def forget_expired(self, now_s: float) -> None:
-        """Forget what nothing was heard of for long."""
-        for content, known in list(self._known_by_content.items()):
-            keep_s = KEEP_S if len(known.record.weight_by_runner) > 1 else KEEP_SINGLE_S
-            if now_s - known.changed_s > keep_s:
-                del self._known_by_content[content]
+        """Forget records that have not changed for a long time."""
+        for content, entry in list(self._entry_by_content.items()):
+            ttl_s = RECORD_TTL_S if len(entry.record.weight_by_runner) > 1 else SINGLE_STRIKE_TTL_S
+            if now_s - entry.changed_s > ttl_s:
+                del self._entry_by_content[content]
 
     @contextmanager
-    def notify_when_refused(self, content: ContentId, wake: Callable[[], None]) -> Iterator[None]:
-        """Call `wake` if a request is refused while the context lasts."""
-        waiting = self._waiting_by_content.setdefault(content, set())
-        waiting.add(wake)
+    def notify_when_refused(
+        self, content: ContentId, callback: Callable[[], None]
+    ) -> Iterator[None]:
+        """Call `callback` if a request is refused while the context is active."""
+        callbacks = self._callbacks_by_content.setdefault(content, set())
+        callbacks.add(callback)
         try:
             yield
         finally:
-            waiting.discard(wake)
-            if not waiting:
-                self._waiting_by_content.pop(content, None)
+            callbacks.discard(callback)
+            if not callbacks:
+                self._callbacks_by_content.pop(content, None)
 
     def _merge(self, now_s: float, content: ContentId, record: CrashRecord) -> bool:
-        known = self._known_by_content[content]
-        merged = known.record.merged(record)
-        if merged == known.record:
+        entry = self._entry_by_content[content]
+        merged = entry.record.merged(record)
+        if merged == entry.record:
             return False
-        if merged.round > known.record.round:
-            known.first_ended_s, known.last_sent_s = float("inf"), float("-inf")
-        known.record, known.changed_s = merged, now_s
+        if merged.round > entry.record.round:
+            entry.first_ended_s, entry.last_sent_s = float("inf"), float("-inf")
+        entry.record, entry.changed_s = merged, now_s
         if merged.is_refused:
-            for wake in tuple(self._waiting_by_content.get(content, ())):
-                wake()
-        self._drop_least()
+            for callback in tuple(self._callbacks_by_content.get(content, ())):
+                callback()
+        self._drop_least_important()
         return True
 
-    def _drop_least(self) -> None:
-        while len(self._known_by_content) > MAX_RECORDS:
-            least = min(self._known_by_content, key=self._importance)
-            del self._known_by_content[least]
+    def _drop_least_important(self) -> None:
+        while len(self._entry_by_content) > MAX_RECORDS:
+            least = min(self._entry_by_content, key=self._importance)
+            del self._entry_by_content[least]
 
     def _importance(self, content: ContentId) -> tuple[bool, int, float]:
-        known = self._known_by_content[content]
-        return known.record.is_refused, known.record.weight, known.changed_s
+        entry = self._entry_by_content[content]
+        return entry.record.is_refused, entry.record.weight, entry.changed_s
--- a/egretstack/placing/_loads.py
+++ b/egretstack/placing/_loads.py
@@ -8,36 +8,36 @@
 
 @dataclass(slots=True)
 class EngineLoad:
-    """What one engine has to do."""
+    """The load of one engine; memory is counted in tokens."""
 
     runs: int = 0
     held_tokens: float = 0.0
-    """Memory that its runs take now or soon."""
+    """Memory that its runs use now or soon."""
     copy_tokens: float = 0.0
-    """Memory that copies of runs elsewhere take now or soon."""
+    """Memory that copies of runs on other engines use now or soon."""
     pending_prefills: int = 0
-    """Runs that wait for their first token."""
+    """Runs whose first token has not come yet."""
     prefilled_at_s: float = 0.0
-    """When all prompts sent so far are forecast to have been read."""
+    """Forecast time at which all prompts sent so far are processed."""
 
     @property
     def used_tokens(self) -> float:
-        """Memory that runs and copies take."""
+        """Memory that runs and copies use."""
         return self.held_tokens + self.copy_tokens
 
     def prefill_wait_s(self, now_s: float) -> float:
-        """Give how long a prompt sent now waits before it is read."""
+        """Return how long a prompt sent now waits before it is processed."""
         return max(0.0, self.prefilled_at_s - now_s)
 
 
 def load_row(runner: RunnerId, load: EngineLoad, now_s: float) -> list:
-    """Give the row of a load for a message."""
+    """Return a load as a row for a message."""
     wait_ms = round(load.prefill_wait_s(now_s) * 1000)
     return [runner, load.runs, round(load.held_tokens), round(load.copy_tokens), wait_ms]
 
 
 def load_from_row(row: object, now_s: float) -> tuple[RunnerId, EngineLoad]:
-    """Read the row of a load. Raises MessageError."""
+    """Parse the row of a load. Raises MessageError."""
     try:
         runner, runs, held, copies, wait_ms = row
         load = EngineLoad(int(runs), float(held), float(copies))
--- a/egretstack/placing/_run.py
+++ b/egretstack/placing/_run.py
@@ -1,4 +1,4 @@
-"""A generation that wants an engine, and one that has one."""
+"""Generations that need an engine, and generations that run on one."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationRequest:
-    """A generation that wants an engine."""
+    """A generation that needs an engine."""
 
     attempt: str
     service: ServiceName
@@ -16,27 +16,27 @@
     max_output_tokens: int
     length_hint: int | None
     rank: int
-    """0 is the most urgent."""
+    """0 is the max_output urgent."""
     first_token_budget_s: float
-    """Time left until the first token comes late for the caller."""
+    """Time left until the first token is late for the caller."""
     max_wait_s: float
-    """How long the caller may be kept waiting for room."""
+    """How long the request may wait for a place."""
     prompt_id: str = ""
-    """The same for a caller that comes back after a refusal; empty if it can't be told."""
+    """Identifies the prompt of a caller that returns after a refusal; empty if not known."""
     excluded: tuple[RunnerId, ...] = ()
     account: str = ""
     """The client account; empty if the route needs none."""
     zones: frozenset[ZoneName] | None = None
-    """The availability zones in which alone it may run; None if it may anywhere."""
+    """The only availability zones in which it may run; None if it may run anywhere."""
 
     def may_run_in(self, zone: ZoneName) -> bool:
-        """Tell whether a runner of this zone may run it."""
+        """Return whether a runner in this zone may run it."""
         return self.zones is None or zone in self.zones
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a generation runs, and where its memory is copied meanwhile."""
+    """The engine that runs a generation, and the one that holds its backup copy, if any."""
 
     runner: RunnerId
     backup: RunnerId | None
@@ -44,44 +44,44 @@
 
 @dataclass(slots=True)
 class Run:
-    """A generation on an engine, as its instance last told of it."""
+    """A generation in progress on an engine, as its instance last reported it."""
 
     request: GenerationRequest
     runner: RunnerId
     backup: RunnerId | None
     generated_tokens: int = 0
     started: bool = False
-    """Whether its first token came."""
+    """Whether its first token has come."""
 
 
-def request_row(work: GenerationRequest) -> list:
-    """Give the row of a work for a message."""
+def request_row(request: GenerationRequest) -> list:
+    """Return a request as a row for a message."""
     return [
-        work.attempt,
-        work.service,
-        work.prompt_tokens,
-        work.max_output_tokens,
-        work.length_hint,
-        work.rank,
-        round(work.first_token_budget_s * 1000),
-        round(work.max_wait_s * 1000),
-        work.prompt_id,
-        list(work.excluded),
-        work.account,
-        None if work.zones is None else sorted(work.zones),
+        request.attempt,
+        request.service,
+        request.prompt_tokens,
+        request.max_output_tokens,
+        request.length_hint,
+        request.rank,
+        round(request.first_token_budget_s * 1000),
+        round(request.max_wait_s * 1000),
+        request.prompt_id,
+        list(request.excluded),
+        request.account,
+        None if request.zones is None else sorted(request.zones),
     ]
 
 
 def request_from_row(row: object) -> GenerationRequest:
-    """Read the row of a work. Raises MessageError."""
+    """Parse the row of a request. Raises MessageError."""
     try:
-        attempt, service, prompt, most, hint, rank, patience_ms, wait_ms, *rest = row
+        attempt, service, prompt, max_output, hint, rank, patience_ms, wait_ms, *rest = row
         prompt_id, excluded, account, zones = rest
         return GenerationRequest(
             str(attempt),
             ServiceName(str(service)),
             int(prompt),
-            int(most),
+            int(max_output),
             None if hint is None else int(hint),
             int(rank),
             int(patience_ms) / 1000,
@@ -92,19 +92,21 @@
             None if zones is None else frozenset(ZoneName(str(one)) for one in zones),
         )
     except (TypeError, ValueError) as error:
-        raise MessageError(f"not a work: {error}") from error
+        raise MessageError(f"not a generation request: {error}") from error
 
 
 def run_row(run: Run) -> list:
-    """Give the row of a run for a message."""
+    """Return a run as a row for a message."""
     return [request_row(run.request), run.runner, run.backup, run.generated_tokens, run.started]
 
 
 def run_from_row(row: object) -> Run:
-    """Read the row of a run. Raises MessageError."""
+    """Parse the row of a run. Raises MessageError."""
     try:
-        work, runner, backup, made, started = row
+        request, runner, backup, generated, started = row
         copy = None if backup is None else RunnerId(str(backup))
-        return Run(request_from_row(work), RunnerId(str(runner)), copy, int(made), bool(started))
+        return Run(
+            request_from_row(request), RunnerId(str(runner)), copy, int(generated), bool(started)
+        )
     except (TypeError, ValueError) as error:
         raise MessageError(f"not a run: {error}") from error
--- a/egretstack/placing/_send_bounds.py
+++ b/egretstack/placing/_send_bounds.py
@@ -1,4 +1,4 @@
-"""What bounds how many requests a runner gets; pure, with the time passed in."""
+"""Limits on how many requests a runner gets. Does no I/O; the time is passed in."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable
@@ -9,71 +9,71 @@
 
 
 class SendOrigin(Enum):
-    """Who decides on a request, and so which part of a bound it draws on."""
+    """Who decides to send a request; determines which allocation of a limit it uses."""
 
     HOME = "home"
     """The home places it, for any instance."""
     ALONE = "alone"
-    """An instance places it at an engine because the home is silent."""
+    """An instance places it on an engine itself because the home does not answer."""
     CONTINUED = "continued"
-    """An instance lets a stream go on where its copy is."""
+    """An instance continues a stream on the engine that holds its copy."""
     PLAIN = "plain"
-    """An instance sends it to a plain runner, for which nobody places."""
+    """An instance sends it to a plain runner; such calls are not placed by the home."""
 
 
 class SendBound(ABC):
-    """Bounds what runners get, for one reason."""
+    """A limit on what runners get."""
 
     @abstractmethod
-    def allows(self, now_s: float, runner: Runner, part: SendOrigin) -> bool:
-        """Tell whether one more request may go to a runner."""
+    def allows(self, now_s: float, runner: Runner, origin: SendOrigin) -> bool:
+        """Return whether a runner may get one more request."""
 
     @abstractmethod
     def time_until_allowed_s(
-        self, now_s: float, runner: Runner, part: SendOrigin, ahead: int = 0
+        self, now_s: float, runner: Runner, origin: SendOrigin, ahead: int = 0
     ) -> float:
-        """Give when a request may go to a runner, `ahead` others before it; 0 if at once."""
+        """Return the time until a runner may get a request after `ahead` others; 0 if now."""
 
     @abstractmethod
-    def record_sent(self, now_s: float, runner_id: RunnerId, part: SendOrigin) -> None:
-        """Note a request that goes to a runner."""
+    def record_sent(self, now_s: float, runner_id: RunnerId, origin: SendOrigin) -> None:
+        """Record a request that is sent to a runner."""
 
     @abstractmethod
     def forget_removed(self) -> None:
         """Forget runners that are no longer known."""
 
     def is_rate_limited(self, runner: Runner) -> bool:
-        """Tell whether a runner takes too little to go on there with streams that broke off."""
+        """Return whether a runner accepts too few requests to continue broken streams on it."""
         return False
 
 
 class CombinedSendBounds(SendBound):
-    """Several bounds, all of which hold."""
+    """Several limits that apply together."""
 
     def __init__(self, bounds: Iterable[SendBound]) -> None:
         self._bounds = tuple(bounds)
 
-    def allows(self, now_s: float, runner: Runner, part: SendOrigin) -> bool:
-        """Tell whether one more request may go to a runner."""
-        return all(one.allows(now_s, runner, part) for one in self._bounds)
+    def allows(self, now_s: float, runner: Runner, origin: SendOrigin) -> bool:
+        """Return whether a runner may get one more request."""
+        return all(bound.allows(now_s, runner, origin) for bound in self._bounds)
 
     def time_until_allowed_s(
-        self, now_s: float, runner: Runner, part: SendOrigin, ahead: int = 0
+        self, now_s: float, runner: Runner, origin: SendOrigin, ahead: int = 0
     ) -> float:
-        """Give when a request may go to a runner, `ahead` others before it; 0 if at once."""
-        times = (one.time_until_allowed_s(now_s, runner, part, ahead) for one in self._bounds)
+        """Return the time until a runner may get a request after `ahead` others; 0 if now."""
+        times = (bound.time_until_allowed_s(now_s, runner, origin, ahead) for bound in self._bounds)
         return max(times, default=0.0)
 
-    def record_sent(self, now_s: float, runner_id: RunnerId, part: SendOrigin) -> None:
-        """Note a request that goes to a runner."""
-        for one in self._bounds:
-            one.record_sent(now_s, runner_id, part)
+    def record_sent(self, now_s: float, runner_id: RunnerId, origin: SendOrigin) -> None:
+        """Record a request that is sent to a runner."""
+        for bound in self._bounds:
+            bound.record_sent(now_s, runner_id, origin)
 
     def forget_removed(self) -> None:
         """Forget runners that are no longer known."""
-        for one in self._bounds:
-            one.forget_removed()
+        for bound in self._bounds:
+            bound.forget_removed()
 
     def is_rate_limited(self, runner: Runner) -> bool:
-        """Tell whether a runner takes too little to go on there with streams that broke off."""
-        return any(one.is_rate_limited(runner) for one in self._bounds)
+        """Return whether a runner accepts too few requests to continue broken streams on it."""
+        return any(bound.is_rate_limited(runner) for bound in self._bounds)
--- a/egretstack/placing/_split.py
+++ b/egretstack/placing/_split.py
@@ -1,4 +1,4 @@
-"""How a bound on what a runner gets from the whole fleet is split among instances; pure."""
+"""How a fleet-wide limit on what a runner gets is split among the instances. Does no I/O."""
 
 from hashlib import blake2b
 
@@ -6,34 +6,34 @@
 
 
 class FleetSplit:
-    """One instance's place among all, however many of them live or are cut off."""
+    """This instance's share of the fleet, whether the other instances are reachable or not."""
 
     def __init__(self, own: InstanceId) -> None:
         self._own = own
         self.others: tuple[InstanceId, ...] = ()
-        """All other instances that were ever heard of, living or not."""
+        """All other known instances, live or not."""
         self.reachable = 0
-        """How many of them this instance hears now."""
+        """How many of them this instance currently receives reports from."""
 
     @property
     def instance_count(self) -> int:
-        """How many instances there are, this one among them."""
+        """The number of instances, including this one."""
         return 1 + len(self.others)
 
     @property
     def reachable_share(self) -> float:
-        """Part of the fleet that this instance hears: the homes of a split fleet add up to one."""
+        """Share of the fleet that this instance reaches; over a partition's homes it sums to 1."""
         return (1 + self.reachable) / self.instance_count
 
-    def is_sender(self, runner_id: RunnerId, most: int) -> bool:
-        """Tell whether this is one of `most` instances that send to a runner.
+    def is_sender(self, runner_id: RunnerId, max_senders: int) -> bool:
+        """Return whether this is one of the `max_senders` instances that may send to a runner.
 
-        Which ones goes by a hash of runner and instance, so that each runner has others.
+        They are chosen by a hash of runner and instance, so that each runner has different ones.
         """
-        if most >= self.instance_count:
+        if max_senders >= self.instance_count:
             return True
         own = _digest(runner_id, self._own)
-        return sum(_digest(runner_id, other) < own for other in self.others) < most
+        return sum(_digest(runner_id, other) < own for other in self.others) < max_senders
 
 
 def _digest(runner_id: RunnerId, instance: InstanceId) -> bytes:
--- a/egretstack/placing/_strikes.py
+++ b/egretstack/placing/_strikes.py
@@ -1,8 +1,8 @@
-"""Which plain runners break what they are sent, as the whole fleet sees it; pure.
+"""Detects plain runners that break requests, from the counts of the whole fleet. Does no I/O.
 
-A runner that resets connections may look healthy to its own check. Each instance by itself pays for
-finding out with a request or two, and one that may not be repeated is then lost; the larger the
-fleet, the more of them.
+A runner that resets connections may pass its health check. An instance that finds out by itself
+loses a request or two, for good if they may not be repeated; the larger the fleet, the more such
+requests are lost.
 """
 
 from collections import deque
@@ -13,25 +13,25 @@
 from egretstack.messages import MessageError
 
 WINDOW_S = 1.0
-"""How far back instances count what they were answered; several reports long."""
-SUSPECT_BREAKS = 2
+"""Time window over which instances count answers; several report periods."""
+MIN_SUSPECT_BREAKS = 2
 """Breaks within the window, over all instances, that make a suspect: one may be a lost packet."""
-SUSPECT_SHARE = 0.25
-"""Share of breaks from which a runner is suspected. Runners that spoil a few answers in a hundred
-go on; one that resets half of what it gets is found by the first few requests of the fleet."""
+MIN_SUSPECT_SHARE = 0.25
+"""Share of breaks from which a runner is suspected. A runner that breaks a few requests in a
+hundred stays in use; one that resets half of them is detected by the fleet's first few requests."""
 CLEAR_AFTER_S = 1.5
-"""Time without a break before a suspect may be cleared, and one answer has to have come since."""
-ENGINE_REST_S = 4.0
-"""Time without a break after which a suspected engine is tried again. Unlike a plain runner it gets
-nothing meanwhile, by whose answer it could be cleared; one that goes down and up does so every few
+"""Time without a break, and with at least one answer, after which a suspect may be cleared."""
+ENGINE_CLEAR_AFTER_S = 4.0
+"""Time without a break after which a suspected engine is used again. Unlike a plain runner it gets
+no requests meanwhile, so no answer can clear it. An engine that goes down and up does so every few
 seconds, and a prompt sent there is lost with its run."""
-MOST_COUNTED = 256
-"""Answers of one runner that an instance remembers; more come only in a burst."""
+MAX_COUNTED = 256
+"""Answers of one runner that an instance remembers; only a burst has more."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerCount:
-    """What one runner made of an instance's calls of the last moment."""
+    """How many of an instance's recent calls one runner answered and broke."""
 
     runner: RunnerId
     answered: int
@@ -39,18 +39,18 @@
 
 
 class RecentAnswers:
-    """One instance's calls of the last moment, by runner."""
+    """The outcomes of one instance's recent calls, by runner."""
 
     def __init__(self) -> None:
         self._outcomes_by_id: dict[RunnerId, deque[tuple[float, bool]]] = {}
 
     def record(self, now_s: float, runner_id: RunnerId, *, broke: bool) -> None:
-        """Note that a runner answered, in whatever way, or broke what it was sent."""
-        outcomes = self._outcomes_by_id.setdefault(runner_id, deque(maxlen=MOST_COUNTED))
+        """Record that a runner answered a call, in whatever way, or broke it."""
+        outcomes = self._outcomes_by_id.setdefault(runner_id, deque(maxlen=MAX_COUNTED))
         outcomes.append((now_s, broke))
 
     def counts(self, now_s: float) -> list[AnswerCount]:
-        """Give the counts of the window, of the runners that were called in it."""
+        """Return the counts of the runners that were called in the window."""
         counts = []
         for runner_id, outcomes in list(self._outcomes_by_id.items()):
             while outcomes and now_s - outcomes[0][0] > WINDOW_S:
@@ -64,39 +64,40 @@
 
 
 class FleetStrikes:
-    """The home's view of all instances' counts."""
+    """The counts of all instances, from which the home derives suspects."""
 
     def __init__(self) -> None:
         self._counts_by_instance: dict[InstanceId, tuple[float, tuple[AnswerCount, ...]]] = {}
         self._broke_s_by_id: dict[RunnerId, float] = {}
-        """When each suspect was last told to have broken a call."""
+        """When each suspect was last reported to have broken a call."""
 
     def record_report(
         self, now_s: float, instance: InstanceId, counts: Iterable[AnswerCount]
     ) -> None:
-        """Take an instance's counts, in place of its earlier ones."""
+        """Replace an instance's counts."""
         self._counts_by_instance[instance] = (now_s, tuple(counts))
 
     def suspects(self, now_s: float, engines: Collection[RunnerId] = ()) -> frozenset[RunnerId]:
-        """Give the runners to which nothing goes that may not be repeated.
+        """Return the runners that get no calls that may not be repeated.
 
-        `engines` among them get nothing at all. One that breaks several streams at once has
-        crashed; its reports show that some 1.5 s later, and what goes there until then is lost.
+        Those of them in `engines` get no requests at all. An engine that breaks several streams at
+        once has crashed; its reports show that some 1.5 s later, and requests sent there until then
+        are lost.
         """
         answered, broke = self._sums(now_s)
         for runner_id, breaks in broke.items():
             share = breaks / (breaks + answered.get(runner_id, 0))
             known = runner_id in self._broke_s_by_id
-            if (known and breaks) or (breaks >= SUSPECT_BREAKS and share >= SUSPECT_SHARE):
+            if (known and breaks) or (breaks >= MIN_SUSPECT_BREAKS and share >= MIN_SUSPECT_SHARE):
                 self._broke_s_by_id[runner_id] = now_s
         for runner_id, broke_s in list(self._broke_s_by_id.items()):
-            rested = runner_id in engines and now_s - broke_s > ENGINE_REST_S
-            if rested or (now_s - broke_s > CLEAR_AFTER_S and answered.get(runner_id)):
+            expired = runner_id in engines and now_s - broke_s > ENGINE_CLEAR_AFTER_S
+            if expired or (now_s - broke_s > CLEAR_AFTER_S and answered.get(runner_id)):
                 del self._broke_s_by_id[runner_id]
         return frozenset(self._broke_s_by_id)
 
     def retain(self, kept: Iterable[RunnerId]) -> None:
-        """Forget runners that are not among those kept."""
+        """Forget runners that are not in `kept`."""
         kept = set(kept)
         for runner_id in set(self._broke_s_by_id) - kept:
             del self._broke_s_by_id[runner_id]
@@ -104,23 +105,23 @@
     def _sums(self, now_s: float) -> tuple[dict[RunnerId, int], dict[RunnerId, int]]:
         answered: dict[RunnerId, int] = {}
         broke: dict[RunnerId, int] = {}
-        for instance, (told_s, counts) in list(self._counts_by_instance.items()):
-            if now_s - told_s > WINDOW_S:
+        for instance, (received_s, counts) in list(self._counts_by_instance.items()):
+            if now_s - received_s > WINDOW_S:
                 del self._counts_by_instance[instance]
                 continue
-            for one in counts:
-                answered[one.runner] = answered.get(one.runner, 0) + one.answered
-                broke[one.runner] = broke.get(one.runner, 0) + one.broke
+            for count in counts:
+                answered[count.runner] = answered.get(count.runner, 0) + count.answered
+                broke[count.runner] = broke.get(count.runner, 0) + count.broke
         return answered, broke
 
 
 def count_row(count: AnswerCount) -> list:
-    """Give the row of a count for a message."""
+    """Return a count as a row for a message."""
     return [count.runner, count.answered, count.broke]
 
 
 def count_from_row(row: object) -> AnswerCount:
-    """Read the row of a count. Raises MessageError."""
+    """Parse the row of a count. Raises MessageError."""
     try:
         runner, answered, broke = row
         return AnswerCount(RunnerId(str(runner)), max(0, int(answered)), max(0, int(broke)))
--- a/egretstack/placing/_wait_list.py
+++ b/egretstack/placing/_wait_list.py
@@ -1,8 +1,8 @@
-"""Generations that wait at the home for room, in the order in which they go.
+"""Queue of generations that wait at the home for a place.
 
-What can still be in time goes first. A caller that was refused and comes back is late from its
-first attempt on; served before those that are in time, it makes the next one late, and on engines
-that stay full nobody is in time any more.
+Requests whose first token can still be in time go first. A caller that was refused and returns is
+late from its first attempt on. If it were served before those that are in time, it would make the
+next one late, and on engines that stay full no request would be in time any more.
 """
 
 from collections.abc import Collection, Iterator
@@ -11,99 +11,101 @@
 from egretstack.placing._run import GenerationRequest
 from egretstack.routing import EngineConfig
 
-FORGET_S = 0.8
-"""How long a work waits after its last question; it asks again several times in that time."""
+REQUEST_TTL_S = 0.8
+"""How long a request stays queued after it was last sent; it is sent several times in that time."""
 MAX_WAITING = 4096
-REMEMBER_S = 40.0
-"""How long a caller that went away without a place is known again: a long request's deadline."""
+PROMPT_TTL_S = 40.0
+"""How long a caller that left without a place is remembered: the deadline of a long request."""
 
 
 @dataclass(slots=True)
-class Waiting:
-    """One work that waits."""
+class QueuedRequest:
+    """A generation request that waits for a place."""
 
-    work: GenerationRequest
+    request: GenerationRequest
     engine: EngineConfig
     order: tuple[int, float]
-    """Rank, then the time of the first question."""
+    """Rank, then the time at which it first came."""
     in_time_until_s: float
     """When its first token is late, counted from its caller's first attempt."""
-    asked_s: float
+    requested_s: float
 
-    def is_late(self, now_s: float, read_s: float) -> bool:
-        """Tell whether its first token comes late on any engine, if reading takes `read_s`."""
-        return now_s + read_s > self.in_time_until_s
+    def is_late(self, now_s: float, prefill_s: float) -> bool:
+        """Return whether its first token is late on any engine if the prefill takes `prefill_s`."""
+        return now_s + prefill_s > self.in_time_until_s
 
 
-class WaitList:
-    """Works by attempt."""
+class WaitQueue:
+    """Queued requests by attempt."""
 
     def __init__(self) -> None:
-        self._by_attempt: dict[str, Waiting] = {}
+        self._by_attempt: dict[str, QueuedRequest] = {}
         self._in_time_until_s_by_prompt: dict[str, float] = {}
-        """Of callers that wait or went away without a place, the first to ask first."""
+        """For callers that wait or left without a place, in the order in which they first came."""
 
     def __len__(self) -> int:
         return len(self._by_attempt)
 
-    def ask(self, now_s: float, work: GenerationRequest, engine: EngineConfig) -> None:
-        """Note a work that asks for room, for the first time or again."""
-        known = self._by_attempt.get(work.attempt)
-        if known is not None:
-            known.work, known.asked_s = work, now_s
+    def enqueue(self, now_s: float, request: GenerationRequest, engine: EngineConfig) -> None:
+        """Add a request, or refresh it if it is already queued."""
+        queued = self._by_attempt.get(request.attempt)
+        if queued is not None:
+            queued.request, queued.requested_s = request, now_s
         elif len(self._by_attempt) < MAX_WAITING:
-            until_s = self._in_time_until_s(now_s, work)
-            self._by_attempt[work.attempt] = Waiting(
-                work, engine, (work.rank, now_s), until_s, now_s
+            until_s = self._in_time_until_s(now_s, request)
+            self._by_attempt[request.attempt] = QueuedRequest(
+                request, engine, (request.rank, now_s), until_s, now_s
             )
 
-    def before(self, work: GenerationRequest) -> int:
-        """Give how many other works for the same service wait."""
-        service, attempt = work.service, work.attempt
+    def count_others(self, request: GenerationRequest) -> int:
+        """Return how many other requests for the same service wait."""
+        service, attempt = request.service, request.attempt
         waiting = self._by_attempt.values()
-        return sum(one.work.service == service and one.work.attempt != attempt for one in waiting)
+        return sum(
+            one.request.service == service and one.request.attempt != attempt for one in waiting
+        )
 
-    def drop(self, attempt: str) -> None:
-        """Take a work out for which nobody waits any more."""
+    def remove(self, attempt: str) -> None:
+        """Remove a request for which no caller waits any more."""
         self._by_attempt.pop(attempt, None)
 
-    def placed(self, attempt: str) -> None:
-        """Take a work out that has a place; its caller owes nothing to an earlier refusal."""
-        waiting = self._by_attempt.pop(attempt, None)
-        if waiting is not None:
-            self._in_time_until_s_by_prompt.pop(waiting.work.prompt_id, None)
+    def remove_placed(self, attempt: str) -> None:
+        """Remove a request that got a place; its caller's earlier refusal no longer counts."""
+        queued = self._by_attempt.pop(attempt, None)
+        if queued is not None:
+            self._in_time_until_s_by_prompt.pop(queued.request.prompt_id, None)
 
     def in_order(
         self, now_s: float, prefill_per_s: float, crowding: Collection[str] = ()
-    ) -> Iterator[Waiting]:
-        """Give the works that still wait, the first to go first.
+    ) -> Iterator[QueuedRequest]:
+        """Return the requests that still wait, the first to be placed first.
 
-        Those of `crowding` client accounts go behind the others of their rank.
+        Those of `crowding` client accounts come after the others of their rank.
         """
         for attempt in [
-            one for one, it in self._by_attempt.items() if now_s - it.asked_s > FORGET_S
+            one for one, it in self._by_attempt.items() if now_s - it.requested_s > REQUEST_TTL_S
         ]:
             del self._by_attempt[attempt]
 
-        def order(one: Waiting) -> tuple[bool, int, bool, float]:
-            late = one.is_late(now_s, one.work.prompt_tokens / prefill_per_s)
-            rank, asked_s = one.order
-            return late, rank, one.work.account in crowding, asked_s
+        def order(queued: QueuedRequest) -> tuple[bool, int, bool, float]:
+            late = queued.is_late(now_s, queued.request.prompt_tokens / prefill_per_s)
+            rank, first_s = queued.order
+            return late, rank, queued.request.account in crowding, first_s
 
         yield from sorted(self._by_attempt.values(), key=order)
 
     def prompt_tokens(self) -> float:
-        """Give the prompts of all that wait, together."""
-        return sum(one.work.prompt_tokens for one in self._by_attempt.values())
+        """Return the total length of all queued prompts."""
+        return sum(one.request.prompt_tokens for one in self._by_attempt.values())
 
-    def _in_time_until_s(self, now_s: float, work: GenerationRequest) -> float:
-        """Give when a work is late; a prompt that was here before keeps its first time."""
-        until_s = now_s + work.first_token_budget_s
-        if not work.prompt_id:
+    def _in_time_until_s(self, now_s: float, request: GenerationRequest) -> float:
+        """Return when a request is late; a prompt that came before keeps its first time."""
+        until_s = now_s + request.first_token_budget_s
+        if not request.prompt_id:
             return until_s
         known = self._in_time_until_s_by_prompt
-        for prompt_id in [one for one, it in known.items() if now_s - it > REMEMBER_S]:
+        for prompt_id in [one for one, it in known.items() if now_s - it > PROMPT_TTL_S]:
             del known[prompt_id]
         if len(known) >= MAX_WAITING:
             known.pop(next(iter(known)))
-        return known.setdefault(work.prompt_id, until_s)
+        return known.setdefault(request.prompt_id, until_s)
--- a/egretstack/routing/__init__.py
+++ b/egretstack/routing/__init__.py
@@ -1,4 +1,4 @@
-"""What an operator's configuration says: routes, services, client accounts, and which one wins."""
+"""The operator's configuration: routes, services, client accounts, and which version applies."""
 
 from egretstack.routing._model import (
     ClientAccount,
--- a/egretstack/routing/_model.py
+++ b/egretstack/routing/_model.py
@@ -8,12 +8,12 @@
 
 
 class RouteKind(Enum):
-    """What may be repeated: it follows from the route, never from the request's method."""
+    """Whether requests may be repeated: set by the route, never by the request's method."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
     STREAM = "stream"
-    """A stream of events; not idempotent either."""
+    """A stream of events; not idempotent."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests go to which services, and under what terms."""
+    """Which requests go to which services, and with which limits."""
 
     name: str
     host: str
@@ -38,41 +38,41 @@
     rank: int
     """0 is the most urgent."""
     max_sends: int
-    """Most runners that one request may be sent to."""
+    """Maximum number of runners that one request may be sent to."""
     anonymous: bool
-    """Whether requests need no key."""
+    """Whether requests are accepted without a key."""
     resumable: bool
-    """Whether a caller may ask for the rest of a stream it has seen in part."""
+    """Whether a caller may request the rest of a stream that it received in part."""
     gap_target_s: float | None
-    """Longest pause between two events for which a stream is still on time."""
+    """Longest pause between two events with which a stream is still in time."""
     allowed_regions: frozenset[RegionName] = frozenset()
-    """Regions whose runners alone may run its requests; empty if all may."""
+    """The only regions whose runners may run its requests; empty for all regions."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineConfig:
-    """What all engines of a service have in common."""
+    """The properties that all engines of a service share."""
 
     batch_slots: int
     kv_capacity_tokens: int
     kv_token_bytes: int
     link_mbps: float
-    """Rate at which an engine's memory is copied to another, Mbit/s."""
+    """Rate at which memory is copied from one engine to another, in Mbit/s."""
     moves: bool
     backups: bool
     tokens_per_event: int
     copy_ttl_s: float
-    """How long an engine keeps a copied run that nobody continues."""
+    """How long an engine keeps a copied run that is not continued."""
 
 
 @dataclass(frozen=True, slots=True)
 class ColdStartConfig:
-    """How runners that are cold have to be treated."""
+    """Limits for runners that have just started."""
 
     warm_up_s: float
-    """How long a runner is cold after it has started."""
+    """How long a runner is cold after its start."""
     requests_per_s: float
-    """What a cold one bears; 0 if it bears what a warm one does."""
+    """Rate that a cold runner can handle; 0 if it can handle as much as a warm one."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,25 +92,25 @@
 
     name: AccountId
     rank: int | None
-    """Goes before a route's rank; None leaves the order to the route."""
+    """Overrides the route's rank; None for the route's rank."""
     allowed_regions: frozenset[RegionName] = frozenset()
-    """Regions whose runners alone may run its requests; empty if all may."""
+    """The only regions whose runners may run its requests; empty for all regions."""
 
 
 def common_regions(route: Route, account: ClientAccount | None) -> frozenset[RegionName] | None:
-    """Give the regions in which a request may run; None if all, empty if none.
+    """Return the regions in which a request may run; None for all regions, empty for none.
 
-    Where both the route and the account have some, both bind.
+    If both the route and the account restrict the regions, both restrictions apply.
     """
-    bound = [
+    restrictions = [
         one for one in (route.allowed_regions, account.allowed_regions if account else None) if one
     ]
-    return frozenset.intersection(*bound) if bound else None
+    return frozenset.intersection(*restrictions) if restrictions else None
 
 
 @dataclass(frozen=True)
 class RoutingConfiguration:
-    """One accepted configuration, whole."""
+    """One complete accepted configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -118,4 +118,4 @@
     account_by_key_digest: dict[str, ClientAccount]
     limits: ServerLimits
     has_accounts: bool
-    """Whether requests need a key, but for routes that are anonymous."""
+    """Whether requests need a key, except on anonymous routes."""
--- a/egretstack/routing/_table.py
+++ b/egretstack/routing/_table.py
@@ -1,4 +1,4 @@
-"""Finds the route and the client account of a request, and keeps versions from going back."""
+"""Finds the route and the client account of a request; rejects older configuration versions."""
 
 from hashlib import sha256
 
@@ -7,12 +7,12 @@
 
 
 def key_digest(key: str) -> str:
-    """Give the form in which a client account's key is kept."""
+    """Return the digest under which a client account's key is stored."""
     return sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 class RoutingTable:
-    """A configuration, indexed for look-ups. It never changes; a new version is a new table."""
+    """An immutable index of one configuration; each new version gets a new table."""
 
     def __init__(self, configuration: RoutingConfiguration) -> None:
         self.configuration = configuration
@@ -28,33 +28,33 @@
         return self.configuration.version
 
     def route(self, host: str, path: str) -> Route | None:
-        """Give the route of the host with the longest prefix of the path, or None."""
+        """Return the route of a host with the longest prefix that matches the path, or None."""
         for route in self._routes_by_host.get(_bare_host(host), ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
     def allowed_regions(self, host: str) -> frozenset[RegionName]:
-        """Give the regions in which requests to a host may run, as far as its routes bind them."""
+        """Return the union of the regions that a host's routes name; empty if none does."""
         routes = self._routes_by_host.get(_bare_host(host), ())
         return frozenset().union(*(route.allowed_regions for route in routes))
 
     def service(self, name: ServiceName) -> ServiceConfig | None:
-        """Give a service by name."""
+        """Return a service by name, or None."""
         return self.configuration.service_by_name.get(name)
 
     def account(self, key: str | None) -> ClientAccount | None:
-        """Give the client account that holds a key, or None."""
+        """Return the client account that a key belongs to, or None."""
         if key is None:
             return None
         return self.configuration.account_by_key_digest.get(key_digest(key))
 
 
 class VersionGate:
-    """The configuration in force; it moves to newer versions only.
+    """The configuration in force; replaced by newer versions only.
 
-    A store that answers from an older copy, or a peer that lags, would otherwise bring dropped
-    routes and revoked keys back.
+    Otherwise a store that answers from an older copy, or a peer that lags, would bring back removed
+    routes and revoked keys.
     """
 
     def __init__(self) -> None:
@@ -62,11 +62,11 @@
 
     @property
     def version(self) -> int:
-        """The version in force, 0 before the first."""
+        """The version in force; 0 before the first."""
         return 0 if self.table is None else self.table.version
 
     def offer(self, configuration: RoutingConfiguration) -> bool:
-        """Put a configuration in force if it is newer; tell whether it was."""
+        """Apply a configuration if it is newer; return whether it was."""
         if configuration.version <= self.version:
             return False
         self.table = RoutingTable(configuration)
--- a/egretstack/services/placing_home.py
+++ b/egretstack/services/placing_home.py
@@ -66,7 +66,7 @@
         settings: NodeSettings = kernel.settings
         self.split = FleetSplit(settings.instance)
         self.cold = ColdAllocation(self.split, self._port.runners, settings.bounds)
-        self.cold.plan = self._cold_plan
+        self.cold.config_for = self._cold_plan
         limits = LimitAllocation(self.split, self._port.runners, self._port.limits)
         self.rests = RunnerBackoffs(self._port.runners)
         self.bounds = CombinedSendBounds((self.cold, limits, self.rests))
--- a/tests/test_cold_ration.py
+++ b/tests/test_cold_ration.py
@@ -34,7 +34,7 @@
     split.others = tuple(name for name in names if name != names[number])
     split.reachable = len(split.others) if heard is None else heard
     ration = ColdAllocation(split, table, bounds)
-    ration.plan = lambda service: ColdStartConfig(START_S, per_s)
+    ration.config_for = lambda service: ColdStartConfig(START_S, per_s)
     return ration
 
 
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -16,8 +16,8 @@
     strike_weight,
 )
 from egretstack.crashes._record import EARLY_S, EARLY_WEIGHT, LATE_WEIGHT, MAX_RUNNERS
-from egretstack.crashes._reports import REPEAT_S
-from egretstack.crashes._table import KEEP_S, KEEP_SINGLE_S, MAX_RECORDS
+from egretstack.crashes._reports import REPEAT_PERIOD_S
+from egretstack.crashes._table import MAX_RECORDS, RECORD_TTL_S, SINGLE_STRIKE_TTL_S
 from egretstack.fleet import Silence
 from egretstack.messages import MessageError
 from tests.support import check, tests_of
@@ -131,9 +131,9 @@
         table.record_strike(10, f"x-{number}", end("z", 0, 10))
     check.assertEqual(len(table), MAX_RECORDS)
     check.assertTrue(table.is_refused("c"))
-    table.forget_expired(10 + KEEP_SINGLE_S + 1)
+    table.forget_expired(10 + SINGLE_STRIKE_TTL_S + 1)
     check.assertEqual(len(table), 1)
-    table.forget_expired(6 + KEEP_S)
+    table.forget_expired(6 + RECORD_TTL_S)
     check.assertFalse(table.is_refused("c"))
 
 
@@ -153,8 +153,8 @@
     check.assertEqual((content, strike.runner, strike.round), ("c", "a", 2))
     check.assertAlmostEqual(strike.ended_s, 101.0)
     check.assertEqual([clear_from_row(one) for one in reports.clear_rows(2.0)], [("d", 3)])
-    check.assertEqual(reports.strike_rows(1.1 + REPEAT_S), [])
-    check.assertEqual(reports.clear_rows(2.1 + REPEAT_S), [])
+    check.assertEqual(reports.strike_rows(1.1 + REPEAT_PERIOD_S), [])
+    check.assertEqual(reports.clear_rows(2.1 + REPEAT_PERIOD_S), [])
 
 
 def test_an_engine_that_was_found_ended_is_silent_until_it_answers():
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -221,7 +221,7 @@
     check.assertEqual(links.wait_s(0.0, b.id, c.id), 0.0)
     links.begin(0.0, ENGINE, c, b, 3_500)
     check.assertAlmostEqual(links.wait_s(0.0, a.id, b.id), 0.195 * 3, places=1)
-    links.forget({a.id})
+    links.retain({a.id})
     check.assertEqual(links.wait_s(0.0, c.id, b.id), 0.0)
 
 
