--- a/tests/crash_site.py
+++ b/tests/crash_site.py
@@ -1,4 +1,4 @@
-"""Sites whose runners end under one request, for tests of what becomes of it."""
+"""Helpers for tests in which one request ends every runner that runs it."""
 
 import json
 
@@ -12,53 +12,53 @@
 REFUSED_TYPE = "crashes-runners"
 
 
-def end_under_it(site, after=0):
-    """Let every runner end when it runs the ending request, engines after some events."""
-    for one in (*site.plain, *site.engines):
-        one.ends_under = ENDING
-    for one in site.engines:
-        one.ends_after = after
+def end_runners_on_request(site, after=0):
+    """Make every runner end when it runs the ending request; engines do after `after` events."""
+    for runner in (*site.plain, *site.engines):
+        runner.ends_under = ENDING
+    for engine in site.engines:
+        engine.ends_after = after
 
 
-def begun(site):
-    """Give how many runs of the ending request began, on all runners that there were."""
-    return sum(one.begun_of_ending for one in (*site.plain, *site.engines))
+def started_runs(site):
+    """Return how many runs of the ending request started, over all runners that ever existed."""
+    return sum(runner.begun_of_ending for runner in (*site.plain, *site.engines))
 
 
-def crashes(site, entry=0):
-    """Give what an instance knows of requests under which runners ended."""
+def crash_table(site, entry=0):
+    """Return the crash table of an instance."""
     return site.kernels[entry].get(FleetPort).crashes
 
 
 def content_of(path, method=b"POST"):
-    """Give the content of the ending request as the instances name it."""
+    """Return the content id of the ending request."""
     head, body = client_request(path, "", method=method, body=ENDING)
     return decode_request(head, body).content_id(ACCOUNT)
 
 
 def refused_everywhere(site, path):
-    """Tell whether every instance refuses the ending request."""
+    """Return whether every instance refuses the ending request."""
     content = content_of(path)
-    return all(crashes(site, entry).is_refused(content) for entry in range(len(site.kernels)))
+    return all(crash_table(site, entry).is_refused(content) for entry in range(len(site.kernels)))
 
 
 def is_known(site, runner_id):
-    """Tell whether every instance may send to a runner."""
-    return all(one.get(FleetPort).runners.is_ready(runner_id) for one in site.kernels)
+    """Return whether every instance may send to a runner."""
+    return all(kernel.get(FleetPort).runners.is_ready(runner_id) for kernel in site.kernels)
 
 
-async def replace_ended(site, tag):
-    """Start a runner in the place of each that has ended, under a new id, as the platform does."""
+async def replace_ended_runners(site, tag):
+    """Replace each ended runner by a new one with a new id, as the platform does."""
     for service, kind, runners in (
         ("desk", PlainStandIn, site.plain),
         ("llm", EngineStandIn, site.engines),
     ):
-        for one in list(runners):
-            if not one.begun_of_ending or one.runner_id.endswith("-over"):
+        for runner in list(runners):
+            if not runner.begun_of_ending or runner.runner_id.endswith("-over"):
                 continue
-            site.store.remove("servers", one.runner_id)
-            new = kind(one.address, f"{one.runner_id}.{tag}")
-            one.runner_id += "-over"
+            site.store.remove("servers", runner.runner_id)
+            new = kind(runner.address, f"{runner.runner_id}.{tag}")
+            runner.runner_id += "-over"
             new.ends_under = ENDING
             runners.append(new)
             await site.nursery.start(new.run)
@@ -66,8 +66,8 @@
             await site.until(lambda new=new: is_known(site, new.runner_id))
 
 
-async def send_ending(site, path, attempt, entry=0, **more):
-    """Send the ending request once; give the status, None if it broke off, and the body."""
+async def send_ending_request(site, path, attempt, entry=0, **more):
+    """Send the ending request once; return the status, None if it broke off, and the body."""
     try:
         head, body = await site.call(
             path, attempt, entry=entry, method=b"POST", body=ENDING, **more
@@ -77,18 +77,18 @@
     return head.status, body
 
 
-async def send_again_and_again(site, path, times, tag="e", **more):
-    """Send the ending request to the instances in turn, with sound runners each time."""
+async def send_repeatedly(site, path, times, tag="e", **more):
+    """Send the ending request to the instances in turn; replace ended runners after each."""
     answers = []
     for number in range(times):
         entry = number % len(site.kernels)
-        answers.append(await send_ending(site, path, f"{tag}-{number}", entry, **more))
-        await replace_ended(site, f"{tag}{number}")
+        answers.append(await send_ending_request(site, path, f"{tag}-{number}", entry, **more))
+        await replace_ended_runners(site, f"{tag}{number}")
     return answers
 
 
 def check_refused(answer):
-    """Check that an answer says truly why the request was not run, and names no time."""
+    """Check that an answer says that the request was not run, and why."""
     status, body = answer
     check.assertEqual(status, 503)
     document = json.loads(body)
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -1,4 +1,4 @@
-"""Records of requests under which runners end: merging, refusing, clearing, bounds, bad rows."""
+"""Crash records of requests: merging, refusing, clearing, limits, invalid rows."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -32,14 +32,14 @@
 )
 
 
-def end(runner, sent_s, ended_s, weight=EARLY_WEIGHT, number=0):
-    return Strike(runner, sent_s, ended_s, weight, number)
+def make_strike(runner, sent_s, ended_s, weight=EARLY_WEIGHT, round_number=0):
+    return Strike(runner, sent_s, ended_s, weight, round_number)
 
 
-def struck(*strikes):
+def table_with(*strikes):
     table = CrashTable()
-    for one in strikes:
-        table.record_strike(one.ended_s, "c", one)
+    for strike in strikes:
+        table.record_strike(strike.ended_s, "c", strike)
     return table
 
 
@@ -51,84 +51,93 @@
 
 
 @given(records)
-def test_a_record_comes_back_from_its_row(record):
+def test_a_record_survives_a_round_trip_through_its_row(record):
     check.assertEqual(record_from_row(record_row(record)), record)
 
 
-def test_a_request_is_refused_once_three_runners_have_ended_under_it():
-    table = struck(end("a", 0, 1), end("b", 2, 3))
+def test_a_request_is_refused_once_three_runners_have_ended_on_it():
+    table = table_with(make_strike("a", 0, 1), make_strike("b", 2, 3))
     check.assertFalse(table.is_refused("c"))
-    check.assertTrue(table.record_strike(5, "c", end("c", 4, 5)))
+    check.assertTrue(table.record_strike(5, "c", make_strike("c", 4, 5)))
     check.assertTrue(table.is_refused("c"))
     check.assertFalse(table.is_refused("other"))
 
 
-def test_one_end_told_again_and_again_counts_once():
-    table = struck(*[end("a", 0, 1)] * 5)
+def test_a_strike_that_is_reported_repeatedly_counts_once():
+    table = table_with(*[make_strike("a", 0, 1)] * 5)
     check.assertEqual(table.record("c").weight, EARLY_WEIGHT)
 
 
-def test_equal_requests_at_runners_that_end_together_are_no_cause():
-    table = struck(end("a", 0, 5), end("b", 1, 5.1), end("c", 2, 5.2), end("d", 3, 5.3))
+def test_equal_requests_on_runners_that_end_together_are_not_the_cause():
+    table = table_with(
+        make_strike("a", 0, 5),
+        make_strike("b", 1, 5.1),
+        make_strike("c", 2, 5.2),
+        make_strike("d", 3, 5.3),
+    )
     check.assertFalse(table.is_refused("c"))
-    table.record_strike(7, "c", end("e", 6, 7))
+    table.record_strike(7, "c", make_strike("e", 6, 7))
     check.assertTrue(table.is_refused("c"))
 
 
-def test_ends_that_are_told_out_of_order_recur_all_the_same():
-    check.assertTrue(struck(end("c", 6, 7), end("b", 3, 4), end("a", 0, 1)).is_refused("c"))
+def test_strikes_that_are_reported_out_of_order_still_recur():
+    check.assertTrue(
+        table_with(
+            make_strike("c", 6, 7), make_strike("b", 3, 4), make_strike("a", 0, 1)
+        ).is_refused("c")
+    )
 
 
-def test_a_long_stream_that_goes_on_at_copies_is_a_less_likely_cause():
+def test_a_long_stream_that_continues_on_copies_is_a_less_likely_cause():
     check.assertEqual(strike_weight(None, 9.0), EARLY_WEIGHT)
     check.assertEqual(strike_weight(1.0, 1.0 + EARLY_S), EARLY_WEIGHT)
     check.assertEqual(strike_weight(1.0, 1.1 + EARLY_S), LATE_WEIGHT)
-    late = [end(f"r-{n}", 2 * n, 2 * n + 1, LATE_WEIGHT) for n in range(6)]
-    check.assertFalse(struck(*late[:5]).is_refused("c"))
-    check.assertTrue(struck(*late).is_refused("c"))
+    late = [make_strike(f"r-{n}", 2 * n, 2 * n + 1, LATE_WEIGHT) for n in range(6)]
+    check.assertFalse(table_with(*late[:5]).is_refused("c"))
+    check.assertTrue(table_with(*late).is_refused("c"))
 
 
-def test_an_answer_clears_a_request_and_outdates_what_was_told_before():
-    table = struck(end("a", 0, 1), end("b", 2, 3))
+def test_an_answer_clears_a_request_and_outdates_earlier_strikes():
+    table = table_with(make_strike("a", 0, 1), make_strike("b", 2, 3))
     check.assertEqual(table.clear(4, "c"), 1)
     check.assertIsNone(table.clear(4, "c"))
-    check.assertFalse(table.record_strike(4, "c", end("b", 2, 3)))
+    check.assertFalse(table.record_strike(4, "c", make_strike("b", 2, 3)))
     check.assertFalse(table.is_suspected("c"))
-    table.record_strike(6, "c", end("d", 5, 6, number=1))
+    table.record_strike(6, "c", make_strike("d", 5, 6, round_number=1))
     check.assertTrue(table.is_suspected("c"))
     check.assertFalse(table.is_refused("c"))
 
 
-def test_another_instances_answer_clears_only_what_is_held():
-    table = struck(end("a", 0, 1))
+def test_another_instances_answer_clears_only_known_requests():
+    table = table_with(make_strike("a", 0, 1))
     check.assertTrue(table.merge_clear(2, "c", 1))
     check.assertFalse(table.merge_clear(2, "c", 1))
     check.assertFalse(table.merge_clear(2, "unknown", 1))
     check.assertEqual(len(table), 1)
 
 
-def test_a_run_after_a_restart_recurs():
+def test_a_strike_after_a_restart_recurs():
     table = CrashTable()
     table.merge_record(0, "c", CrashRecord(0, {"a": 2, "b": 2}, False))
     check.assertFalse(table.is_refused("c"))
-    table.record_strike(3, "c", end("d", 2, 3))
+    table.record_strike(3, "c", make_strike("d", 2, 3))
     check.assertTrue(table.is_refused("c"))
 
 
-def test_whoever_waits_for_a_runner_hears_of_the_refusal():
-    table = struck(end("a", 0, 1), end("b", 2, 3))
-    woken = []
-    with table.notify_when_refused("c", lambda: woken.append(True)):
-        table.record_strike(5, "c", end("d", 4, 5))
-    check.assertEqual(woken, [True])
-    table.record_strike(7, "c", end("e", 6, 7))
-    check.assertEqual(woken, [True])
+def test_a_waiting_request_is_notified_of_its_refusal():
+    table = table_with(make_strike("a", 0, 1), make_strike("b", 2, 3))
+    calls = []
+    with table.notify_when_refused("c", lambda: calls.append(True)):
+        table.record_strike(5, "c", make_strike("d", 4, 5))
+    check.assertEqual(calls, [True])
+    table.record_strike(7, "c", make_strike("e", 6, 7))
+    check.assertEqual(calls, [True])
 
 
-def test_old_records_go_and_the_most_suspected_stay():
-    table = struck(end("a", 0, 1), end("b", 2, 3), end("d", 4, 5))
+def test_old_records_expire_and_the_most_suspected_are_kept():
+    table = table_with(make_strike("a", 0, 1), make_strike("b", 2, 3), make_strike("d", 4, 5))
     for number in range(MAX_RECORDS + 10):
-        table.record_strike(10, f"x-{number}", end("z", 0, 10))
+        table.record_strike(10, f"x-{number}", make_strike("z", 0, 10))
     check.assertEqual(len(table), MAX_RECORDS)
     check.assertTrue(table.is_refused("c"))
     table.forget_expired(10 + SINGLE_STRIKE_TTL_S + 1)
@@ -137,27 +146,27 @@
     check.assertFalse(table.is_refused("c"))
 
 
-def test_only_ends_that_recur_outlive_the_processes():
-    table = struck(end("a", 0, 1))
+def test_only_records_with_several_runners_are_stored():
+    table = table_with(make_strike("a", 0, 1))
     check.assertEqual(table.durable_records(), {})
-    table.record_strike(3, "c", end("b", 2, 3))
+    table.record_strike(3, "c", make_strike("b", 2, 3))
     check.assertEqual(set(table.durable_records()), {"c"})
 
 
-def test_a_report_repeats_what_was_found_for_a_while():
+def test_a_report_repeats_findings_for_a_while():
     reports = CrashReports()
-    reports.record_strike("c", end("a", 0.0, 1.0, number=2))
+    reports.record_strike("c", make_strike("a", 0.0, 1.0, round_number=2))
     reports.record_clear(2.0, "d", 3)
     [row] = reports.strike_rows(1.5)
     content, strike = strike_from_row(row, 101.5)
     check.assertEqual((content, strike.runner, strike.round), ("c", "a", 2))
     check.assertAlmostEqual(strike.ended_s, 101.0)
-    check.assertEqual([clear_from_row(one) for one in reports.clear_rows(2.0)], [("d", 3)])
+    check.assertEqual([clear_from_row(clear) for clear in reports.clear_rows(2.0)], [("d", 3)])
     check.assertEqual(reports.strike_rows(1.1 + REPEAT_PERIOD_S), [])
     check.assertEqual(reports.clear_rows(2.1 + REPEAT_PERIOD_S), [])
 
 
-def test_an_engine_that_was_found_ended_is_silent_until_it_answers():
+def test_an_engine_that_has_ended_is_unresponsive_until_it_answers():
     silence = Silence()
     silence.ended("a")
     asked = {"a", "b", "c"}
@@ -168,7 +177,7 @@
     check.assertEqual(silence.silent(asked), frozenset())
 
 
-def test_bad_rows_are_refused():
+def test_invalid_rows_are_rejected():
     good = [0, {"a": 2}, True]
     bad_records = [
         None,
@@ -192,11 +201,11 @@
     for row in bad_records:
         with check.assertRaises(MessageError, msg=row):
             record_from_row(row)
-    strike = strike_row("c", end("a", 0, 1), 2.0)
+    strike = strike_row("c", make_strike("a", 0, 1), 2.0)
     bad_strikes = [
         None,
         strike[:-1],
-        *[[*strike[:n], bad, *strike[n + 1 :]] for n, bad in BAD_PARTS],
+        *[[*strike[:n], bad, *strike[n + 1 :]] for n, bad in INVALID_FIELDS],
     ]
     for row in bad_strikes:
         with check.assertRaises(MessageError, msg=row):
@@ -206,4 +215,14 @@
             clear_from_row(row)
 
 
-BAD_PARTS = [(0, 5), (0, ""), (1, None), (2, "x"), (3, 1.5), (4, 9), (4, "2"), (5, -1), (5, None)]
+INVALID_FIELDS = [
+    (0, 5),
+    (0, ""),
+    (1, None),
+    (2, "x"),
+    (3, 1.5),
+    (4, 9),
+    (4, "2"),
+    (5, -1),
+    (5, None),
+]
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -1,4 +1,4 @@
-"""One client account that sends many times its usual, and what the others get."""
+"""A surge of one client account, and what the other accounts get."""
 
 import random
 
@@ -15,14 +15,14 @@
 STEP_S = 0.05
 RUN_S = 4.0
 WAIT_S = 3.6
-PLAY_S = 60.0
+DURATION_S = 60.0
 USUAL_PER_S = 0.12
 SURGE = 50
-"""How many times its usual the one account sends."""
+"""Load of the surging account, as a multiple of its usual load."""
 
 
-class Play:
-    """Two engines for some 3.5 generations a second, and callers that wait and then give up."""
+class Simulation:
+    """Two engines for about 3.5 generations a second, and callers that wait and then give up."""
 
     def __init__(self):
         table = RunnerTable()
@@ -31,60 +31,60 @@
         self.rng = random.Random(2)
         self.runs = {}
         self.waiting = {}
-        self.asked = {}
+        self.requested = {}
         self.served = {}
 
-    def play(self):
-        """Play the load; give the share served, of the account that surges and of the others."""
-        for step in range(round(PLAY_S / STEP_S)):
+    def run(self):
+        """Run the load; return the share served of the surging account and of the others."""
+        for step in range(round(DURATION_S / STEP_S)):
             now_s = step * STEP_S
             for number in range(ACCOUNTS):
                 per_s = USUAL_PER_S * (SURGE if number == 0 else 1)
                 if self.rng.random() < per_s * STEP_S:
-                    self._ask(now_s, f"{number}-{step}", f"account-{number}")
-            self._go_on(now_s)
+                    self._request(now_s, f"{number}-{step}", f"account-{number}")
+            self._step(now_s)
         others = [f"account-{number}" for number in range(1, ACCOUNTS)]
         return self._share(["account-0"]), self._share(others)
 
-    def _ask(self, now_s, attempt, account):
-        self.asked[account] = self.asked.get(account, 0) + 1
+    def _request(self, now_s, attempt, account):
+        self.requested[account] = self.requested.get(account, 0) + 1
         self.waiting[attempt] = (now_s, work(attempt, most=400, hint=300, account=account))
 
-    def _go_on(self, now_s):
-        for attempt, (asked_s, wanted) in list(self.waiting.items()):
-            if now_s - asked_s > WAIT_S:
+    def _step(self, now_s):
+        for attempt, (requested_s, request) in list(self.waiting.items()):
+            if now_s - requested_s > WAIT_S:
                 del self.waiting[attempt]
                 self.placer.remove(attempt)
             else:
-                self.placer.enqueue(now_s, wanted, ENGINE)
-        for one in self.placer.place_waiting(now_s):
-            _, placed = self.waiting.pop(one.attempt)
-            self.served[placed.account] = self.served.get(placed.account, 0) + 1
-            run = Run(placed, one.placement.runner, None, started=True)
-            self.runs[one.attempt] = (now_s + RUN_S, run)
+                self.placer.enqueue(now_s, request, ENGINE)
+        for placed in self.placer.place_waiting(now_s):
+            _, request = self.waiting.pop(placed.attempt)
+            self.served[request.account] = self.served.get(request.account, 0) + 1
+            run = Run(request, placed.placement.runner, None, started=True)
+            self.runs[placed.attempt] = (now_s + RUN_S, run)
         self.runs = {name: it for name, it in self.runs.items() if it[0] > now_s}
         self.placer.registry.record_report(OWN, [run for _, run in self.runs.values()])
 
     def _share(self, accounts):
-        asked = sum(self.asked.get(one, 0) for one in accounts)
-        return sum(self.served.get(one, 0) for one in accounts) / asked
+        requested = sum(self.requested.get(account, 0) for account in accounts)
+        return sum(self.served.get(account, 0) for account in accounts) / requested
 
 
 def test_a_surge_of_one_account_costs_the_others_little():
-    # Callers of other accounts wait and are refused: one account sends 50 times its usual, and in
-    # the order of asking it takes most of the room that comes free. Its generations go behind
-    # those of the others; what they leave is its own. Played: 20 accounts, engines for 0.6 of what
-    # is asked. Served of the others: 0.51 in the order of asking, 0.93 with the one behind once it
-    # has four even shares, 0.99 with two.
-    surging, others = Play().play()
+    # One account sends 50 times its usual load. In order of arrival it would take most of the
+    # memory that is freed, and callers of other accounts would wait and be refused. Its
+    # generations go behind those of the others; it gets what they leave. With 20 accounts and
+    # engines for 0.6 of the requests, the share served of the others is 0.51 in order of arrival,
+    # 0.93 if the account goes behind once it has four even shares, and 0.99 with two.
+    surging, others = Simulation().run()
     check.assertGreater(others, 0.95)
     check.assertGreater(surging, 0.3)
 
 
-def test_accounts_of_any_usual_size_keep_the_order_of_asking():
-    one = Play()
+def test_accounts_of_usual_size_keep_the_order_of_arrival():
+    simulation = Simulation()
     for number in range(8):
-        one.placer.place(
+        simulation.placer.place(
             0.0, work(f"w-{number}", account=f"account-{number % 3}"), ENGINE, fleet_wide=True
         )
-    check.assertEqual(one.placer.registry.crowding_accounts(), frozenset())
+    check.assertEqual(simulation.placer.registry.crowding_accounts(), frozenset())
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -1,6 +1,6 @@
-"""Routes and client accounts that are bound to regions: where they run, and whom callers ask.
+"""Routes and client accounts restricted to regions: runners, and the addresses given to callers.
 
-Two regions, three availability zones.
+The deployment has two regions and three availability zones.
 """
 
 from egretstack.fleet import Instance, nearest
@@ -31,23 +31,23 @@
     return table.routes[0], only
 
 
-async def bind(site, *homes, **homes_by_route):
-    """Bind the account, and routes by name, to regions; wait until all entries know."""
-    site.homes = homes
+async def restrict(site, *regions, **regions_by_route):
+    """Restrict the account, and routes by name, to regions; wait until all instances know."""
+    site.homes = regions
     for row in site.routes:
-        row["allowed-regions"] = homes_by_route.get(row["name"], [])
+        row["allowed-regions"] = regions_by_route.get(row["name"], [])
     version = site.configure()
     site.spread("leon-a", "colima")
     await site.until(
         lambda: all(
-            one.get(StoreReading).gate.version == version
-            and any(it.zone == COLIMA for it in one.get(FleetPort).runners.by_id.values())
-            for one in site.kernels
+            kernel.get(StoreReading).gate.version == version
+            and any(it.zone == COLIMA for it in kernel.get(FleetPort).runners.by_id.values())
+            for kernel in site.kernels
         )
     )
 
 
-def test_where_route_and_account_are_bound_both_bind():
+def test_the_regions_of_route_and_account_are_intersected():
     check.assertEqual(common_regions(*decoded(["bajio", "pacifico"], ["pacifico"])), {PACIFICO})
     check.assertEqual(common_regions(*decoded(["bajio"], ["pacifico"])), frozenset())
     check.assertEqual(common_regions(*decoded([], ["pacifico"])), {PACIFICO})
@@ -55,7 +55,7 @@
     check.assertEqual(common_regions(decoded(["bajio"])[0], None), {BAJIO})
 
 
-def test_regions_that_no_operator_writes_are_refused():
+def test_invalid_regions_are_rejected():
     for bad in ("bajio", [1], [""], ["x" * 500], ["r"] * 65, {"a": 1}, -1):
         check.assertRaises(BadBody, decoded, bad)
         check.assertRaises(BadBody, decoded, [], bad)
@@ -65,17 +65,18 @@
         check.assertRaises(BadBody, decode_configuration, spec)
 
 
-def test_the_zones_of_a_generation_go_with_it_to_the_home():
+def test_the_zones_of_a_generation_are_sent_to_the_home():
     for zones in (None, frozenset(), frozenset({COLIMA})):
-        one = work("w", zones=zones)
-        check.assertEqual(request_from_row(request_row(one)), one)
+        request = work("w", zones=zones)
+        check.assertEqual(request_from_row(request_row(request)), request)
 
 
 @on_real_clock
-async def test_calls_run_in_the_regions_of_their_route_and_account_alone():
-    # The account may run in one region; the runner of the other one is as near and as idle.
+async def test_calls_run_only_in_the_regions_of_their_route_and_account():
+    # The account is restricted to one region; the runner of the other region is as near and as
+    # idle.
     async with platform_site(plain=2) as site:
-        await bind(site, "pacifico")
+        await restrict(site, "pacifico")
         for number in range(10):
             head, _ = await site.call("/notes/1", f"r-{number}")
             check.assertEqual(head.status, 200)
@@ -83,9 +84,9 @@
 
 
 @on_real_clock
-async def test_generations_run_and_are_copied_in_their_regions_alone():
+async def test_generations_run_and_are_copied_only_in_their_regions():
     async with platform_site(plain=1, engines=4) as site:
-        await bind(site, plans=["bajio"])
+        await restrict(site, plans=["bajio"])
         for number in range(4):
             reader = await read(site, f"s-{number}")
             await reader.ended.wait()
@@ -99,38 +100,38 @@
 
 
 @on_real_clock
-async def test_what_no_region_may_run_is_refused_at_once():
-    # The route may run in one region and the account in another one: no runner may run it.
+async def test_a_request_that_no_region_may_run_is_refused_at_once():
+    # The route is restricted to one region and the account to another: no runner may run it.
     async with platform_site(plain=2, engines=2) as site:
-        await bind(site, "pacifico", notes=["bajio"], plans=["bajio"])
+        await restrict(site, "pacifico", notes=["bajio"], plans=["bajio"])
         for path, headers in (("/notes/1", ()), ("/plans/1", GENERATION)):
             head, _ = await site.call(path, f"a{path}", method=b"POST", headers=headers)
             check.assertEqual(head.status, 503)
             check.assertIn(b"retry-after", dict(head.headers))
-        for one in (*site.plain, *site.engines):
-            check.assertEqual(sum(one.runs_by_attempt.values()), 0)
+        for runner in (*site.plain, *site.engines):
+            check.assertEqual(sum(runner.runs_by_attempt.values()), 0)
 
 
-def test_callers_are_sent_to_their_own_region_then_to_where_their_requests_may_run():
-    # The directory names other regions only while none of these has an instance that is ready.
+def test_callers_get_addresses_of_their_own_region_or_of_an_allowed_region():
+    # The directory returns other regions only if no instance in these is ready.
     zones = ("leon-a", "leon-b", "colima")
     instances = [Instance(InstanceId(zone), ZoneName(zone), "", "") for zone in zones]
 
-    def named(region, homes=(), ready=instances):
-        return [one.id for one in nearest(ready, REGION_BY_ZONE, RegionName(region), homes)]
+    def nearest_ids(region, allowed=(), ready=instances):
+        return [one.id for one in nearest(ready, REGION_BY_ZONE, RegionName(region), allowed)]
 
-    check.assertEqual(named("bajio", {PACIFICO}), ["leon-a", "leon-b"])
-    check.assertEqual(named("pacifico"), ["colima"])
-    check.assertEqual(named("norte", {PACIFICO}), ["colima"])
-    check.assertEqual(named("", {PACIFICO}), ["colima"])
-    check.assertEqual(named("norte"), list(zones))
-    check.assertEqual(named("pacifico", {PACIFICO}, instances[:2]), ["leon-a", "leon-b"])
+    check.assertEqual(nearest_ids("bajio", {PACIFICO}), ["leon-a", "leon-b"])
+    check.assertEqual(nearest_ids("pacifico"), ["colima"])
+    check.assertEqual(nearest_ids("norte", {PACIFICO}), ["colima"])
+    check.assertEqual(nearest_ids("", {PACIFICO}), ["colima"])
+    check.assertEqual(nearest_ids("norte"), list(zones))
+    check.assertEqual(nearest_ids("pacifico", {PACIFICO}, instances[:2]), ["leon-a", "leon-b"])
 
 
 @on_real_clock
 async def test_the_directory_answers_callers_of_any_region():
     async with platform_site(entries=2) as site:
-        await bind(site, notes=["bajio"])
+        await restrict(site, notes=["bajio"])
         both = {site.settings(number).front_address for number in range(2)}
         port = site.kernels[0].get(DirectoryPort)
         for region in (BAJIO, PACIFICO, RegionName("")):
--- a/tests/test_limit_ration.py
+++ b/tests/test_limit_ration.py
@@ -1,4 +1,4 @@
-"""How the limit of a runner is split among instances, and how its word spreads."""
+"""How a runner's rate limit is split among instances, and how updates of it spread."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -18,32 +18,34 @@
 STEPS = 240
 
 
-def ration_of(number=0, instances=1, *, heard=None, per_s=2.4):
-    """Give one instance's ration of a runner that all know to be limited."""
+def make_allocation(number=0, instances=1, *, reachable=None, per_s=2.4):
+    """Return one instance's allocation for a runner with a limit, and the runner."""
     split = FleetSplit(InstanceId(f"entry-{number}"))
-    split.others = tuple(InstanceId(f"entry-{one}") for one in range(instances) if one != number)
-    split.reachable = instances - 1 if heard is None else heard
+    split.others = tuple(
+        InstanceId(f"entry-{index}") for index in range(instances) if index != number
+    )
+    split.reachable = instances - 1 if reachable is None else reachable
     table = RunnerTable()
-    one = runner("a")
-    table.take(0.0, [one], 1, 0.0)
+    target = runner("a")
+    table.take(0.0, [target], 1, 0.0)
     limits = RunnerLimits()
     limits.heard(0.0, A, per_s, 0.0)
-    return LimitAllocation(split, table, limits), one
+    return LimitAllocation(split, table, limits), target
 
 
-def sent_at(ration, one, *parts):
-    """Send as fast as it is allowed for some seconds; give when."""
+def sent_at(allocation, target, *origins):
+    """Send as fast as allowed for some seconds; return the times."""
     times = []
     for step in range(STEPS):
         now_s = step * STEP_S
-        for part in parts:
-            while ration.allows(now_s, one, part):
-                ration.record_sent(now_s, one.id, part)
+        for origin in origins:
+            while allocation.allows(now_s, target, origin):
+                allocation.record_sent(now_s, target.id, origin)
                 times.append(now_s)
     return times
 
 
-def most_in_a_window(times):
+def max_in_a_window(times):
     return max((sum(0 <= at - begin < WINDOW_S for at in times) for begin in times), default=0)
 
 
@@ -54,80 +56,86 @@
     cut=st.floats(0.0, 1.0),
     plain=st.booleans(),
 )
-def test_the_parts_of_a_split_fleet_keep_what_a_limited_runner_bears(instances, per_s, cut, plain):
-    # Guards against sums over homes, lone instances and continuations beyond the limit's bound.
-    near = max(1, round(cut * instances))
-    heard_by_home = {0: near - 1}
-    if near < instances:
-        heard_by_home[instances - 1] = instances - near - 1
+def test_the_allocations_of_a_partitioned_fleet_stay_within_a_runners_limit(
+    instances, per_s, cut, plain
+):
+    # Guards against homes, lone instances and continuations that together exceed the limit.
+    reached = max(1, round(cut * instances))
+    reachable_by_home = {0: reached - 1}
+    if reached < instances:
+        reachable_by_home[instances - 1] = instances - reached - 1
     times = []
     for number in range(instances):
-        heard = heard_by_home.get(number)
-        ration, one = ration_of(number, instances, heard=heard, per_s=per_s)
+        reachable = reachable_by_home.get(number)
+        allocation, target = make_allocation(number, instances, reachable=reachable, per_s=per_s)
         if plain:
-            times += sent_at(ration, one, SendOrigin.PLAIN)
-        elif heard is None:
-            times += sent_at(ration, one, SendOrigin.CONTINUED)
+            times += sent_at(allocation, target, SendOrigin.PLAIN)
+        elif reachable is None:
+            times += sent_at(allocation, target, SendOrigin.CONTINUED)
         else:
-            times += sent_at(ration, one, SendOrigin.HOME, SendOrigin.CONTINUED)
-    check.assertLessEqual(most_in_a_window(times), OVERAGE * per_s * WINDOW_S + SLACK)
+            times += sent_at(allocation, target, SendOrigin.HOME, SendOrigin.CONTINUED)
+    check.assertLessEqual(max_in_a_window(times), OVERAGE * per_s * WINDOW_S + SLACK)
 
 
 @settings(deadline=None, derandomize=True, max_examples=40)
 @given(instances=st.integers(1, 420), per_s=st.floats(0.5, 60.0), plain=st.booleans())
 def test_a_limited_runner_gets_most_of_what_it_takes(instances, per_s, plain):
-    # Guards against parts that leave a limited runner idle, however large the fleet.
+    # Guards against allocations that leave a limited runner idle, however large the fleet.
     if plain:
-        parts = [ration_of(number, instances, per_s=per_s) for number in range(instances)]
-        rates = [one[0]._allowance(A, SendOrigin.PLAIN).per_s for one in parts]
+        allocations = [
+            make_allocation(number, instances, per_s=per_s) for number in range(instances)
+        ]
+        rates = [it[0]._allowance(A, SendOrigin.PLAIN).per_s for it in allocations]
     else:
-        rates = [ration_of(0, instances, per_s=per_s)[0]._allowance(A, SendOrigin.HOME).per_s]
+        rates = [make_allocation(0, instances, per_s=per_s)[0]._allowance(A, SendOrigin.HOME).per_s]
     check.assertGreater(sum(rates), 0.85 * per_s)
     check.assertLessEqual(sum(rates), per_s)
 
 
-def test_a_runner_that_takes_many_gets_several_at_once():
-    # Guards against callers that are refused one by one where a runner takes hundreds a second.
-    for part in (SendOrigin.HOME, SendOrigin.PLAIN):
-        ration, one = ration_of(instances=6, per_s=100.0)
-        ration.allows(0.0, one, part)
+def test_a_runner_with_a_high_limit_gets_several_requests_at_once():
+    # Guards against callers that are refused one by one where a runner accepts hundreds a second.
+    for origin in (SendOrigin.HOME, SendOrigin.PLAIN):
+        allocation, target = make_allocation(instances=6, per_s=100.0)
+        allocation.allows(0.0, target, origin)
         sent = 0
-        while ration.allows(1.0, one, part):
-            ration.record_sent(1.0, A, part)
+        while allocation.allows(1.0, target, origin):
+            allocation.record_sent(1.0, A, origin)
             sent += 1
         check.assertGreater(sent, 10)
 
 
-def test_a_runner_that_takes_nothing_is_asked_now_and_then():
-    # Guards against a limit of nothing that nobody ever hears taken back.
-    ration, one = ration_of(per_s=0.0)
-    check.assertGreaterEqual(len(sent_at(ration, one, SendOrigin.PLAIN)), 2)
+def test_a_runner_with_a_limit_of_zero_gets_a_request_now_and_then():
+    # Guards against a limit of zero whose withdrawal no instance ever learns of.
+    allocation, target = make_allocation(per_s=0.0)
+    check.assertGreaterEqual(len(sent_at(allocation, target, SendOrigin.PLAIN)), 2)
 
 
-def test_the_time_until_a_limited_runner_takes_one_more_is_told():
-    ration, one = ration_of(per_s=2.0)
-    check.assertEqual(ration.time_until_allowed_s(0.0, one, SendOrigin.PLAIN), 0.0)
-    ration.record_sent(0.0, A, SendOrigin.PLAIN)
-    check.assertAlmostEqual(ration.time_until_allowed_s(0.0, one, SendOrigin.PLAIN), 1 / 1.8)
-    check.assertAlmostEqual(ration.time_until_allowed_s(0.0, one, SendOrigin.PLAIN, 2), 3 / 1.8)
+def test_the_time_until_a_limited_runner_may_get_one_more_request():
+    allocation, target = make_allocation(per_s=2.0)
+    check.assertEqual(allocation.time_until_allowed_s(0.0, target, SendOrigin.PLAIN), 0.0)
+    allocation.record_sent(0.0, A, SendOrigin.PLAIN)
+    check.assertAlmostEqual(allocation.time_until_allowed_s(0.0, target, SendOrigin.PLAIN), 1 / 1.8)
+    check.assertAlmostEqual(
+        allocation.time_until_allowed_s(0.0, target, SendOrigin.PLAIN, 2), 3 / 1.8
+    )
 
 
-def test_a_limit_named_again_gives_no_second_start():
-    # Guards against a runner that takes its limit back and names it again, over and over.
-    ration, one = ration_of(per_s=1.0)
-    limits = ration._limits
+def test_a_limit_that_is_stated_again_does_not_refill_the_bucket():
+    # Guards against a runner that repeatedly withdraws its limit and states it again.
+    allocation, target = make_allocation(per_s=1.0)
+    limits = allocation._limits
     times = []
     for step in range(STEPS):
         now_s = step * STEP_S
         limits.heard(now_s, A, None if step % 4 == 3 else 1.0, now_s)
-        if step % 4 != 3 and ration.allows(now_s, one, SendOrigin.PLAIN):
-            ration.record_sent(now_s, A, SendOrigin.PLAIN)
+        if step % 4 != 3 and allocation.allows(now_s, target, SendOrigin.PLAIN):
+            allocation.record_sent(now_s, A, SendOrigin.PLAIN)
             times.append(now_s)
-    check.assertLessEqual(most_in_a_window(times), OVERAGE * WINDOW_S + SLACK)
+    check.assertLessEqual(max_in_a_window(times), OVERAGE * WINDOW_S + SLACK)
 
 
-def test_an_answer_that_was_under_way_takes_no_limit_back():
-    # Guards against a limit that is lost to an answer made before it was named.
+def test_an_answer_to_an_older_request_does_not_remove_a_limit():
+    # Guards against a limit that is removed by an answer made before it was stated.
     limits = RunnerLimits()
     check.assertTrue(limits.heard(1.0, A, 2.0, 0.9))
     check.assertFalse(limits.heard(1.1, A, None, 0.95))
@@ -136,7 +144,7 @@
     check.assertIsNone(limits.per_s(A))
 
 
-def test_the_latest_word_counts_whoever_heard_it():
+def test_the_latest_answer_counts_whichever_instance_received_it():
     limits = RunnerLimits()
     limits.heard(5.0, A, 2.0, 4.9)
     check.assertFalse(limits.told(5.1, A, None, 4.8))
@@ -145,8 +153,8 @@
     check.assertIsNone(limits.per_s(A))
 
 
-def test_what_the_home_tells_counts_once_its_own_word_is_old():
-    # Guards against an instance that keeps a limit which others heard taken back.
+def test_the_homes_limits_apply_once_the_own_answer_is_old():
+    # Guards against an instance that keeps a limit which others know to be withdrawn.
     limits = RunnerLimits()
     limits.heard(5.0, A, 2.0, 4.9)
     check.assertEqual(limits.told_all(5.5, {}), set())
@@ -154,8 +162,9 @@
     check.assertIsNone(limits.per_s(A))
 
 
-def test_what_the_home_tells_again_and_again_grows_no_younger():
-    # Guards against a next home that believes its former one rather than who asked the runner.
+def test_limits_that_the_home_repeats_do_not_become_more_recent():
+    # Guards against a new home that believes the former one rather than whoever got an answer from
+    # the runner.
     limits = RunnerLimits()
     limits.told_all(5.0, {A: 2.0})
     for step in range(20):
@@ -164,8 +173,8 @@
     check.assertTrue(limits.told(26.0, A, None, 5.5))
 
 
-def test_whoever_becomes_home_hears_every_limit():
-    # Guards against a home that started a moment ago and knows of no limit.
+def test_a_new_home_learns_every_limit():
+    # Guards against a home that has just started and knows no limit.
     old, new = RunnerLimits(), RunnerLimits()
     old.told_all(5.0, {A: 2.0})
     for runner_id, per_s, age_s in map(limit_of, old.rows(60.0)):
@@ -173,7 +182,7 @@
     check.assertEqual(new.limited(), {A: 2.0})
 
 
-def test_a_limit_that_was_taken_back_is_reported_for_a_while():
+def test_the_withdrawal_of_a_limit_is_reported_for_a_while():
     limits = RunnerLimits()
     limits.heard(5.0, A, 2.0, 4.9)
     limits.heard(6.0, A, None, 5.9)
@@ -181,7 +190,7 @@
     check.assertEqual(limits.rows(9.0), [])
 
 
-def test_rows_that_are_no_limits_are_refused():
+def test_invalid_limit_rows_are_rejected():
     for row in (None, [], ["a"], [1, 2.0, 3], ["a", "x", 3], ["a", -1.0, 3], ["a", 1.0, -3]):
         with check.assertRaises(MessageError):
             limit_of(row)
--- a/tests/test_move_turns.py
+++ b/tests/test_move_turns.py
@@ -1,4 +1,4 @@
-"""Runs that have to be off an engine that leaves: whose turn it is, and where they go."""
+"""Runs that have to move off a leaving engine: permits, and the choice of destinations."""
 
 from dataclasses import replace
 
@@ -21,28 +21,29 @@
 SOURCE = RunnerId("i-llm-0")
 
 
-def test_a_run_that_has_ended_does_not_keep_its_turn():
-    # The engine's other runs would wait for as long as a turn may last, which is longer than the
-    # engine's notice: the news that the run ended was lost.
-    turns = MovePermits()
-    check.assertTrue(turns.request(0.0, SOURCE, "ended", 1.0))
-    check.assertFalse(turns.request(0.1, SOURCE, "next", 2.0))
-    turns.release_ended(SOURCE, lambda attempt: attempt == "other")
-    check.assertEqual(turns.holder(SOURCE), "ended")
-    turns.release_ended(SOURCE, lambda attempt: attempt == "ended")
-    check.assertIsNone(turns.holder(SOURCE))
-    check.assertTrue(turns.request(0.1, SOURCE, "next", 2.0))
+def test_a_run_that_has_ended_does_not_keep_its_permit():
+    # If the report that a run ended is lost, the engine's other runs would wait until the permit
+    # expires, which takes longer than the engine's notice.
+    permits = MovePermits()
+    check.assertTrue(permits.request(0.0, SOURCE, "ended", 1.0))
+    check.assertFalse(permits.request(0.1, SOURCE, "next", 2.0))
+    permits.release_ended(SOURCE, lambda attempt: attempt == "other")
+    check.assertEqual(permits.holder(SOURCE), "ended")
+    permits.release_ended(SOURCE, lambda attempt: attempt == "ended")
+    check.assertIsNone(permits.holder(SOURCE))
+    check.assertTrue(permits.request(0.1, SOURCE, "next", 2.0))
 
 
 @on_real_clock
-async def test_a_turn_that_nobody_waits_for_is_given_back():
-    # A question overtakes the news that its run has ended, as datagrams may: the home gives the
-    # turn to a run that needs none. Its instance gives the turn back, and the next run has it.
+async def test_a_permit_that_no_run_waits_for_is_returned():
+    # Datagrams may be reordered: a permit request that overtakes the report that its run ended
+    # makes the home grant a permit to a run that needs none. The run's instance returns it, and
+    # the next run gets it.
     async with platform_site(entries=2, plain=0, engines=1) as site:
-        ports = [one.get(FleetPort) for one in site.kernels]
-        await site.until(lambda: sorted(one.is_home() for one in ports) == [False, True])
-        await site.until(lambda: len({one.fleet.home(trio.current_time()) for one in ports}) == 1)
-        home, other = sorted(site.kernels, key=lambda one: not one.get(FleetPort).is_home())
+        ports = [kernel.get(FleetPort) for kernel in site.kernels]
+        await site.until(lambda: sorted(port.is_home() for port in ports) == [False, True])
+        await site.until(lambda: len({port.fleet.home(trio.current_time()) for port in ports}) == 1)
+        home, other = sorted(site.kernels, key=lambda kernel: not kernel.get(FleetPort).is_home())
         service = home.get(PlacingHome)
         await site.until(lambda: home.get(FleetPort).address_of(other.settings.instance))
         service._turns.request(trio.current_time(), SOURCE, "s-ended", 0.0)
@@ -52,16 +53,16 @@
 
 
 @on_real_clock
-async def test_a_run_goes_elsewhere_when_an_engine_has_no_room():
-    # The nearest engine looks free and is not: what fills it is known to nobody but itself. The
-    # run would ask there again until its own engine ends, and be lost with it.
+async def test_a_run_moves_elsewhere_when_an_engine_has_no_memory():
+    # The nearest engine looks free but is not: only the engine itself knows what fills its memory.
+    # The run would be sent there again and again until its own engine ends, and be lost with it.
     async with platform_site(plain=0, engines=3) as site:
         for engine in site.engines:
             engine.events = 150
             engine.fault = EngineFault.NO_ROOM
         reader = await read(site, "s-1", 3)
         source = engine_of(site, "s-1")
-        full, free = (one for one in site.engines if one is not source)
+        full, free = (engine for engine in site.engines if engine is not source)
         free.fault = source.fault = EngineFault.NONE
         table = site.kernels[0].get(FleetPort).runners
         site.store.put(
@@ -77,9 +78,10 @@
 
 
 @on_real_clock
-async def test_the_next_run_has_its_turn_when_the_first_fits_nowhere():
-    # Two runs have to be off an engine. The first in order fits nowhere, and asks before the other
-    # does each time: without passing the turn on, both would be lost with their engine.
+async def test_the_next_run_gets_the_permit_when_the_first_fits_nowhere():
+    # Two runs have to move off an engine. The first in order fits nowhere, and each time requests
+    # a permit before the other does. If the permit were not passed on, both would be lost with
+    # their engine.
     async with platform_site(plain=0, engines=2) as site:
         home = site.kernels[0].get(PlacingHome)
         for engine in site.engines:
@@ -105,6 +107,6 @@
         readers[0].scope.cancel()
 
 
-def _huge(work):
-    """Give a work that needs more memory than any engine has."""
-    return replace(work, prompt_tokens=40_000)
+def _huge(request):
+    """Return a request that needs more memory than any engine has."""
+    return replace(request, prompt_tokens=40_000)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""Where generations and calls run."""
+"""Placement of generations and load balancing of calls."""
 
 import random
 from dataclasses import replace
@@ -29,190 +29,191 @@
 OWN = InstanceId("entry-1")
 
 
-def placer(*names):
-    """Give a placer and its runners."""
+def make_placer(*names):
+    """Return a placer and its table of runners."""
     table = RunnerTable()
     table.take(0.0, [runner(name) for name in names], 1, 0.0)
     return Placer(table, random.Random(1)), table
 
 
-def place(one, attempt, now_s=0.0, **more):
-    return one.place(now_s, work(attempt, **more), ENGINE, fleet_wide=True)
+def place(placer, attempt, now_s=0.0, **more):
+    return placer.place(now_s, work(attempt, **more), ENGINE, fleet_wide=True)
 
 
 def test_prompts_are_spread_before_any_is_read():
-    # First tokens would come late: prompts that arrive together on one engine are read one after
-    # the other, while other engines have nothing to read.
-    one, _ = placer("a", "b", "c")
-    places = [place(one, f"w{number}", short_gap(number)) for number in range(6)]
+    # Prompts that arrive together on one engine are processed one after the other while other
+    # engines have none to process, so their first tokens are late.
+    placer, _ = make_placer("a", "b", "c")
+    places = [place(placer, f"w{number}", arrival_s(number)) for number in range(6)]
     by_runner = {name: [p.runner for p in places].count(name) for name in "abc"}
     check.assertEqual(by_runner, {"a": 2, "b": 2, "c": 2})
 
 
-def short_gap(number):
+def arrival_s(number):
     return number * 0.001
 
 
 def test_a_copy_goes_to_another_engine():
-    one, _ = placer("a", "b")
-    placed = place(one, "w1")
+    placer, _ = make_placer("a", "b")
+    placed = place(placer, "w1")
     check.assertIsNotNone(placed.backup)
     check.assertNotEqual(placed.runner, placed.backup)
 
 
 def test_a_short_generation_gets_no_copy():
-    one, _ = placer("a", "b")
-    check.assertIsNone(place(one, "w1", most=40, hint=12).backup)
+    placer, _ = make_placer("a", "b")
+    check.assertIsNone(place(placer, "w1", most=40, hint=12).backup)
 
 
-def test_a_question_asked_twice_gets_one_answer():
-    # A run would be counted twice: the first answer was lost on its way, and the same question
-    # came again.
-    one, _ = placer("a", "b", "c")
-    check.assertEqual(place(one, "w1"), place(one, "w1", 0.05))
+def test_a_repeated_request_gets_the_same_placement():
+    # If the first answer is lost and the question is repeated, the run must not count twice.
+    placer, _ = make_placer("a", "b", "c")
+    check.assertEqual(place(placer, "w1"), place(placer, "w1", 0.05))
 
 
 def test_leaving_and_excluded_engines_get_nothing():
-    one, table = placer("a", "b", "c")
+    placer, table = make_placer("a", "b", "c")
     table.notice(0.0, RunnerId("a"))
     for number in range(5):
-        check.assertEqual(place(one, f"w{number}", excluded=("b",)).runner, "c")
+        check.assertEqual(place(placer, f"w{number}", excluded=("b",)).runner, "c")
 
 
-def test_no_engine_means_a_refusal_with_a_time():
-    one, _ = placer()
-    refused = place(one, "w1")
-    check.assertIsInstance(refused, PlaceRefused)
-    check.assertGreater(one.forecast_retry_s(0.0, work("w1")), 0)
+def test_without_engines_a_request_is_refused_with_a_retry_time():
+    placer, _ = make_placer()
+    refusal = place(placer, "w1")
+    check.assertIsInstance(refusal, PlaceRefused)
+    check.assertGreater(placer.forecast_retry_s(0.0, work("w1")), 0)
 
 
 def test_a_full_engine_gets_no_more_runs():
-    # A stream that someone reads would be preempted: forecast peaks beyond the memory.
-    one, _ = placer("a")
+    # If forecast peaks exceed the memory, the engine preempts a stream that someone reads.
+    placer, _ = make_placer("a")
     runs = [Run(work(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(9)]
-    one.registry.record_report(OWN, runs)
-    check.assertIsInstance(place(one, "w1"), PlaceRefused)
-    one.registry.record_report(OWN, runs[:3])
-    check.assertIsInstance(place(one, "w1"), Placement)
+    placer.registry.record_report(OWN, runs)
+    check.assertIsInstance(place(placer, "w1"), PlaceRefused)
+    placer.registry.record_report(OWN, runs[:3])
+    check.assertIsInstance(place(placer, "w1"), Placement)
 
 
 def test_copies_yield_to_runs():
-    # Work would be refused for the sake of copies, which engines drop when room runs out.
-    one, _ = placer("a", "b")
+    # Requests must not be refused because of copies, which engines drop when memory runs out.
+    placer, _ = make_placer("a", "b")
     runs = [Run(work(f"r{n}"), RunnerId("b"), RunnerId("a"), 100, True) for n in range(7)]
-    one.registry.record_report(OWN, runs)
-    placed = place(one, "w1")
+    placer.registry.record_report(OWN, runs)
+    placed = place(placer, "w1")
     check.assertEqual((placed.runner, placed.backup), ("a", None))
 
 
-def test_what_cannot_start_in_time_is_refused_at_once():
-    one, _ = placer("a")
+def test_a_request_that_cannot_start_in_time_is_refused_at_once():
+    placer, _ = make_placer("a")
     for number in range(12):
-        place(one, f"w{number}", prompt=1_000, hint=10, most=40)
-    check.assertIsInstance(place(one, "late", patience_s=0.5), PlaceRefused)
-    check.assertIsInstance(place(one, "patient", patience_s=5.0), Placement)
+        place(placer, f"w{number}", prompt=1_000, hint=10, most=40)
+    check.assertIsInstance(place(placer, "late", patience_s=0.5), PlaceRefused)
+    check.assertIsInstance(place(placer, "patient", patience_s=5.0), Placement)
 
 
-def test_runs_of_dead_instances_are_forgotten():
-    one, _ = placer("a")
-    one.registry.record_report(
+def test_runs_of_ended_instances_are_forgotten():
+    placer, _ = make_placer("a")
+    placer.registry.record_report(
         OWN, [Run(work(f"r{n}"), RunnerId("a"), None, 0, True) for n in range(9)]
     )
-    one.retain_instances([InstanceId("entry-2")])
-    check.assertIsInstance(place(one, "w1"), Placement)
+    placer.retain_instances([InstanceId("entry-2")])
+    check.assertIsInstance(place(placer, "w1"), Placement)
 
 
-def test_loads_that_the_home_told_count_where_runs_are_not_known():
-    one, table = placer("a", "b")
-    one.registry.record_report(
+def test_loads_sent_by_the_home_count_where_runs_are_not_known():
+    placer, table = make_placer("a", "b")
+    placer.registry.record_report(
         OWN, [Run(work(f"r{n}"), RunnerId("a"), None, 0, True) for n in range(6)]
     )
-    rows = one.registry.load_rows(0.0)
+    rows = placer.registry.load_rows(0.0)
     other = Placer(table, random.Random(2))
     other.registry.update_loads(0.0, rows)
     check.assertEqual(other.place(0.0, work("w1"), ENGINE, fleet_wide=False).runner, "b")
 
 
-def test_rows_of_works_and_runs_come_back():
+def test_requests_and_runs_survive_a_round_trip_through_rows():
     run = Run(work("w1", excluded=("x",)), RunnerId("a"), RunnerId("b"), 44, True)
     check.assertEqual(run_from_row(run_row(run)), run)
     check.assertEqual(request_from_row(request_row(run.request)), run.request)
 
 
 def test_one_copy_at_a_time_leaves_an_engine():
-    # A reader would see a pause of several hundred ms: the last part of one run's copy waits
-    # behind the first parts of the others on the engine's link.
-    turns = MovePermits()
+    # Otherwise the last part of one run's copy waits behind the first parts of the others on the
+    # engine's link, and a reader sees a pause of several hundred ms.
+    permits = MovePermits()
     source = RunnerId("a")
-    check.assertTrue(turns.request(0.0, source, "low", 5.0))
-    check.assertFalse(turns.request(0.1, source, "urgent", 1.0))
-    check.assertFalse(turns.request(0.1, source, "later", 3.0))
-    turns.release(source, "low")
-    check.assertFalse(turns.request(0.2, source, "later", 3.0))
-    check.assertTrue(turns.request(0.2, source, "urgent", 1.0))
+    check.assertTrue(permits.request(0.0, source, "low", 5.0))
+    check.assertFalse(permits.request(0.1, source, "urgent", 1.0))
+    check.assertFalse(permits.request(0.1, source, "later", 3.0))
+    permits.release(source, "low")
+    check.assertFalse(permits.request(0.2, source, "later", 3.0))
+    check.assertTrue(permits.request(0.2, source, "urgent", 1.0))
 
 
-def test_a_turn_that_hangs_ends():
-    turns = MovePermits()
+def test_a_permit_expires_when_its_copy_hangs():
+    permits = MovePermits()
     source = RunnerId("a")
-    check.assertTrue(turns.request(0.0, source, "hangs", 1.0))
-    check.assertFalse(turns.request(2.4, source, "next", 2.0))
-    check.assertTrue(turns.request(2.6, source, "next", 2.0))
+    check.assertTrue(permits.request(0.0, source, "hangs", 1.0))
+    check.assertFalse(permits.request(2.4, source, "next", 2.0))
+    check.assertTrue(permits.request(2.6, source, "next", 2.0))
 
 
-def test_those_that_stopped_asking_are_passed_over():
-    turns = MovePermits()
+def test_permit_requests_that_are_no_longer_repeated_are_skipped():
+    permits = MovePermits()
     source = RunnerId("a")
-    turns.request(0.0, source, "first", 1.0)
-    turns.request(0.0, source, "gone", 0.0)
-    turns.release(source, "first")
-    check.assertTrue(turns.request(0.6, source, "here", 9.0))
+    permits.request(0.0, source, "first", 1.0)
+    permits.request(0.0, source, "gone", 0.0)
+    permits.release(source, "first")
+    check.assertTrue(permits.request(0.6, source, "here", 9.0))
 
 
-def balancer(*names):
+def make_balancer(*names):
     runners = [runner(name, PLAIN, slots=6) for name in names]
     return PlainBalancer(ZoneName("leon-a"), random.Random(3)), runners
 
 
 def test_calls_go_where_the_least_is_in_flight():
-    one, runners = balancer("a", "b", "c")
+    balancer, runners = make_balancer("a", "b", "c")
     for _ in range(9):
-        one.record_sent(one.choose(0.0, runners).id)
-    counts = [one.choose(0.0, [it]) and it.id for it in runners]
+        balancer.record_sent(balancer.choose(0.0, runners).id)
+    counts = [balancer.choose(0.0, [it]) and it.id for it in runners]
     check.assertEqual(len(set(counts)), 3)
-    one.record_ended(0.0, RunnerId("b"), failed=False)
-    check.assertEqual(one.choose(0.0, runners).id, "b")
+    balancer.record_ended(0.0, RunnerId("b"), failed=False)
+    check.assertEqual(balancer.choose(0.0, runners).id, "b")
 
 
-def test_a_runner_that_fails_is_left_alone_and_tried_again():
-    # Clients would see failures for as long as the runner is ill: it answers at once, so it always
-    # looks idle, and its health check is good.
-    one, runners = balancer("a", "b")
+def test_a_failing_runner_is_avoided_and_tried_again_later():
+    # A failing runner answers at once, so it always looks idle, and its health check passes.
+    # Clients would see failures for as long as it stays broken.
+    balancer, runners = make_balancer("a", "b")
     for _ in range(4):
-        one.record_sent(RunnerId("a"))
-        one.record_ended(0.0, RunnerId("a"), failed=True)
-    check.assertEqual({one.choose(0.1, runners).id for _ in range(20)}, {"b"})
-    check.assertIn("a", {one.choose(9.0, runners).id for _ in range(40)})
+        balancer.record_sent(RunnerId("a"))
+        balancer.record_ended(0.0, RunnerId("a"), failed=True)
+    check.assertEqual({balancer.choose(0.1, runners).id for _ in range(20)}, {"b"})
+    check.assertIn("a", {balancer.choose(9.0, runners).id for _ in range(40)})
 
 
-def test_a_slow_runner_is_left_alone():
-    one, runners = balancer("a", "b", "c")
+def test_a_slow_runner_is_avoided():
+    balancer, runners = make_balancer("a", "b", "c")
     for name, latency_s in (("a", 0.4), ("b", 0.05), ("c", 0.05)) * 4:
-        one.record_sent(RunnerId(name))
-        one.record_ended(0.0, RunnerId(name), failed=False, latency_s=latency_s)
-    check.assertNotIn("a", {one.choose(0.1, runners).id for _ in range(20)})
+        balancer.record_sent(RunnerId(name))
+        balancer.record_ended(0.0, RunnerId(name), failed=False, latency_s=latency_s)
+    check.assertNotIn("a", {balancer.choose(0.1, runners).id for _ in range(20)})
 
 
-def test_a_runner_that_tells_of_load_from_others_is_avoided():
-    one, runners = balancer("a", "b")
-    one.record_sent(RunnerId("a"))
-    one.record_ended(0.0, RunnerId("a"), failed=False, latency_s=0.05, load=RunnerLoad(5, 0, 6))
-    check.assertEqual(one.choose(0.5, runners).id, "b")
+def test_a_runner_that_reports_load_from_other_instances_is_avoided():
+    balancer, runners = make_balancer("a", "b")
+    balancer.record_sent(RunnerId("a"))
+    balancer.record_ended(
+        0.0, RunnerId("a"), failed=False, latency_s=0.05, load=RunnerLoad(5, 0, 6)
+    )
+    check.assertEqual(balancer.choose(0.5, runners).id, "b")
 
 
 def test_a_copy_waits_until_both_links_are_free():
-    # Copies met on the link of the engine that looked emptiest, were given up after a while, and
-    # their memory stayed taken: work sent there waited or was preempted.
+    # Copies met on the link of the engine that looked emptiest and were given up after a while.
+    # Their memory stayed allocated, and requests sent there waited or were preempted.
     links = CopyLinks()
     a, b, c = runner("a"), runner("b"), runner("c", zone="leon-b")
     links.begin(0.0, ENGINE, a, b, 3_500)
@@ -225,22 +226,22 @@
     check.assertEqual(links.wait_s(0.0, c.id, b.id), 0.0)
 
 
-def test_a_copy_kept_in_case_is_begun_on_free_links_only():
-    one, _ = placer("a", "b")
+def test_a_backup_copy_starts_on_free_links_only():
+    placer, _ = make_placer("a", "b")
     run = Run(work("r1"), RunnerId("a"), None, 100, True)
-    one.registry.record_report(OWN, [run, Run(work("r2"), RunnerId("a"), None, 100, True)])
-    check.assertEqual(one.begin_copy(0.0, one.registry.find_run("r2"), ENGINE), "b")
-    check.assertIsNone(one.begin_copy(0.0, run, ENGINE))
-    check.assertEqual(one.begin_copy(1.0, run, ENGINE), "b")
+    placer.registry.record_report(OWN, [run, Run(work("r2"), RunnerId("a"), None, 100, True)])
+    check.assertEqual(placer.begin_copy(0.0, placer.registry.find_run("r2"), ENGINE), "b")
+    check.assertIsNone(placer.begin_copy(0.0, run, ENGINE))
+    check.assertEqual(placer.begin_copy(1.0, run, ENGINE), "b")
 
 
-def test_memory_that_the_book_does_not_know_of_is_left_alone():
-    # Work waited at an engine that was full: copies whose runs had gone on elsewhere stay for
-    # seconds, and only the engine itself knows of them.
-    one, _ = placer("a", "b")
-    one.registry.record_measured(0.0, RunnerId("a"), 32_000)
-    check.assertEqual({place(one, f"w{n}", n * 0.01).runner for n in range(4)}, {"b"})
-    check.assertIn("a", {place(one, f"v{n}", 9 + n * 0.01).runner for n in range(4)})
+def test_memory_that_the_registry_does_not_know_is_not_used():
+    # Copies whose runs continue elsewhere stay for seconds, and only the engine knows them.
+    # Requests waited on an engine that was full.
+    placer, _ = make_placer("a", "b")
+    placer.registry.record_measured(0.0, RunnerId("a"), 32_000)
+    check.assertEqual({place(placer, f"w{n}", n * 0.01).runner for n in range(4)}, {"b"})
+    check.assertIn("a", {place(placer, f"v{n}", 9 + n * 0.01).runner for n in range(4)})
 
 
 def test_long_estimates_are_shrunk_and_lengths_learned():
@@ -253,25 +254,25 @@
     check.assertEqual(lengths.expected(ENGINES, 2_000, 600, 1_999), 2_000)
 
 
-def test_waiting_work_goes_in_the_order_of_rank():
-    # Ten works that wait would take turns in asking, and the room that came free would go to
-    # whoever asked next. The home keeps the order, and gives the room out when it comes.
-    one, _ = placer("a")
+def test_queued_requests_are_placed_in_order_of_rank():
+    # Without the queue, freed memory would go to whichever of ten waiting requests is repeated
+    # next. The home keeps the order, and places requests when memory is freed.
+    placer, _ = make_placer("a")
     full = [Run(work(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(10)]
-    one.registry.record_report(OWN, full)
-    one.enqueue(0.0, work("low", prompt=4_000, rank=5), ENGINE)
-    one.enqueue(0.05, work("high", rank=0), ENGINE)
-    check.assertEqual(one.place_waiting(0.1), [])
-    one.registry.record_report(OWN, full[:8])
-    check.assertEqual([placed.attempt for placed in one.place_waiting(0.2)], ["high"])
-    one.registry.record_report(OWN, full[:6])
-    check.assertEqual([placed.attempt for placed in one.place_waiting(0.3)], ["low"])
-    check.assertEqual(one.place_waiting(0.4), [])
+    placer.registry.record_report(OWN, full)
+    placer.enqueue(0.0, work("low", prompt=4_000, rank=5), ENGINE)
+    placer.enqueue(0.05, work("high", rank=0), ENGINE)
+    check.assertEqual(placer.place_waiting(0.1), [])
+    placer.registry.record_report(OWN, full[:8])
+    check.assertEqual([placed.attempt for placed in placer.place_waiting(0.2)], ["high"])
+    placer.registry.record_report(OWN, full[:6])
+    check.assertEqual([placed.attempt for placed in placer.place_waiting(0.3)], ["low"])
+    check.assertEqual(placer.place_waiting(0.4), [])
 
 
 def test_callers_with_more_time_wait_longer():
-    # Refused after a second, a caller with 39 s comes back late and is refused for good; one with
-    # 6 s has to hear soon that it had better try elsewhere.
+    # A caller with 39 s left that is refused after one second returns late and is refused for good.
+    # One with 6 s left has to learn soon that it had better try elsewhere.
     check.assertAlmostEqual(longest_wait_s(1.8, 0.0, 39.0), 3.6)
     check.assertAlmostEqual(longest_wait_s(1.8, 0.0, 20.0), 2.0)
     check.assertAlmostEqual(longest_wait_s(1.5, 0.0, 6.0), 0.9)
@@ -281,107 +282,110 @@
     check.assertEqual(longest_wait_s(1.8, 2.0, -0.1), 0.0)
 
 
-def test_who_comes_back_late_goes_behind_those_in_time():
-    # On engines that stay full a caller is refused after a second and comes back; its first token
-    # is late whatever happens. Served in the order of asking, it makes the next caller late too,
-    # until every answer is.
-    one, _ = placer("a")
+def test_a_caller_that_returns_late_goes_behind_those_in_time():
+    # On engines that stay full a caller is refused after a second and returns; its first token is
+    # late in any case. Served in the order of arrival, it makes the next caller late too, until
+    # every answer is late.
+    placer, _ = make_placer("a")
     full = [Run(work(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(10)]
-    one.registry.record_report(OWN, full)
-    one.enqueue(0.0, work("first", patience_s=1.8, prompt_id="p"), ENGINE)
-    one.place_waiting(0.1)
-    one.remove("first")
-    one.enqueue(2.0, work("back", patience_s=1.8, prompt_id="p"), ENGINE)
-    one.enqueue(2.1, work("fresh", patience_s=1.8, prompt_id="q"), ENGINE)
-    one.registry.record_report(OWN, full[:8])
-    check.assertEqual([placed.attempt for placed in one.place_waiting(2.2)], ["fresh"])
-
-
-def test_who_is_late_is_served_once_there_is_room_to_spare():
-    # Refused a second time, a caller gets nothing at all; a late answer is worth something to it.
-    # It may not take the last of an engine's memory, which the next caller needs to be in time.
-    one, _ = placer("a")
+    placer.registry.record_report(OWN, full)
+    placer.enqueue(0.0, work("first", patience_s=1.8, prompt_id="p"), ENGINE)
+    placer.place_waiting(0.1)
+    placer.remove("first")
+    placer.enqueue(2.0, work("back", patience_s=1.8, prompt_id="p"), ENGINE)
+    placer.enqueue(2.1, work("fresh", patience_s=1.8, prompt_id="q"), ENGINE)
+    placer.registry.record_report(OWN, full[:8])
+    check.assertEqual([placed.attempt for placed in placer.place_waiting(2.2)], ["fresh"])
+
+
+def test_a_late_request_is_placed_once_there_is_spare_memory():
+    # A caller that is refused a second time gets nothing, and a late answer is worth something to
+    # it. It must not use the last of an engine's memory, which the next caller needs to be in time.
+    placer, _ = make_placer("a")
     full = [Run(work(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(8)]
-    one.registry.record_report(OWN, full)
-    one.enqueue(0.0, work("late", patience_s=0.0), ENGINE)
-    check.assertEqual(one.place_waiting(0.1), [])
-    one.enqueue(0.1, work("late", patience_s=0.0), ENGINE)
-    one.registry.record_report(OWN, full[:5])
-    check.assertEqual([placed.attempt for placed in one.place_waiting(0.2)], ["late"])
-
-
-def test_a_prompt_that_was_served_may_be_sent_anew():
-    # A session that asks the same again is no caller that comes back after a refusal.
-    one, _ = placer("a")
-    one.enqueue(0.0, work("first", patience_s=1.8, prompt_id="p"), ENGINE)
-    check.assertEqual([placed.attempt for placed in one.place_waiting(0.1)], ["first"])
+    placer.registry.record_report(OWN, full)
+    placer.enqueue(0.0, work("late", patience_s=0.0), ENGINE)
+    check.assertEqual(placer.place_waiting(0.1), [])
+    placer.enqueue(0.1, work("late", patience_s=0.0), ENGINE)
+    placer.registry.record_report(OWN, full[:5])
+    check.assertEqual([placed.attempt for placed in placer.place_waiting(0.2)], ["late"])
+
+
+def test_a_prompt_that_was_served_may_be_sent_again():
+    # A session that sends the same prompt again is not a caller that returns after a refusal.
+    placer, _ = make_placer("a")
+    placer.enqueue(0.0, work("first", patience_s=1.8, prompt_id="p"), ENGINE)
+    check.assertEqual([placed.attempt for placed in placer.place_waiting(0.1)], ["first"])
     full = [Run(work(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(10)]
-    one.registry.record_report(OWN, full)
-    one.enqueue(5.0, work("again", patience_s=1.8, prompt_id="p"), ENGINE)
-    one.enqueue(5.1, work("other", prompt=4_000, patience_s=1.8, prompt_id="q"), ENGINE)
-    one.registry.record_report(OWN, full[:8])
-    check.assertEqual([placed.attempt for placed in one.place_waiting(5.2)], ["again"])
+    placer.registry.record_report(OWN, full)
+    placer.enqueue(5.0, work("again", patience_s=1.8, prompt_id="p"), ENGINE)
+    placer.enqueue(5.1, work("other", prompt=4_000, patience_s=1.8, prompt_id="q"), ENGINE)
+    placer.registry.record_report(OWN, full[:8])
+    check.assertEqual([placed.attempt for placed in placer.place_waiting(5.2)], ["again"])
 
 
-def test_copies_are_few_until_it_is_known_what_runs_need():
-    # Engines are empty when traffic begins: copies of the first runs would fill them, and callers
-    # of the next seconds are refused for as long as those runs go on.
-    one, _ = placer("a", "b", "c", "d")
+def test_copies_are_few_until_the_demand_of_runs_is_known():
+    # Engines are empty when traffic begins. Copies of the first runs would fill them, and callers
+    # of the next seconds would be refused for as long as those runs last.
+    placer, _ = make_placer("a", "b", "c", "d")
     small = replace(ENGINE, kv_capacity_tokens=22_000)
-    placed = [one.place(0.0, work(f"w{n}", prompt=3_100), small, fleet_wide=True) for n in range(8)]
+    placed = [
+        placer.place(0.0, work(f"w{n}", prompt=3_100), small, fleet_wide=True) for n in range(8)
+    ]
     copies = sum(1 for placement in placed if placement.backup)
     check.assertGreater(copies, 0)
     check.assertLess(copies, 8)
 
 
-def test_what_gave_up_does_not_hold_up_the_rest():
-    # Nothing would be placed for a moment after each work that gave up: the first in order no
-    # longer asks, and the room is kept for it.
-    one, _ = placer("a")
+def test_a_request_whose_caller_gave_up_does_not_block_the_others():
+    # If memory is kept for a request whose caller gave up, nothing is placed for a moment after
+    # each of them.
+    placer, _ = make_placer("a")
     full = [Run(work(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(10)]
-    one.registry.record_report(OWN, full)
-    one.enqueue(0.0, work("gone", rank=0), ENGINE)
-    one.enqueue(0.0, work("silent", rank=1), ENGINE)
-    one.enqueue(0.7, work("here", rank=5), ENGINE)
-    one.remove("gone")
-    one.registry.record_report(OWN, full[:8])
-    check.assertEqual([placed.attempt for placed in one.place_waiting(0.9)], ["here"])
-
-
-def test_short_work_passes_what_waits():
-    one, _ = placer("a")
-    one.registry.record_report(
+    placer.registry.record_report(OWN, full)
+    placer.enqueue(0.0, work("gone", rank=0), ENGINE)
+    placer.enqueue(0.0, work("silent", rank=1), ENGINE)
+    placer.enqueue(0.7, work("here", rank=5), ENGINE)
+    placer.remove("gone")
+    placer.registry.record_report(OWN, full[:8])
+    check.assertEqual([placed.attempt for placed in placer.place_waiting(0.9)], ["here"])
+
+
+def test_a_short_request_overtakes_a_queued_long_one():
+    placer, _ = make_placer("a")
+    placer.registry.record_report(
         OWN, [Run(work(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(9)]
     )
-    one.enqueue(0.0, work("long", prompt=6_000), ENGINE)
-    one.enqueue(0.0, work("short", prompt=800, most=40, hint=10, rank=5), ENGINE)
-    check.assertEqual([placed.attempt for placed in one.place_waiting(0.1)], ["short"])
+    placer.enqueue(0.0, work("long", prompt=6_000), ENGINE)
+    placer.enqueue(0.0, work("short", prompt=800, most=40, hint=10, rank=5), ENGINE)
+    check.assertEqual([placed.attempt for placed in placer.place_waiting(0.1)], ["short"])
 
 
-def test_an_engine_that_did_not_connect_is_not_given_again():
-    # The same dead engine would be given at each try: the first answer is kept for questions that
-    # come twice.
-    one, _ = placer("a", "b")
-    first = place(one, "w1")
-    check.assertNotEqual(place(one, "w1", excluded=(first.runner,)).runner, first.runner)
+def test_an_engine_that_refused_a_connection_is_not_chosen_again():
+    # The first answer is kept for repeated questions: the same dead engine would be returned at
+    # each try.
+    placer, _ = make_placer("a", "b")
+    first = place(placer, "w1")
+    check.assertNotEqual(place(placer, "w1", excluded=(first.runner,)).runner, first.runner)
 
 
-def test_a_runner_that_accepts_no_connection_is_left_alone_at_once():
-    # Each request would wait in vain for a connection first: with the store away nobody tells that
-    # a runner is gone, and one failure in five is not yet a reason to avoid a runner that answers.
-    one, runners = balancer("a", "b")
-    one.record_unreachable(0.0, RunnerId("a"))
-    check.assertEqual({one.choose(0.1, runners).id for _ in range(20)}, {"b"})
-    check.assertIn("a", {one.choose(9.0, runners).id for _ in range(40)})
+def test_a_runner_that_accepts_no_connection_is_avoided_at_once():
+    # While the store is unavailable, no update says that a runner has ended, and each request would
+    # first wait for a connection in vain. One failure in five is not yet a reason to avoid a runner
+    # that answers.
+    balancer, runners = make_balancer("a", "b")
+    balancer.record_unreachable(0.0, RunnerId("a"))
+    check.assertEqual({balancer.choose(0.1, runners).id for _ in range(20)}, {"b"})
+    check.assertIn("a", {balancer.choose(9.0, runners).id for _ in range(40)})
 
 
-def test_a_run_that_has_to_leave_goes_where_its_copy_is_whole_first():
-    # Half of an engine's runs would be lost with it: copies to another zone take twice as long, and
-    # the notice is enough for five in the same zone only.
+def test_a_run_that_has_to_move_goes_where_its_copy_is_complete_first():
+    # Copies to another zone take twice as long. The engine's notice is enough for five copies in
+    # the same zone only, and half of its runs were lost.
     table = RunnerTable()
     leaving = runner("a", state=RunnerState.LEAVING)
     table.take(0.0, [leaving, runner("near"), runner("far", zone="leon-b")], 1, 0.0)
-    one = Placer(table, random.Random(1))
+    placer = Placer(table, random.Random(1))
     on_near = [Run(work(f"n{n}"), RunnerId("near"), None, 100, True) for n in range(5)]
-    one.registry.record_report(OWN, [Run(work("r"), RunnerId("a"), None, 100, True), *on_near])
-    check.assertEqual(one.begin_copy(0.0, one.registry.find_run("r"), ENGINE), "near")
+    placer.registry.record_report(OWN, [Run(work("r"), RunnerId("a"), None, 100, True), *on_near])
+    check.assertEqual(placer.begin_copy(0.0, placer.registry.find_run("r"), ENGINE), "near")
--- a/tests/test_promises_properties.py
+++ b/tests/test_promises_properties.py
@@ -1,7 +1,7 @@
-"""The decisions behind the promises, over random histories.
+"""Property tests of the decisions that the guarantees rest on, over random histories.
 
-Readings come late, twice and out of order, instances fall silent and come back, and a process may
-stand still between any two steps.
+Readings come late, twice and out of order, instances stop answering and come back, and a process
+may be paused between any two steps.
 """
 
 import random
@@ -23,7 +23,7 @@
 load_tests = tests_of(globals())
 
 EXAMPLES = settings(max_examples=150, deadline=None, derandomize=True)
-PROMISING = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 SERVICE = ServiceName("desk-app")
 RUNNERS = ("a", "b", "c", "d")
 EMPTY = RoutingConfiguration(
@@ -36,8 +36,8 @@
 )
 
 
-class RankingEachTime(Fleet):
-    """A fleet that keeps no ranking."""
+class UncachedFleet(Fleet):
+    """A fleet that does not cache its ranking."""
 
     def _ranked(self, now_s):
         return self._rank_all(now_s)
@@ -59,13 +59,13 @@
 
 @EXAMPLES
 @given(st.lists(_fleet_step, max_size=40))
-def test_a_kept_ranking_gives_the_same_home(steps):
-    # Questions would go to an instance that has left, for as long as the ranking is kept.
-    kept, fresh = Fleet(known(0), 0.0), RankingEachTime(known(0), 0.0)
+def test_a_cached_ranking_gives_the_same_home(steps):
+    # Requests would go to an instance that has left, for as long as a stale ranking is cached.
+    cached, uncached = Fleet(known(0), 0.0), UncachedFleet(known(0), 0.0)
     now_s = 0.0
     for kind, other, passed_s in steps:
         now_s += passed_s
-        for view in (kept, fresh):
+        for view in (cached, uncached):
             if kind == "heard":
                 view.heard(now_s, other)
             elif kind == "own":
@@ -74,13 +74,13 @@
                 view.told(now_s, other.instance.id, [other])
             else:
                 getattr(view, kind)(now_s, [other])
-        check.assertEqual(kept.home(now_s), fresh.home(now_s))
-        check.assertEqual(kept.report_targets(now_s), fresh.report_targets(now_s))
+        check.assertEqual(cached.home(now_s), uncached.home(now_s))
+        check.assertEqual(cached.report_targets(now_s), uncached.report_targets(now_s))
 
 
 @EXAMPLES
 @given(st.lists(st.integers(1, 30), max_size=30))
-def test_a_version_is_never_taken_back(versions):
+def test_an_older_version_is_never_applied(versions):
     gate = VersionGate()
     newest = 0
     for version in versions:
@@ -98,9 +98,9 @@
 
 @EXAMPLES
 @given(st.lists(st.one_of(_reading, st.sampled_from(RUNNERS)), max_size=25))
-def test_a_runner_that_was_told_to_leave_gets_no_work_again(steps):
-    # A request reaches a runner that is gone, or a stranger at its address: a reading that was on
-    # its way while the runner told of its leaving itself would bring it back.
+def test_a_leaving_runner_gets_no_requests_again(steps):
+    # A reading made before a runner reported that it leaves would bring it back, and a request
+    # would reach a removed runner or an unknown one at its address.
     table = RunnerTable()
     left = set()
     for now_s, step in enumerate(steps):
@@ -111,11 +111,11 @@
         else:
             revision, states = step
             listed = [runner(name, state=state) for name, state in states.items()]
-            taken = revision >= table.revision
+            applied = revision >= table.revision
             table.take(float(now_s), listed, revision, float(now_s))
-            if taken:
+            if applied:
                 left |= {name for name, state in states.items() if state is RunnerState.LEAVING}
-        check.assertFalse(left & {one.id for one in table.ready(ENGINES)})
+        check.assertFalse(left & {ready.id for ready in table.ready(ENGINES)})
         check.assertFalse([name for name in left if table.is_ready(RunnerId(name))])
 
 
@@ -123,14 +123,14 @@
 @given(
     st.lists(st.booleans(), max_size=6), st.sampled_from(ErrorKind), st.sampled_from((None, 0.4))
 )
-def test_not_run_is_never_said_once_it_may_have_run(sends, kind, retry_s):
+def test_not_run_is_never_stated_once_a_request_may_have_run(sends, kind, retry_s):
     knowledge = RunKnowledge()
     for unknown in sends:
         if unknown:
             knowledge.unknown()
         failure = knowledge.failure(kind, "x", retry_after_s=retry_s)
         if knowledge.may_have_run:
-            check.assertNotIn(failure.status, PROMISING)
+            check.assertNotIn(failure.status, NOT_RUN_STATUSES)
     check.assertEqual(knowledge.may_have_run, any(sends))
 
 
@@ -139,9 +139,9 @@
     st.integers(1, 8),
     st.lists(st.tuples(st.sampled_from((0, 20, 3_000)), st.integers(0, 7)), max_size=90),
 )
-def test_second_sends_of_all_instances_keep_within_the_budget(count, steps):
-    # Runners in trouble are buried: each instance keeps to a budget of its own and all of them
-    # together send several times as much.
+def test_second_sends_of_all_instances_stay_within_the_budget(count, steps):
+    # If each instance kept to a budget of its own, all of them together would send several times
+    # as much, and overload runners in trouble.
     bounds = Bounds(
         runner_drain_s=2,
         grace_s=8,
@@ -161,13 +161,13 @@
         while budget.allows(now_s, SERVICE):
             budget.repeated(now_s, SERVICE)
             repeats.append(now_s)
-        recent = [one for one in requests if now_s - one <= bounds.retry_window_s]
-        again = [one for one in repeats if now_s - one <= bounds.retry_window_s]
+        recent = [at for at in requests if now_s - at <= bounds.retry_window_s]
+        recent_repeats = [at for at in repeats if now_s - at <= bounds.retry_window_s]
         allowed = bounds.retry_ratio * len(recent) + bounds.retry_slack
-        check.assertLessEqual(len(again), allowed)
+        check.assertLessEqual(len(recent_repeats), allowed)
 
 
-_asking = st.tuples(
+_placement_step = st.tuples(
     st.integers(0, 12),
     st.sampled_from((800, 3_000, 6_000)),
     st.integers(0, 3),
@@ -177,21 +177,21 @@
 
 
 @EXAMPLES
-@given(st.lists(_asking, max_size=40), st.integers(0, 99))
-def test_no_work_is_placed_twice_or_beyond_an_engines_slots(steps, seed):
+@given(st.lists(_placement_step, max_size=40), st.integers(0, 99))
+def test_no_request_is_placed_twice_or_beyond_an_engines_slots(steps, seed):
     table = RunnerTable()
     table.take(0.0, [runner(name, slots=3) for name in RUNNERS], 1, 0.0)
-    one = Placer(table, random.Random(seed))
+    placer = Placer(table, random.Random(seed))
     places = {}
     for number, (attempt, prompt, rank, patience_s, gives_up) in enumerate(steps):
         name = f"w{attempt}"
         if gives_up:
-            one.remove(name)
+            placer.remove(name)
             places.pop(name, None)
         elif name not in places:
-            asked = work(name, prompt=prompt, rank=rank, patience_s=patience_s, prompt_id=name)
-            one.enqueue(number * 0.01, asked, ENGINE)
-        for placed in one.place_waiting(number * 0.01):
+            request = work(name, prompt=prompt, rank=rank, patience_s=patience_s, prompt_id=name)
+            placer.enqueue(number * 0.01, request, ENGINE)
+        for placed in placer.place_waiting(number * 0.01):
             check.assertNotIn(placed.attempt, places)
             places[placed.attempt] = Run(work(placed.attempt), placed.placement.runner, None)
         runs = [run.runner for run in places.values()]
--- a/tests/test_runner_leaving.py
+++ b/tests/test_runner_leaving.py
@@ -4,7 +4,7 @@
 
 from egretstack.services.fleet_port import FleetPort
 from standins.platform import StoreFault
-from tests.limited_site import ask_steadily
+from tests.limited_site import send_steadily
 from tests.platform_site import platform_site
 from tests.stream_reader import read
 from tests.support import check, on_real_clock, tests_of
@@ -46,7 +46,7 @@
         leaving, other = site.plain
         site.store.fault = StoreFault.SILENT
         leaving.says_leaving = True
-        answers = await ask_steadily(site, "/holds/1", 60, 0.05, method=b"POST")
+        answers = await send_steadily(site, "/holds/1", 60, 0.05, method=b"POST")
         check.assertEqual(late(leaving), 0)
         check.assertEqual({one.status for one in answers}, {200})
         check.assertGreater(len(other.arrived_s), 40)
@@ -60,7 +60,7 @@
         isolate(site)
         site.store.fault = StoreFault.SILENT
         leaving.says_leaving = True
-        await ask_steadily(site, "/notes/1", 60, 0.05, entries=[1])
+        await send_steadily(site, "/notes/1", 60, 0.05, entries=[1])
         check.assertEqual(late(leaving), 0)
 
 
@@ -72,10 +72,12 @@
         site.store.fault = StoreFault.SILENT
         leaving.says_leaving = True
         while not leaving.said_leaving_s:
-            await ask_steadily(site, "/notes/1", 1, 0.0, tag=f"n{trio.current_time()}", entries=[2])
+            await send_steadily(
+                site, "/notes/1", 1, 0.0, tag=f"n{trio.current_time()}", entries=[2]
+            )
         await site.until(lambda: all(sees_leaving(site, leaving, entry) for entry in range(3)))
         before = len(leaving.arrived_s)
-        await ask_steadily(site, "/notes/1", 40, 0.02, tag="o", entries=[0, 1])
+        await send_steadily(site, "/notes/1", 40, 0.02, tag="o", entries=[0, 1])
         check.assertEqual(len(leaving.arrived_s), before)
 
 
@@ -85,13 +87,13 @@
     async with platform_site(entries=2, plain=2) as site:
         leaving = site.plain[0]
         leaving.says_leaving = True
-        await ask_steadily(site, "/notes/1", 20, 0.01)
+        await send_steadily(site, "/notes/1", 20, 0.01)
         await site.until(lambda: all(sees_leaving(site, leaving, entry) for entry in range(2)))
         site.scopes[site.settings(1).instance].cancel()
         await site.start_entry(2)
         await site.until(lambda: sees_leaving(site, leaving, 2))
         before = len(leaving.arrived_s)
-        await ask_steadily(site, "/notes/1", 40, 0.02, tag="o", entries=[0, 2])
+        await send_steadily(site, "/notes/1", 40, 0.02, tag="o", entries=[0, 2])
         check.assertEqual(len(leaving.arrived_s), before)
 
 
@@ -105,7 +107,7 @@
         site.store.fault = StoreFault.SILENT
         leaving.says_leaving = True
         more = {"method": b"POST", "headers": SMALL_GENERATION}
-        answers = await ask_steadily(site, "/plans/1", 60, 0.05, **more)
+        answers = await send_steadily(site, "/plans/1", 60, 0.05, **more)
         check.assertEqual(late(leaving), 0)
         check.assertEqual({one.status for one in answers}, {200})
 
@@ -123,7 +125,7 @@
         ports[entry].leaving = list
         leaving.says_leaving = True
         more = {"method": b"POST", "headers": SMALL_GENERATION}
-        answers = await ask_steadily(site, "/plans/1", 60, 0.05, entries=[entry], **more)
+        answers = await send_steadily(site, "/plans/1", 60, 0.05, entries=[entry], **more)
         check.assertEqual(late(leaving), 0)
         check.assertEqual({one.status for one in answers}, {200})
 
--- a/tests/test_runner_rests.py
+++ b/tests/test_runner_rests.py
@@ -1,4 +1,4 @@
-"""Runners that turn a request away and ask the instance for a rest: it sends them nothing more."""
+"""Runners that reject a request and ask the instance to back off: it sends them nothing more."""
 
 import trio
 
@@ -7,7 +7,7 @@
 from egretstack.placing import RunnerBackoffs, SendOrigin
 from standins.platform import GENERATION, StoreFault
 from tests.fleet_fixtures import runner
-from tests.limited_site import ask_steadily
+from tests.limited_site import send_steadily
 from tests.platform_site import platform_site
 from tests.stream_reader import read
 from tests.support import check, on_real_clock, tests_of
@@ -15,7 +15,7 @@
 
 load_tests = tests_of(globals())
 
-REST_S = 2.0
+BACKOFF_S = 2.0
 LONG_GENERATION = (
     (b"model", b"m"),
     (b"token-count", b"60,8000"),
@@ -23,129 +23,136 @@
     (b"length-hint", b"6000"),
 )
 GRACE_S = 0.3
-"""Time after a runner asked for rest in which requests under way still reach it."""
+"""Time after a runner asked for backoff in which requests on their way still reach it."""
 
 
 def sender(attempt, entries):
-    """Give the instance that an attempt of `ask_steadily` was made at."""
+    """Return the index of the instance that an attempt of `send_steadily` was sent to."""
     return int(attempt.rpartition("-")[2]) % entries
 
 
-def in_rests(runner, entries=1):
-    """Give the most requests that reached a runner from one instance in a rest of its."""
+def max_in_backoff(runner, entries=1):
+    """Return the maximum number of requests to a runner during a backoff of their instance."""
     most = 0
-    for asked_s, turned_away in runner.rests:
-        begin_s, end_s, asker = asked_s + GRACE_S, asked_s + REST_S, sender(turned_away, entries)
-        arrived = [at for at, one in runner.arrivals if sender(one, entries) == asker]
+    for requested_s, rejected in runner.rests:
+        begin_s, end_s, instance = (
+            requested_s + GRACE_S,
+            requested_s + BACKOFF_S,
+            sender(rejected, entries),
+        )
+        arrived = [at for at, attempt in runner.arrivals if sender(attempt, entries) == instance]
         most = max(most, sum(begin_s < at < end_s for at in arrived))
     return most
 
 
 @on_real_clock
-async def test_calls_leave_a_runner_alone_that_asked_for_rest():
-    # Guards against first and second sends to a runner that wants none of this instance's.
+async def test_no_calls_go_to_a_runner_in_backoff():
+    # Guards against first and second sends to a runner that wants none from this instance.
     async with platform_site(entries=2, plain=2) as site:
-        resting, other = site.plain
-        resting.rest_s = REST_S
-        answers = await ask_steadily(site, "/notes/1", 100, 0.05, method=b"POST")
-        check.assertEqual(in_rests(resting, len(site.kernels)), 0)
-        check.assertEqual({one.status for one in answers}, {200})
+        backing_off, other = site.plain
+        backing_off.rest_s = BACKOFF_S
+        answers = await send_steadily(site, "/notes/1", 100, 0.05, method=b"POST")
+        check.assertEqual(max_in_backoff(backing_off, len(site.kernels)), 0)
+        check.assertEqual({answer.status for answer in answers}, {200})
         check.assertGreater(len(other.arrived_s), 60)
 
 
 @on_real_clock
-async def test_second_sends_leave_a_resting_runner_alone():
-    # Guards against rejected calls that go on to a runner which asked for rest.
+async def test_no_second_sends_go_to_a_runner_in_backoff():
+    # Guards against rejected calls that are sent on to a runner that asked for backoff.
     async with platform_site(entries=2, plain=2) as site:
-        for one in site.plain:
-            one.rest_s = REST_S
-        await ask_steadily(site, "/notes/1", 100, 0.05, method=b"POST")
-        for one in site.plain:
-            check.assertGreater(len(one.rests), 1)
-            check.assertEqual(in_rests(one, len(site.kernels)), 0)
+        for plain in site.plain:
+            plain.rest_s = BACKOFF_S
+        await send_steadily(site, "/notes/1", 100, 0.05, method=b"POST")
+        for plain in site.plain:
+            check.assertGreater(len(plain.rests), 1)
+            check.assertEqual(max_in_backoff(plain, len(site.kernels)), 0)
 
 
 @on_real_clock
-async def test_what_finds_only_resting_runners_is_refused_at_once_with_a_time():
-    # Guards against a wait until the deadline, and against a time at which they still rest.
+async def test_requests_with_only_runners_in_backoff_are_refused_at_once_with_a_retry_time():
+    # Guards against a wait until the deadline, and against a retry time within the backoff.
     async with platform_site(entries=1, plain=2, engines=2) as site:
-        for one in (*site.plain, *site.engines):
-            one.rest_s = REST_S
+        for runner in (*site.plain, *site.engines):
+            runner.rest_s = BACKOFF_S
         for path, more in (("/holds/1", {}), ("/plans/1", {"headers": GENERATION})):
-            await ask_steadily(site, path, 3, 0.05, tag=f"a{path}", method=b"POST", **more)
+            await send_steadily(site, path, 3, 0.05, tag=f"a{path}", method=b"POST", **more)
             began_s = trio.current_time()
-            answers = await ask_steadily(site, path, 1, 0.0, tag=f"b{path}", method=b"POST", **more)
+            answers = await send_steadily(
+                site, path, 1, 0.0, tag=f"b{path}", method=b"POST", **more
+            )
             check.assertLess(trio.current_time() - began_s, 1.0)
             check.assertEqual(answers[0].status, 503)
-            told_s = float(first_value(answers[0].headers, b"retry-after"))
-            check.assertGreater(told_s, 0.5)
-            check.assertLessEqual(told_s, REST_S)
+            retry_after_s = float(first_value(answers[0].headers, b"retry-after"))
+            check.assertGreater(retry_after_s, 0.5)
+            check.assertLessEqual(retry_after_s, BACKOFF_S)
 
 
 @on_real_clock
-async def test_a_rested_runner_gets_its_share_again():
-    # Guards against a rest that outlasts what was asked for.
+async def test_a_runner_gets_its_share_again_after_a_backoff():
+    # Guards against a backoff that lasts longer than requested.
     async with platform_site(entries=1, plain=2) as site:
-        rested = site.plain[0]
-        for one in site.plain:
-            one.delay_s = 0.02
-        rested.rest_s = 0.5
-        await ask_steadily(site, "/holds/1", 10, 0.02, method=b"POST")
-        rested.rest_s = None
+        backing_off = site.plain[0]
+        for plain in site.plain:
+            plain.delay_s = 0.02
+        backing_off.rest_s = 0.5
+        await send_steadily(site, "/holds/1", 10, 0.02, method=b"POST")
+        backing_off.rest_s = None
         await trio.sleep(0.6)
-        before = len(rested.arrived_s)
-        await ask_steadily(site, "/holds/1", 60, 0.02, tag="u", method=b"POST")
-        check.assertGreater(len(rested.arrived_s) - before, 15)
+        before = len(backing_off.arrived_s)
+        await send_steadily(site, "/holds/1", 60, 0.02, tag="u", method=b"POST")
+        check.assertGreater(len(backing_off.arrived_s) - before, 15)
 
 
 @on_real_clock
-async def test_generations_leave_an_engine_alone_that_asked_for_rest():
-    # Guards against a home that places an instance's generation at an engine resting from it.
+async def test_no_generations_go_to_an_engine_in_backoff():
+    # Guards against a home that places an instance's generation on an engine that asked this
+    # instance for backoff.
     async with platform_site(entries=2, plain=0, engines=2) as site:
-        resting, other = site.engines
-        for one in site.engines:
-            one.events = 2
-        resting.rest_s = REST_S
+        backing_off, other = site.engines
+        for engine in site.engines:
+            engine.events = 2
+        backing_off.rest_s = BACKOFF_S
         site.store.fault = StoreFault.SILENT
         more = {"method": b"POST", "headers": SMALL_GENERATION}
-        answers = await ask_steadily(site, "/plans/1", 100, 0.05, **more)
-        check.assertEqual(in_rests(resting, len(site.kernels)), 0)
-        check.assertEqual({one.status for one in answers}, {200})
+        answers = await send_steadily(site, "/plans/1", 100, 0.05, **more)
+        check.assertEqual(max_in_backoff(backing_off, len(site.kernels)), 0)
+        check.assertEqual({answer.status for answer in answers}, {200})
         check.assertGreater(len(other.arrived_s), 60)
 
 
 @on_real_clock
-async def test_streams_do_not_go_on_at_an_engine_that_asked_for_rest():
-    # Guards against continuations and moves as further ways to a resting engine.
+async def test_streams_do_not_continue_on_an_engine_in_backoff():
+    # Guards against continuations and moves to an engine in backoff.
     async with platform_site(entries=1, plain=0, engines=2) as site:
-        resting, other = site.engines
-        for one in site.engines:
-            one.events = 500
+        backing_off, other = site.engines
+        for engine in site.engines:
+            engine.events = 500
         for number in range(20):
             await read(site, f"s-{number}", 1, deadline_ms=60_000, headers=SMALL_GENERATION)
-        resting.rest_s = REST_S
+        backing_off.rest_s = BACKOFF_S
         number = 0
-        while not resting.rests:
+        while not backing_off.rests:
             number += 1
             reader = await read(site, f"t-{number}", 1, headers=SMALL_GENERATION)
             reader.scope.cancel()
         await trio.sleep(GRACE_S)
         other.crash()
-        await trio.sleep(REST_S)
-        check.assertEqual(in_rests(resting, len(site.kernels)), 0)
+        await trio.sleep(BACKOFF_S)
+        check.assertEqual(max_in_backoff(backing_off, len(site.kernels)), 0)
 
 
 @on_real_clock
-async def test_a_copy_at_a_resting_engine_is_not_made_anew_elsewhere():
-    # Guards against a run's memory that is copied again for each rest of a few seconds.
+async def test_a_copy_on_an_engine_in_backoff_is_not_made_again_elsewhere():
+    # Guards against copying a run's memory again for each backoff of a few seconds.
     async with platform_site(entries=1, plain=0, engines=3) as site:
-        for one in site.engines:
-            one.events = 400
+        for engine in site.engines:
+            engine.events = 400
         reader = await read(site, "s-1", 1, deadline_ms=60_000, headers=LONG_GENERATION)
-        resting = next(one for one in site.engines if "s-1" in one.copies)
-        resting.rest_s = REST_S
+        backing_off = next(one for one in site.engines if "s-1" in one.copies)
+        backing_off.rest_s = BACKOFF_S
         number = 0
-        while not resting.rests:
+        while not backing_off.rests:
             number += 1
             other = await read(site, f"t-{number}", 1, headers=SMALL_GENERATION)
             other.scope.cancel()
@@ -154,18 +161,19 @@
         check.assertEqual([one.moves for one in site.engines], [[], [], []])
 
 
-def test_a_rest_is_this_instances_own_and_ends_in_time():
-    # Guards against a rest that the home keeps for others, or that a shorter one cuts off.
+def test_a_backoff_applies_to_its_own_instance_and_ends_in_time():
+    # Guards against a backoff that the home observes for other instances, or that a shorter one
+    # cuts short.
     table = RunnerTable()
-    one = runner("a")
-    table.take(0.0, [one], 1, 0.0)
-    rests = RunnerBackoffs(table)
-    rests.record_requested(1.0, one.id, 3.0)
-    rests.record_requested(1.5, one.id, 1.0)
-    for part in (SendOrigin.PLAIN, SendOrigin.ALONE, SendOrigin.CONTINUED):
-        check.assertFalse(rests.allows(3.9, one, part))
-        check.assertEqual(rests.time_until_allowed_s(3.0, one, part), 1.0)
-        check.assertTrue(rests.allows(4.0, one, part))
-    check.assertTrue(rests.allows(2.0, one, SendOrigin.HOME))
-    check.assertEqual(rests.in_backoff(2.0), {one.id})
-    check.assertEqual(rests.in_backoff(4.0), set())
+    target = runner("a")
+    table.take(0.0, [target], 1, 0.0)
+    backoffs = RunnerBackoffs(table)
+    backoffs.record_requested(1.0, target.id, 3.0)
+    backoffs.record_requested(1.5, target.id, 1.0)
+    for origin in (SendOrigin.PLAIN, SendOrigin.ALONE, SendOrigin.CONTINUED):
+        check.assertFalse(backoffs.allows(3.9, target, origin))
+        check.assertEqual(backoffs.time_until_allowed_s(3.0, target, origin), 1.0)
+        check.assertTrue(backoffs.allows(4.0, target, origin))
+    check.assertTrue(backoffs.allows(2.0, target, SendOrigin.HOME))
+    check.assertEqual(backoffs.in_backoff(2.0), {target.id})
+    check.assertEqual(backoffs.in_backoff(4.0), set())
