--- a/egretstack/placing/_placer.py
+++ b/egretstack/placing/_placer.py
@@ -113,8 +113,8 @@
                 placed.append(Placed(queued.request.attempt, decided))
             else:
                 blocked = True
-        for one in placed:
-            self._queue.remove_placed(one.attempt)
+        for placement in placed:
+            self._queue.remove_placed(placement.attempt)
         return placed
 
     def forecast_retry_s(self, now_s: float, request: GenerationRequest) -> float:
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -169,12 +169,12 @@
 def test_an_engine_that_has_ended_is_unresponsive_until_it_answers():
     silence = Silence()
     silence.ended("a")
-    asked = {"a", "b", "c"}
-    check.assertEqual(silence.silent(asked), {"a"})
+    queried = {"a", "b", "c"}
+    check.assertEqual(silence.silent(queried), {"a"})
     silence.missed("a")
-    check.assertEqual(silence.silent(asked), {"a"})
+    check.assertEqual(silence.silent(queried), {"a"})
     silence.answered("a")
-    check.assertEqual(silence.silent(asked), frozenset())
+    check.assertEqual(silence.silent(queried), frozenset())
 
 
 def test_invalid_rows_are_rejected():
--- a/tests/test_runner_rests.py
+++ b/tests/test_runner_rests.py
@@ -33,7 +33,7 @@
 
 def max_in_backoff(runner, entries=1):
     """Return the maximum number of requests to a runner during a backoff of their instance."""
-    most = 0
+    maximum = 0
     for requested_s, rejected in runner.rests:
         begin_s, end_s, instance = (
             requested_s + GRACE_S,
@@ -41,8 +41,8 @@
             sender(rejected, entries),
         )
         arrived = [at for at, attempt in runner.arrivals if sender(attempt, entries) == instance]
-        most = max(most, sum(begin_s < at < end_s for at in arrived))
-    return most
+        maximum = max(maximum, sum(begin_s < at < end_s for at in arrived))
+    return maximum
 
 
 @on_real_clock
