--- a/egretstack/placing/__init__.py
+++ b/egretstack/placing/__init__.py
@@ -1,13 +1,12 @@
 """Decides where generations and calls run. Does no I/O; the time is passed in."""
 
 from egretstack.placing._balancer import PlainBalancer
-from egretstack.placing._cold_ration import ColdAllocation
+from egretstack.placing._cold_allocation import ColdAllocation
 from egretstack.placing._lengths import LengthForecast
-from egretstack.placing._limit_ration import LimitAllocation
+from egretstack.placing._limit_allocation import LimitAllocation
 from egretstack.placing._links import CopyLinks, copy_time_s
 from egretstack.placing._loads import EngineLoad
-from egretstack.placing._move_turns import MovePermits
-from egretstack.placing._patience import longest_wait_s
+from egretstack.placing._move_permits import MovePermits
 from egretstack.placing._placer import Placed, Placer, PlaceRefused
 from egretstack.placing._run import (
     GenerationRequest,
@@ -18,7 +17,7 @@
     run_from_row,
     run_row,
 )
-from egretstack.placing._runner_rests import RunnerBackoffs
+from egretstack.placing._runner_backoffs import RunnerBackoffs
 from egretstack.placing._send_bounds import CombinedSendBounds, SendBound, SendOrigin
 from egretstack.placing._split import FleetSplit
 from egretstack.placing._strikes import (
@@ -28,6 +27,7 @@
     count_from_row,
     count_row,
 )
+from egretstack.placing._wait_limit import longest_wait_s
 
 __all__ = [
     "AnswerCount",
--- a/egretstack/placing/_copies.py
+++ b/egretstack/placing/_copies.py
@@ -7,11 +7,11 @@
 
 from egretstack.fleet import Runner, RunnerTable
 from egretstack.ids import RunnerId, ServiceName
-from egretstack.placing._book import LoadById, RunRegistry
 from egretstack.placing._demand import RecentDemand
 from egretstack.placing._links import CopyLinks, copy_time_s
 from egretstack.placing._loads import EngineLoad
 from egretstack.placing._run import GenerationRequest, Run
+from egretstack.placing._run_registry import LoadById, RunRegistry
 from egretstack.placing._send_bounds import SendBound
 from egretstack.routing import EngineConfig
 
--- a/egretstack/placing/_placer.py
+++ b/egretstack/placing/_placer.py
@@ -10,12 +10,12 @@
 
 from egretstack.fleet import Runner, RunnerTable
 from egretstack.ids import InstanceId, RunnerId
-from egretstack.placing._book import GROWTH_TOKENS, LoadById, RunRegistry
 from egretstack.placing._copies import FULL_SHARE, SHORT_TOKENS, CopyPlanner
 from egretstack.placing._loads import EngineLoad
 from egretstack.placing._run import GenerationRequest, Placement, Run
+from egretstack.placing._run_registry import GROWTH_TOKENS, LoadById, RunRegistry
 from egretstack.placing._send_bounds import SendBound, SendOrigin
-from egretstack.placing._wait_list import QueuedRequest, WaitQueue
+from egretstack.placing._wait_queue import QueuedRequest, WaitQueue
 from egretstack.routing import EngineConfig
 
 MEMORY_WEIGHT_S = 0.6
