--- a/egretstack/placing/__init__.py
+++ b/egretstack/placing/__init__.py
@@ -1,4 +1,4 @@
-"""Where generations and calls run: decisions without I/O, with the time passed in."""
+"""Decides where generations and calls run. Does no I/O; the time is passed in."""
 
 from egretstack.placing._balancer import PlainBalancer
 from egretstack.placing._cold_allocation import ColdAllocation
--- a/egretstack/placing/_cold_allocation.py
+++ b/egretstack/placing/_cold_allocation.py
@@ -1,10 +1,11 @@
-"""How many requests a cold runner gets in a second, over the whole fleet; pure.
+"""Rate limit for cold runners over the whole fleet. Does no I/O.
 
-A runner that has just started, or came back, crashes under a rate that it takes when it is warm.
-The load is that of a zone whose runners come back together while callers try again. The bound is
-one for the fleet, and instances may be cut off from each other: the home has a part for what it
-places, as large as the share of the fleet that it hears, and each instance has a part of the rest
-for what it sends by itself. Whoever is cut off from whom, the parts add up to no more.
+A runner that has just started, or came back, crashes under a rate that it handles once it is warm.
+This matters when the runners of a zone come back together while callers retry. The limit applies
+to the fleet as a whole, and instances may be partitioned from each other. So the home has an
+allocation for the requests that it places, in proportion to the share of the fleet that it can
+reach, and each instance has an allocation of the rest for requests that it sends without the home.
+Whatever the partition, the allocations do not add up to more than the limit.
 """
 
 from collections import deque
@@ -18,75 +19,78 @@
 from egretstack.routing import ColdStartConfig
 
 WINDOW_S = 1.1
-"""A second, and what a request may take longer on its way than the one before it."""
+"""One second, plus how much longer a request may be on its way than the one before it."""
 SAFETY_SHARE = 0.9
-"""Part of the bound that is used: an instance may not know all others yet."""
+"""Share of the limit that is allocated: an instance may not know all others yet."""
 
 
 class ColdAllocation(SendBound):
-    """What cold runners got in the last second from this instance, and what more they may get."""
+    """Limits how many requests this instance sends to each cold runner in a window."""
 
     def __init__(self, split: FleetSplit, runners: RunnerTable, bounds: Bounds) -> None:
         self._split = split
         self._runners = runners
         self.bounds = bounds
-        self.plan: Callable[[ServiceName], ColdStartConfig | None] = lambda service: None
-        """Gives how cold runners of a service have to be treated."""
+        self.config_for: Callable[[ServiceName], ColdStartConfig | None] = lambda service: None
+        """Returns a service's configuration of cold runners."""
         self._sent_by_id: dict[RunnerId, deque[float]] = {}
 
-    def allows(self, now_s: float, runner: Runner, part: SendOrigin) -> bool:
-        """Tell whether one more request may go to a runner; always, if it is not cold."""
-        most = self._most(now_s, runner, part)
-        return most is None or len(self._recent(now_s, runner.id)) + 1 <= most
+    def allows(self, now_s: float, runner: Runner, origin: SendOrigin) -> bool:
+        """Return whether a runner may get one more request; always true unless it is cold."""
+        limit = self._limit(now_s, runner, origin)
+        return limit is None or len(self._recent(now_s, runner.id)) + 1 <= limit
 
     def time_until_allowed_s(
-        self, now_s: float, runner: Runner, part: SendOrigin, ahead: int = 0
+        self, now_s: float, runner: Runner, origin: SendOrigin, ahead: int = 0
     ) -> float:
-        """Give when a request may go to a runner, `ahead` others before it; 0 if at once."""
-        most = self._most(now_s, runner, part)
-        if most is None:
+        """Return the time until a runner may get a request after `ahead` others; 0 if now."""
+        limit = self._limit(now_s, runner, origin)
+        if limit is None:
             return 0.0
-        if most < 1:
+        if limit < 1:
             return float("inf")
-        windows, place = divmod(ahead, int(most))
+        windows, position = divmod(ahead, int(limit))
         recent = self._recent(now_s, runner.id)
-        over = len(recent) + place + 1 - int(most)
-        wait_s = recent[min(over, len(recent)) - 1] + WINDOW_S - now_s if over > 0 else 0.0
+        excess = len(recent) + position + 1 - int(limit)
+        wait_s = recent[min(excess, len(recent)) - 1] + WINDOW_S - now_s if excess > 0 else 0.0
         return wait_s + windows * WINDOW_S
 
-    def _most(self, now_s: float, runner: Runner, part: SendOrigin) -> float | None:
-        """Give how many requests this instance may send in a window; None if it is not bounded."""
-        plan = self.plan(runner.service)
+    def _limit(self, now_s: float, runner: Runner, origin: SendOrigin) -> float | None:
+        """Return how many requests this instance may send in a window; None if unlimited."""
+        config = self.config_for(runner.service)
         overage = self.bounds.cold_overage
-        if plan is None or plan.requests_per_s <= 0 or overage is None:
+        if config is None or config.requests_per_s <= 0 or overage is None:
             return None
-        if part is SendOrigin.CONTINUED:
-            return None  # The home counts it as its own.
-        if not self._runners.is_cold(now_s, runner.id, plan.warm_up_s):
+        if origin is SendOrigin.CONTINUED:
+            return None  # The home counts it in its own allocation.
+        if not self._runners.is_cold(now_s, runner.id, config.warm_up_s):
             return None
-        whole = SAFETY_SHARE * (plan.requests_per_s * overage + self.bounds.cold_slack)
-        homes = min(plan.requests_per_s, whole)
-        if part is SendOrigin.HOME:
-            return homes * self._split.reachable_share
-        if part is SendOrigin.ALONE:
-            return self._own_part(runner.id, whole - homes)
-        return self._own_part(runner.id, whole)
+        total = SAFETY_SHARE * (config.requests_per_s * overage + self.bounds.cold_slack)
+        home_total = min(config.requests_per_s, total)
+        if origin is SendOrigin.HOME:
+            return home_total * self._split.reachable_share
+        if origin is SendOrigin.ALONE:
+            return self._own_allocation(runner.id, total - home_total)
+        return self._own_allocation(runner.id, total)
 
-    def record_sent(self, now_s: float, runner_id: RunnerId, part: SendOrigin) -> None:
-        """Note a request that goes to a runner."""
-        if part is not SendOrigin.CONTINUED:
+    def record_sent(self, now_s: float, runner_id: RunnerId, origin: SendOrigin) -> None:
+        """Record a request that is sent to a runner."""
+        if origin is not SendOrigin.CONTINUED:
             self._recent(now_s, runner_id).append(now_s)
 
     def forget_removed(self) -> None:
         """Forget runners that are no longer known."""
-        for gone in self._sent_by_id.keys() - self._runners.by_id.keys():
-            del self._sent_by_id[gone]
+        for removed in self._sent_by_id.keys() - self._runners.by_id.keys():
+            del self._sent_by_id[removed]
 
-    def _own_part(self, runner_id: RunnerId, whole: float) -> int:
-        """Give this instance's part; where there are too many instances, one each for some."""
-        if whole >= self._split.instance_count:
-            return int(whole / self._split.instance_count)
-        return int(self._split.is_sender(runner_id, int(whole)))
+    def _own_allocation(self, runner_id: RunnerId, total: float) -> int:
+        """Return this instance's equal share of `total`.
+
+        With more instances than requests, some instances get one request and the others none.
+        """
+        if total >= self._split.instance_count:
+            return int(total / self._split.instance_count)
+        return int(self._split.is_sender(runner_id, int(total)))
 
     def _recent(self, now_s: float, runner_id: RunnerId) -> deque[float]:
         times = self._sent_by_id.setdefault(runner_id, deque())
--- a/egretstack/placing/_limit_allocation.py
+++ b/egretstack/placing/_limit_allocation.py
@@ -1,9 +1,10 @@
-"""How much of the limit that a runner names each instance may use; pure.
+"""How the rate limit that a runner states is split among the instances. Does no I/O.
 
-A runner names what it takes from all instances together. They may be cut off from each other, so
-each has a part of its own: for engines the home has most of it, as much as the share of the fleet
-that it hears, and each instance has a little for what it sends without the home. Whoever is cut off
-from whom, the parts add up to no more than the runner bears for a while.
+A runner states how many requests it accepts from all instances together. The instances may be
+partitioned from each other, so each has its own allocation: for engines the home has most of the
+limit, in proportion to the share of the fleet that it can reach, and each instance has a little
+for requests that it sends without the home. Whatever the partition, the allocations do not add up
+to more than the runner tolerates for a while.
 """
 
 from dataclasses import dataclass
@@ -14,81 +15,81 @@
 from egretstack.placing._split import FleetSplit
 
 WINDOW_S = 4.0
-"""Time over which what a runner bears is counted."""
+"""Time window over which the requests to a runner are counted."""
 OVERAGE = 1.5
-"""What a runner bears in a window, as a multiple of its limit."""
+"""What a runner tolerates in a window, as a multiple of its limit."""
 SLACK = 5
-"""What it bears beyond that, in requests."""
+"""Number of requests that a runner tolerates in a window in addition to that."""
 MAIN_SHARE = 0.9
-"""Part of a limit for what the home places, or for calls to a plain runner."""
+"""Share of a limit for requests that the home places, or for calls to a plain runner."""
 OWN_SHARE = 0.3
-"""Part of an engine's limit, beside the home's, for what instances send without the home."""
-MOST_HOMES = 2
-"""Homes of a split fleet that use the home's part: those that hear half of it or more."""
-HOME_AT_ONCE = 0.125
-"""Part of what a runner bears beyond the rates of all parts that one home may send at once."""
-CALLS_AT_ONCE = 0.5
-"""The same for calls to a plain runner, all instances together."""
-LEAST_PER_S = 0.1
-"""Requests a second that a runner gets at least. Without any, nobody would hear from it that it
-takes more again."""
+"""Share of an engine's limit, besides the home's, for requests sent without the home."""
+MAX_HOMES = 2
+"""Homes of a partitioned fleet that use the home's allocation: those that reach at least half."""
+HOME_BURST_SHARE = 0.125
+"""Share of what a runner tolerates beyond all allocated rates that one home may send at once."""
+CALL_BURST_SHARE = 0.5
+"""The same for calls to a plain runner, for all instances together."""
+MIN_PER_S = 0.1
+"""Lowest rate of requests to a runner. Without any request no instance would learn from it that
+it accepts more again."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Allowance:
-    """What one instance, or the home, may send of a limit."""
+    """The rate and burst that this instance, or the home, may use of a limit."""
 
     per_s: float
-    at_once: float
+    burst: float
 
 
 @dataclass(slots=True)
 class _Bucket:
-    """What of an allowance is not used yet, in requests."""
+    """Token bucket: the requests of an allowance that are not used yet."""
 
     filled_s: float
-    held: float = 1.0
+    tokens: float = 1.0
 
     def fill(self, now_s: float, allowance: _Allowance) -> float:
-        """Bring it up to date; give what it holds."""
+        """Add the tokens gained since the last call; return the level."""
         gained = max(0.0, now_s - self.filled_s) * allowance.per_s
-        self.held = min(allowance.at_once, self.held + gained)
+        self.tokens = min(allowance.burst, self.tokens + gained)
         self.filled_s = now_s
-        return self.held
+        return self.tokens
 
 
 class LimitAllocation(SendBound):
-    """What this instance may send to runners that name limits."""
+    """Limits what this instance sends to runners that state a rate limit."""
 
     def __init__(self, split: FleetSplit, runners: RunnerTable, limits: RunnerLimits) -> None:
         self._split = split
         self._runners = runners
         self._limits = limits
         self._bucket_by_use: dict[tuple[RunnerId, bool], _Bucket] = {}
-        """By runner, and whether it is what the home places."""
+        """By runner, and whether the bucket is for requests that the home places."""
 
-    def allows(self, now_s: float, runner: Runner, part: SendOrigin) -> bool:
-        """Tell whether one more request may go to a runner; always, if it names no limit."""
-        return self.time_until_allowed_s(now_s, runner, part) <= 0.0
+    def allows(self, now_s: float, runner: Runner, origin: SendOrigin) -> bool:
+        """Return whether a runner may get one more request; always true if it states no limit."""
+        return self.time_until_allowed_s(now_s, runner, origin) <= 0.0
 
     def time_until_allowed_s(
-        self, now_s: float, runner: Runner, part: SendOrigin, ahead: int = 0
+        self, now_s: float, runner: Runner, origin: SendOrigin, ahead: int = 0
     ) -> float:
-        """Give when a request may go to a runner, `ahead` others before it; 0 if at once."""
-        allowance = self._allowance(runner.id, part)
+        """Return the time until a runner may get a request after `ahead` others; 0 if now."""
+        allowance = self._allowance(runner.id, origin)
         if allowance is None:
             return 0.0
         if allowance.per_s <= 0.0:
             return float("inf")
-        held = self._bucket(now_s, runner.id, part).fill(now_s, allowance)
-        return max(0.0, 1.0 + ahead - held) / allowance.per_s
+        tokens = self._bucket(now_s, runner.id, origin).fill(now_s, allowance)
+        return max(0.0, 1.0 + ahead - tokens) / allowance.per_s
 
-    def record_sent(self, now_s: float, runner_id: RunnerId, part: SendOrigin) -> None:
-        """Note a request that goes to a runner."""
-        allowance = self._allowance(runner_id, part)
+    def record_sent(self, now_s: float, runner_id: RunnerId, origin: SendOrigin) -> None:
+        """Record a request that is sent to a runner."""
+        allowance = self._allowance(runner_id, origin)
         if allowance is not None:
-            bucket = self._bucket(now_s, runner_id, part)
-            bucket.held = bucket.fill(now_s, allowance) - 1.0
+            bucket = self._bucket(now_s, runner_id, origin)
+            bucket.tokens = bucket.fill(now_s, allowance) - 1.0
 
     def forget_removed(self) -> None:
         """Forget runners that are no longer known."""
@@ -96,39 +97,46 @@
             del self._bucket_by_use[use]
 
     def is_rate_limited(self, runner: Runner) -> bool:
-        """Tell whether a runner takes too little to go on there with streams that broke off."""
+        """Return whether a runner accepts too few requests to continue broken streams on it."""
         return self._limits.per_s(runner.id) is not None
 
-    def _allowance(self, runner_id: RunnerId, part: SendOrigin) -> _Allowance | None:
-        """Give what may be sent to a runner from a part of its limit; None if it names none."""
-        named = self._limits.per_s(runner_id)
-        if named is None:
+    def _allowance(self, runner_id: RunnerId, origin: SendOrigin) -> _Allowance | None:
+        """Return what this instance may send for an origin; None if the runner has no limit."""
+        stated = self._limits.per_s(runner_id)
+        if stated is None:
             return None
-        limit = max(LEAST_PER_S, named)
-        if part is SendOrigin.PLAIN:
-            spare = WINDOW_S * (OVERAGE * named - MAIN_SHARE * limit) + SLACK
-            return self._even_allowance(runner_id, MAIN_SHARE * limit, spare, CALLS_AT_ONCE * spare)
-        spare = WINDOW_S * (OVERAGE * named - (MAIN_SHARE + OWN_SHARE) * limit) + SLACK
-        homes = max(1.0, HOME_AT_ONCE * spare)
-        if self._is_home_use(part):
-            return _Allowance(MAIN_SHARE * limit * self._split.reachable_share, homes)
-        return self._even_allowance(runner_id, OWN_SHARE * limit, spare - MOST_HOMES * homes, 0.0)
+        limit = max(MIN_PER_S, stated)
+        if origin is SendOrigin.PLAIN:
+            spare = WINDOW_S * (OVERAGE * stated - MAIN_SHARE * limit) + SLACK
+            return self._even_allowance(
+                runner_id, MAIN_SHARE * limit, spare, CALL_BURST_SHARE * spare
+            )
+        spare = WINDOW_S * (OVERAGE * stated - (MAIN_SHARE + OWN_SHARE) * limit) + SLACK
+        home_burst = max(1.0, HOME_BURST_SHARE * spare)
+        if self._is_home_use(origin):
+            return _Allowance(MAIN_SHARE * limit * self._split.reachable_share, home_burst)
+        return self._even_allowance(
+            runner_id, OWN_SHARE * limit, spare - MAX_HOMES * home_burst, 0.0
+        )
 
     def _even_allowance(
-        self, runner_id: RunnerId, per_s: float, spare: float, at_once: float
+        self, runner_id: RunnerId, per_s: float, spare: float, burst: float
     ) -> _Allowance:
-        """Split a rate, and what may be sent at once, among as many instances as `spare` bears."""
-        most = min(self._split.instance_count, int(spare))
-        if not self._split.is_sender(runner_id, most):
+        """Split a rate and a burst evenly among as many instances as `spare` permits."""
+        senders = min(self._split.instance_count, int(spare))
+        if not self._split.is_sender(runner_id, senders):
             return _Allowance(0.0, 0.0)
-        return _Allowance(per_s / most, max(1.0, at_once / most))
+        return _Allowance(per_s / senders, max(1.0, burst / senders))
 
-    def _is_home_use(self, part: SendOrigin) -> bool:
-        """Tell whether a part is the home's; one that hears few places by its own part alone."""
-        return part is SendOrigin.HOME and self._split.reachable_share * MOST_HOMES >= 1.0
+    def _is_home_use(self, origin: SendOrigin) -> bool:
+        """Return whether a request uses the home's allocation.
 
-    def _bucket(self, now_s: float, runner_id: RunnerId, part: SendOrigin) -> _Bucket:
-        use = runner_id, self._is_home_use(part)
+        A home that reaches less than half of the fleet uses only its allocation as an instance.
+        """
+        return origin is SendOrigin.HOME and self._split.reachable_share * MAX_HOMES >= 1.0
+
+    def _bucket(self, now_s: float, runner_id: RunnerId, origin: SendOrigin) -> _Bucket:
+        use = runner_id, self._is_home_use(origin)
         bucket = self._bucket_by_use.get(use)
         if bucket is None:
             bucket = self._bucket_by_use[use] = _Bucket(now_s)
--- a/egretstack/placing/_run_registry.py
+++ b/egretstack/placing/_run_registry.py
@@ -1,7 +1,7 @@
-"""The runs of the fleet by engine, and the load that follows from them.
+"""The runs of the fleet by engine, and the loads that follow from them.
 
-The home knows every run by the reports of all instances, and what it has just placed. Any other
-instance knows its own, on top of the loads that the home last told.
+The home knows every run from the reports of all instances, and what it has just placed. Any other
+instance knows its own runs, in addition to the loads that the home last sent.
 """
 
 from collections.abc import Iterable, Iterator
@@ -14,31 +14,33 @@
 from egretstack.placing._loads import EngineLoad, load_from_row, load_row
 from egretstack.placing._run import GenerationRequest, Placement, Run
 
-PENDING_S = 1.0
+PENDING_TTL_S = 1.0
 """How long a placement counts before its instance reports the run: several report periods."""
-MEASURED_LIFE_S = 2.5
-"""How long an engine's own figure counts: two readings and a half."""
+MEASUREMENT_TTL_S = 2.5
+"""How long a memory use that an engine reported counts: two and a half report periods."""
 GROWTH_TOKENS = 150
-"""What a run is reckoned to grow by before another one on its engine ends."""
+"""Expected growth of a run before another one on its engine ends."""
 PREFILL_TOKENS_PER_S = 7_000.0
-"""Rate at which an engine is taken to read prompts before any first token was timed."""
-PREFILL_FASTER = 0.3
-PREFILL_SLOWER = 0.03
-"""How far one first token moves that rate. What waited behind others tells of a rate that is too
-low; one that did not, of the rate itself."""
-LEAST_TIMED_TOKENS = 500
-"""Prompts from which the rate is learned; the overhead of shorter ones hides it."""
+"""Assumed prefill rate of an engine before any first token was timed."""
+PREFILL_RAISE_WEIGHT = 0.3
+PREFILL_LOWER_WEIGHT = 0.03
+"""Weight of one timed first token when it raises or lowers the estimated prefill rate. A prompt
+that waited behind others shows a rate that is too low; one that did not shows the rate itself."""
+MIN_TIMED_TOKENS = 500
+"""Shortest prompt from which the prefill rate is learned; with shorter ones overhead dominates."""
 
 CROWDING_SHARE = 0.25
-"""Share of all memory in use from which one client account may crowd out the others."""
-CROWDING_TIMES = 2
-"""And how many times an even share it has to be: with few accounts one of them often has a quarter.
-With more than twice, half of the accounts without a run in progress would let the surge through.
+"""Share of all used memory above which one client account may crowd out the others."""
+CROWDING_FACTOR = 2
+"""Multiple of the even share that such an account must also exceed. With few accounts one of them
+often has a quarter. With a larger factor, a surge would get through whenever half of the accounts
+have no run in progress.
 
-For the load of one account that sends many times its usual. In the order of asking alone it takes
-most of the room that comes free, and the generations of all others are refused after a wait."""
+This guards against one account that sends many times its usual load. In order of arrival alone it
+would take limit of the memory that is freed, and the generations of all other accounts would be
+refused after a wait."""
 
-Loads = dict[RunnerId, EngineLoad]
+LoadById = dict[RunnerId, EngineLoad]
 
 
 @dataclass(slots=True)
@@ -49,7 +51,7 @@
 
 
 class RunRegistry:
-    """What runs where."""
+    """Which run is on which engine."""
 
     def __init__(self, runners: RunnerTable) -> None:
         self.lengths = LengthForecast()
@@ -57,174 +59,181 @@
         self._runners = runners
         self._runs_by_instance: dict[InstanceId, list[Run]] = {}
         self._pending_by_attempt: dict[str, _Pending] = {}
-        self._booked_by_id: dict[RunnerId, float] = {}
-        """What the book said when each engine was last measured."""
-        self._unbooked_by_id: dict[RunnerId, tuple[float, float]] = {}
-        """Memory in use that the book did not explain, and when."""
-        self._told: Loads = {}
-        self._unread_until_s: dict[RunnerId, float] = {}
+        self._accounted_by_id: dict[RunnerId, float] = {}
+        """Memory that the registry accounted for when each engine was last measured."""
+        self._unaccounted_by_id: dict[RunnerId, tuple[float, float]] = {}
+        """Memory in use that the registry did not account for, and when that was measured."""
+        self._home_loads: LoadById = {}
+        self._prefilled_at_s_by_id: dict[RunnerId, float] = {}
 
     def record_report(self, instance: InstanceId, runs: list[Run]) -> None:
-        """Take what an instance runs, in place of its earlier report."""
-        going_on = {run.request.attempt for run in runs}
+        """Replace the runs of an instance by those that it reports."""
+        in_progress = {run.request.attempt for run in runs}
         for run in self._runs_by_instance.get(instance, ()):
-            if run.request.attempt not in going_on and run.started:
-                work = run.request
+            if run.request.attempt not in in_progress and run.started:
+                request = run.request
                 self.lengths.record_finished(
-                    work.service, work.max_output_tokens, work.length_hint, run.generated_tokens
+                    request.service,
+                    request.max_output_tokens,
+                    request.length_hint,
+                    run.generated_tokens,
                 )
         self._runs_by_instance[instance] = runs
         for run in runs:
             self._pending_by_attempt.pop(run.request.attempt, None)
 
     def retain_instances(self, live: Iterable[InstanceId]) -> None:
-        """Forget the runs of instances that are not among the living."""
+        """Forget the runs of instances that are not in `live`."""
         kept = set(live)
         for instance in [one for one in self._runs_by_instance if one not in kept]:
             del self._runs_by_instance[instance]
 
     def update_loads(self, now_s: float, rows: Iterable[object]) -> None:
-        """Take the loads of some engines that the home tells. Raises MessageError."""
+        """Store the loads of some engines that the home sent. Raises MessageError."""
         try:
-            self._told.update(load_from_row(row, now_s) for row in rows)
+            self._home_loads.update(load_from_row(row, now_s) for row in rows)
         except TypeError as error:
             raise MessageError(f"not loads: {error}") from error
-        for gone in self._told.keys() - self._runners.by_id.keys():
-            del self._told[gone]
+        for removed in self._home_loads.keys() - self._runners.by_id.keys():
+            del self._home_loads[removed]
 
     def record_measured(self, now_s: float, runner_id: RunnerId, used_tokens: int) -> None:
-        """Take what an engine itself says is in use, as of a moment ago.
+        """Store the memory use that an engine reported a moment ago.
 
-        Copies stay for seconds after their run has moved on or was broken off. The book knows
-        nothing of them, and an engine that looks free by the book lets what is sent there wait.
+        Copies stay for seconds after their run has moved or was broken off. The registry does not
+        know them, so a request would wait on an engine that looks free in the registry.
         """
         load = self.loads(now_s, fleet_wide=True).get(runner_id)
         if load is None:
             return
-        booked = load.held_tokens + load.copy_tokens
-        before = self._booked_by_id.get(runner_id, booked)
-        self._booked_by_id[runner_id] = booked
-        unbooked = max(0.0, used_tokens - max(booked, before))
-        self._unbooked_by_id[runner_id] = (unbooked, now_s)
+        accounted = load.held_tokens + load.copy_tokens
+        before = self._accounted_by_id.get(runner_id, accounted)
+        self._accounted_by_id[runner_id] = accounted
+        unaccounted = max(0.0, used_tokens - max(accounted, before))
+        self._unaccounted_by_id[runner_id] = (unaccounted, now_s)
 
     def record_first_token(self, prompt_tokens: int, waited_s: float) -> None:
-        """Learn how fast prompts are read, from the time between a send and its first token."""
-        if prompt_tokens < LEAST_TIMED_TOKENS or waited_s <= 0:
+        """Learn the prefill rate from the time between sending a prompt and its first token."""
+        if prompt_tokens < MIN_TIMED_TOKENS or waited_s <= 0:
             return
         rate = prompt_tokens / waited_s
-        step = PREFILL_FASTER if rate > self.prefill_per_s else PREFILL_SLOWER
+        step = PREFILL_RAISE_WEIGHT if rate > self.prefill_per_s else PREFILL_LOWER_WEIGHT
         self.prefill_per_s += step * (rate - self.prefill_per_s)
 
     def find_run(self, attempt: str) -> Run | None:
-        """Give a run that some instance reported."""
+        """Return the run of an attempt that some instance reported; None if there is none."""
         for runs in self._runs_by_instance.values():
             for run in runs:
                 if run.request.attempt == attempt:
                     return run
         return None
 
-    def recent_placement(self, work: GenerationRequest) -> Placement | None:
-        """Give what was decided on a work a moment ago, unless that engine failed it since."""
-        pending = self._pending_by_attempt.get(work.attempt)
-        if pending is None or pending.run.runner in work.excluded:
+    def recent_placement(self, request: GenerationRequest) -> Placement | None:
+        """Return the last placement of a request, unless its engine has been excluded since."""
+        pending = self._pending_by_attempt.get(request.attempt)
+        if pending is None or pending.run.runner in request.excluded:
             return None
         return pending.placement
 
     def record_placement(
-        self, now_s: float, work: GenerationRequest, placement: Placement, loads: Loads
+        self, now_s: float, request: GenerationRequest, placement: Placement, loads: LoadById
     ) -> None:
-        """Note a placement, in the loads too."""
-        run = Run(work, placement.runner, placement.backup)
-        self._pending_by_attempt[work.attempt] = _Pending(run, placement, now_s)
-        begins_s = max(now_s, self._unread_until_s.get(placement.runner, 0.0))
-        until_s = begins_s + work.prompt_tokens / self.prefill_per_s
-        self._unread_until_s[placement.runner] = until_s
+        """Record a placement, and add its run to `loads`."""
+        run = Run(request, placement.runner, placement.backup)
+        self._pending_by_attempt[request.attempt] = _Pending(run, placement, now_s)
+        start_s = max(now_s, self._prefilled_at_s_by_id.get(placement.runner, 0.0))
+        until_s = start_s + request.prompt_tokens / self.prefill_per_s
+        self._prefilled_at_s_by_id[placement.runner] = until_s
         self._add(loads, run)
         loads[placement.runner].prefilled_at_s = until_s
 
     def forget_placement(self, attempt: str) -> None:
-        """Note that a placement led to nothing, or is over."""
+        """Forget a placement that was not used or has ended."""
         self._pending_by_attempt.pop(attempt, None)
 
-    def loads(self, now_s: float, *, fleet_wide: bool) -> Loads:
-        """Give the load of each engine; `whole` if the runs of all instances are known here."""
-        self._drop_old(now_s)
+    def loads(self, now_s: float, *, fleet_wide: bool) -> LoadById:
+        """Return the load of each engine.
+
+        With `fleet_wide` it is computed from the reported runs of all instances, otherwise from
+        the loads that the home last sent. Recent placements are added in both cases.
+        """
+        self._drop_expired(now_s)
         loads = {
-            runner_id: EngineLoad() if fleet_wide else self._told_load(runner_id)
+            runner_id: EngineLoad() if fleet_wide else self._home_load(runner_id)
             for runner_id in self._runners.by_id
         }
         for run in self._known_runs(fleet_wide):
             self._add(loads, run)
         for runner_id, load in loads.items():
-            unbooked, measured_s = self._unbooked_by_id.get(runner_id, (0.0, now_s))
-            if fleet_wide and now_s - measured_s < MEASURED_LIFE_S:
-                load.copy_tokens += unbooked
+            unaccounted, measured_s = self._unaccounted_by_id.get(runner_id, (0.0, now_s))
+            if fleet_wide and now_s - measured_s < MEASUREMENT_TTL_S:
+                load.copy_tokens += unaccounted
             if load.pending_prefills or not fleet_wide:
-                until_s = self._unread_until_s.get(runner_id, 0.0)
+                until_s = self._prefilled_at_s_by_id.get(runner_id, 0.0)
                 load.prefilled_at_s = max(load.prefilled_at_s, until_s)
         return loads
 
     def crowding_accounts(self) -> frozenset[str]:
-        """Give the client accounts whose runs leave too little to the others, while work waits."""
+        """Return the client accounts whose runs leave too little memory to the other accounts."""
         held_by_account: dict[str, float] = {}
         for run in self._known_runs(True):
             account = run.request.account
             held_by_account[account] = held_by_account.get(account, 0.0) + self.forecast_tokens(run)
         if len(held_by_account) < 2:
             return frozenset()
-        share = max(CROWDING_SHARE, CROWDING_TIMES / len(held_by_account))
-        most = share * sum(held_by_account.values())
-        return frozenset(one for one, held in held_by_account.items() if one and held > most)
+        share = max(CROWDING_SHARE, CROWDING_FACTOR / len(held_by_account))
+        limit = share * sum(held_by_account.values())
+        return frozenset(one for one, held in held_by_account.items() if one and held > limit)
 
     def load_rows(self, now_s: float) -> list[list]:
-        """Give the loads for a message to all."""
+        """Return the rows of all loads for a message to all instances."""
         loads = self.loads(now_s, fleet_wide=True)
         return [load_row(runner_id, load, now_s) for runner_id, load in loads.items()]
 
-    def expected_output(self, work: GenerationRequest, made_tokens: int = 0) -> float:
-        """Give the output to reckon with, in all."""
+    def expected_output(self, request: GenerationRequest, generated_tokens: int = 0) -> float:
+        """Return the expected length of a request's whole output, in tokens."""
         return self.lengths.expected(
-            work.service, work.max_output_tokens, work.length_hint, made_tokens
+            request.service, request.max_output_tokens, request.length_hint, generated_tokens
         )
 
     def tokens_left(self, run: Run) -> float:
-        """Give the output that a run is still expected to make."""
+        """Return how many more tokens a run is expected to generate."""
         return self.expected_output(run.request, run.generated_tokens) - run.generated_tokens
 
     def forecast_tokens(self, run: Run) -> float:
-        """Give the memory that a run takes now or soon.
+        """Return the memory, in tokens, that a run uses now or soon.
 
-        Runs end as others grow: memory summed over an engine's runs is highest about now, as long
-        as nothing is added. What each may grow by before the next one ends is counted.
+        Some runs end while others grow: as long as no run is added, the memory of all runs on an
+        engine is highest about now. The growth of each run until the next one ends is included.
         """
         growth = min(GROWTH_TOKENS, self.tokens_left(run))
         return run.request.prompt_tokens + run.generated_tokens + growth
 
-    def _told_load(self, runner_id: RunnerId) -> EngineLoad:
-        told = self._told.get(runner_id)
-        if told is None:
+    def _home_load(self, runner_id: RunnerId) -> EngineLoad:
+        load = self._home_loads.get(runner_id)
+        if load is None:
             return EngineLoad()
-        return EngineLoad(told.runs, told.held_tokens, told.copy_tokens, 0, told.prefilled_at_s)
+        return EngineLoad(load.runs, load.held_tokens, load.copy_tokens, 0, load.prefilled_at_s)
 
-    def _known_runs(self, whole: bool) -> Iterator[Run]:
-        if whole:
+    def _known_runs(self, fleet_wide: bool) -> Iterator[Run]:
+        if fleet_wide:
             for runs in self._runs_by_instance.values():
                 yield from runs
         for pending in self._pending_by_attempt.values():
             yield pending.run
 
-    def _add(self, loads: Loads, run: Run) -> None:
-        soon = self.forecast_tokens(run)
+    def _add(self, loads: LoadById, run: Run) -> None:
+        tokens = self.forecast_tokens(run)
         load = loads.get(run.runner)
         if load is not None:
             load.runs += 1
-            load.held_tokens += soon
+            load.held_tokens += tokens
             load.pending_prefills += not run.started
         copy = None if run.backup is None else loads.get(run.backup)
         if copy is not None:
-            copy.copy_tokens += soon
+            copy.copy_tokens += tokens
 
-    def _drop_old(self, now_s: float) -> None:
+    def _drop_expired(self, now_s: float) -> None:
         pending = self._pending_by_attempt
-        for attempt in [one for one, it in pending.items() if now_s - it.placed_s > PENDING_S]:
+        for attempt in [one for one, it in pending.items() if now_s - it.placed_s > PENDING_TTL_S]:
             del pending[attempt]
--- a/egretstack/services/placing_home.py
+++ b/egretstack/services/placing_home.py
@@ -66,7 +66,7 @@
         settings: NodeSettings = kernel.settings
         self.split = FleetSplit(settings.instance)
         self.cold_allocation = ColdAllocation(self.split, self._port.runners, settings.bounds)
-        self.cold_allocation.plan = self._cold_plan
+        self.cold_allocation.config_for = self._cold_plan
         limits = LimitAllocation(self.split, self._port.runners, self._port.limits)
         self.backoffs = RunnerBackoffs(self._port.runners)
         self.send_bounds = CombinedSendBounds((self.cold_allocation, limits, self.backoffs))
