--- a/egretstack/fleet/_news.py
+++ b/egretstack/fleet/_news.py
@@ -1,8 +1,8 @@
-"""The fleet's news by version: what the home tells to whom, and what an instance makes of it; pure.
+"""Versioned updates: what the home sends to whom, and how an instance applies them; pure.
 
-Each report carries the version that its sender holds; the home sends what changed since. Whole
-lists to everybody at each change grow with the square of the fleet: in a large one a leaving runner
-is known to many only after its notice.
+Each report carries the version that its sender holds; the home sends what changed since then.
+Sending the whole list to everybody at each change grows with the square of the fleet: in a large
+fleet many instances would know of a leaving runner only after its notice has run out.
 """
 
 import zlib
@@ -13,34 +13,34 @@
 import msgpack
 
 from egretstack.fleet._messages import MAX_ROWS, FleetNews
-from egretstack.fleet._versioned_rows import Row, RowChange, VersionedRows, change_of
+from egretstack.fleet._versioned_rows import Row, RowChange, VersionedRows, change_from_row
 from egretstack.ids import InstanceId
 from egretstack.messages import MessageError
 
 MAX_PACKED_BYTES = 1_100
 """Packed rows of one datagram. With its other fields and headers it stays below 1,400 bytes, so
-that it goes in one packet: one of several packets is lost if any of them is."""
+that it fits in one packet: a datagram of several packets is lost if any of them is."""
 MAX_ROWS_BYTES = 65_536
-"""Rows of one datagram, unpacked; more is no news of an instance of this system."""
+"""Unpacked rows of one datagram; no instance of egretstack sends more."""
 MAX_KEYS = 16_384
-"""Rows that are held in all: several times the instances and runners of the largest fleet."""
+"""Rows held in all: several times the instances and runners of the largest fleet."""
 MAX_REMOVED = 1_024
-"""Removed rows that a home remembers, some 40 bytes each, before it begins anew. A fleet of 195
+"""Removed rows that a home remembers, about 40 bytes each, before it starts over. A fleet of 195
 instances and 35 runners that all restart at once removes 230."""
 RESEND_AFTER_S = 0.3
-"""How long news are taken to be on their way, from the first that is not reported to be held: a
-little more than a report's period. Whoever misses some asks at once."""
-ANSWERED_S = 0.1
-"""Time after which an instance's report shows what was told before, many times a round trip. One
-that does not has lost it: a later report need not be waited for."""
+"""How long an update counts as in flight, from the first one that is not acknowledged: a little
+more than the report period. An instance that misses one requests it at once."""
+ACK_TIMEOUT_S = 0.1
+"""Time after which an instance's report acknowledges what was sent before, many times a round trip.
+If it does not, the update was lost, and is sent again without waiting for another report."""
 REPEAT_AFTER_S = 0.05
-"""When urgent news go out once more, before the reports can tell who has lost them."""
-_LEVEL = 1
+"""When urgent updates are sent once more, before the reports can show who has lost them."""
+_COMPRESSION_LEVEL = 1
 
 
 @dataclass(frozen=True, slots=True)
-class HeldNews:
-    """What an instance holds: a version, as one home numbered them."""
+class HeldVersion:
+    """What an instance holds: a version, in the numbering of one home."""
 
     epoch: int = 0
     """Drawn anew by each home; 0 if nothing is held."""
@@ -48,267 +48,274 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewsPart:
-    """What one datagram tells: the changes after `base`, up to `upto`."""
+class UpdatePart:
+    """Contents of one datagram: the changes after `base`, up to `upto`."""
 
     base: int
     upto: int
     packed: bytes
 
-    def fill(self, news: FleetNews) -> FleetNews:
-        """Give news with these rows."""
-        return replace(news, base=self.base, upto=self.upto, rows=self.packed)
+    def fill(self, update: FleetNews) -> FleetNews:
+        """Return an update with these rows."""
+        return replace(update, base=self.base, upto=self.upto, rows=self.packed)
 
 
 @dataclass(slots=True)
-class _Told:
+class _Progress:
     held: int = 0
     sent: int = 0
-    sent_s: float = float("-inf")
-    """When the first of what is sent and not held yet went out. Were it the last, a part that was
-    lost would never be sent again while other rows change."""
-    latest_s: float = float("-inf")
-    """When the last of it went out."""
+    first_sent_s: float = float("-inf")
+    """When the first update that is not acknowledged yet was sent. If this were the last one, a
+    part that was lost would never be resent while other rows change."""
+    last_sent_s: float = float("-inf")
+    """When the last update was sent."""
 
 
-class NewsTeller:
-    """The home's side: the rows, and what each instance has of them.
+class UpdatePublisher:
+    """The home's side: the rows, and which version each instance has.
 
-    A new home goes on from the version that it held under the former one, so that the others need
-    only what changed since and not everything.
+    A new home continues from the version that it held under its predecessor, so that the others
+    need only what changed since and not everything.
     """
 
-    def __init__(self, draw_epoch: Callable[[], int], held: HeldNews, rows: VersionedRows) -> None:
+    def __init__(
+        self, draw_epoch: Callable[[], int], held: HeldVersion, rows: VersionedRows
+    ) -> None:
         self._draw_epoch = draw_epoch
         self.epoch = draw_epoch()
         self.continued = held
         self.rows = rows
-        self._told_by_instance: dict[InstanceId, _Told] = {}
-        self._parts_by_base: dict[int, list[NewsPart]] = {}
-        self._parts_state: tuple[int, int] | None = None
+        self._progress_by_instance: dict[InstanceId, _Progress] = {}
+        self._parts_by_base: dict[int, list[UpdatePart]] = {}
+        self._parts_version: tuple[int, int] | None = None
         self._urgent_since: int | None = None
-        """The version before the urgent changes that have been told once; None if all were told
-        again."""
+        """The version before the urgent changes that were sent once; None if all were repeated."""
 
-    def update(self, row_by_key: Mapping[str, Row]) -> bool:
-        """Take the rows that there are now; tell whether any changed."""
+    def replace_rows(self, row_by_key: Mapping[str, Row]) -> bool:
+        """Replace the rows with the current ones and return whether any changed."""
         if self.rows.removed > MAX_REMOVED:
-            self.epoch, self.continued, self.rows = self._draw_epoch(), HeldNews(), VersionedRows()
-            self._told_by_instance.clear()
+            self.epoch, self.continued, self.rows = (
+                self._draw_epoch(),
+                HeldVersion(),
+                VersionedRows(),
+            )
+            self._progress_by_instance.clear()
             self._urgent_since = None
-        return self.rows.put_all(row_by_key)
+        return self.rows.replace_all(row_by_key)
 
-    def urge(self, since: int) -> None:
-        """Take the changes after a version for urgent: `repeats_for` gives them once more."""
+    def mark_urgent(self, since: int) -> None:
+        """Mark the changes after a version as urgent: `urgent_parts_for` returns them once more."""
         before = self._urgent_since
         self._urgent_since = since if before is None else min(before, since)
 
-    def repeated(self) -> None:
-        """Note that the urgent news went out once more to all."""
+    def urgent_repeated(self) -> None:
+        """Record that the urgent updates were sent once more to all."""
         self._urgent_since = None
 
-    def repeats_for(self, instance: InstanceId) -> list[NewsPart]:
-        """Give the urgent news that an instance has not reported to hold; may be none.
+    def urgent_parts_for(self, instance: InstanceId) -> list[UpdatePart]:
+        """Return the urgent updates that an instance has not acknowledged; may be none.
 
-        A runner that leaves gives some 1.5 s. Where the links lose packets, some instances of a
-        large fleet lose the one that says so. They would hear of it from the answer to a later
-        report, when what they run there has to be moved already. Two are rarely lost.
+        A leaving runner gives about 1.5 s of notice. On links that lose packets, some instances of
+        a large fleet lose the datagram with the notice. They would get it with the answer to a
+        later report, when the runs that they have there should already be moving. Two such
+        datagrams are rarely both lost.
         """
         if self._urgent_since is None:
             return []
-        told = self._told(instance)
-        base = max(told.held, self._urgent_since)
+        progress = self._progress(instance)
+        base = max(progress.held, self._urgent_since)
         return [] if base >= self.rows.version else self._parts(base)
 
-    def note_held(self, instance: InstanceId, held: HeldNews, *, missed: bool = False) -> None:
-        """Note what an instance reports to hold; `missed` if it could not use what came later."""
-        told = self._told(instance)
-        told.held = self._own_version(held)
+    def record_held(self, instance: InstanceId, held: HeldVersion, *, missed: bool = False) -> None:
+        """Record what an instance reports to hold; `missed` if it could not apply later updates."""
+        progress = self._progress(instance)
+        progress.held = self._translate_version(held)
         if missed:
-            told.sent = told.held
-
-    def forget(self, kept: set[InstanceId]) -> None:
-        """Forget instances that are not among those kept."""
-        for instance in self._told_by_instance.keys() - kept:
-            del self._told_by_instance[instance]
-
-    def lags(self, now_s: float, instance: InstanceId) -> bool:
-        """Tell whether an instance that has just reported lacks something not on its way."""
-        told = self._told(instance)
-        if now_s - told.latest_s >= ANSWERED_S:
-            told.sent = told.held
+            progress.sent = progress.held
+
+    def retain(self, kept: set[InstanceId]) -> None:
+        """Drop the state of all instances but those given."""
+        for instance in self._progress_by_instance.keys() - kept:
+            del self._progress_by_instance[instance]
+
+    def is_behind(self, now_s: float, instance: InstanceId) -> bool:
+        """Return whether an instance that just reported lacks something not in flight."""
+        progress = self._progress(instance)
+        if now_s - progress.last_sent_s >= ACK_TIMEOUT_S:
+            progress.sent = progress.held
         return self._base(now_s, instance) < self.rows.version
 
-    def parts_for(self, now_s: float, instance: InstanceId) -> list[NewsPart]:
-        """Give what to send to an instance now, and take it as sent; at least one part."""
+    def parts_for(self, now_s: float, instance: InstanceId) -> list[UpdatePart]:
+        """Return the parts to send to an instance now, at least one, and record them as sent."""
         base = self._base(now_s, instance)
-        told = self._told(instance)
-        if base == told.held:
-            told.sent_s = now_s
+        progress = self._progress(instance)
+        if base == progress.held:
+            progress.first_sent_s = now_s
         if base < self.rows.version:
-            told.latest_s = now_s
-        told.sent = self.rows.version
+            progress.last_sent_s = now_s
+        progress.sent = self.rows.version
         return self._parts(base)
 
-    def _told(self, instance: InstanceId) -> _Told:
-        return self._told_by_instance.setdefault(instance, _Told())
+    def _progress(self, instance: InstanceId) -> _Progress:
+        return self._progress_by_instance.setdefault(instance, _Progress())
 
     def _base(self, now_s: float, instance: InstanceId) -> int:
-        told = self._told(instance)
-        on_its_way = now_s - told.sent_s < RESEND_AFTER_S
-        return max(told.held, told.sent) if on_its_way else told.held
+        progress = self._progress(instance)
+        in_flight = now_s - progress.first_sent_s < RESEND_AFTER_S
+        return max(progress.held, progress.sent) if in_flight else progress.held
 
-    def _own_version(self, held: HeldNews) -> int:
-        """Give a version of another home in this one's numbers; 0 if it tells nothing here."""
+    def _translate_version(self, held: HeldVersion) -> int:
+        """Return a version of another home in this one's numbering; 0 if there is none."""
         continued = self.continued
-        goes_on = held.epoch == continued.epoch and held.version <= continued.version
-        if held.epoch != self.epoch and not goes_on:
+        continues = held.epoch == continued.epoch and held.version <= continued.version
+        if held.epoch != self.epoch and not continues:
             return 0
         return min(held.version, self.rows.version)
 
-    def _parts(self, base: int) -> list[NewsPart]:
+    def _parts(self, base: int) -> list[UpdatePart]:
         state = self.epoch, self.rows.version
-        if self._parts_state != state:
-            self._parts_state, self._parts_by_base = state, {}
+        if self._parts_version != state:
+            self._parts_version, self._parts_by_base = state, {}
         parts = self._parts_by_base.get(base)
         if parts is None:
-            parts = list(_split(base, self.rows.version, self.rows.since(base)))
+            parts = list(_split_changes(base, self.rows.version, self.rows.changes_since(base)))
             self._parts_by_base[base] = parts
         return parts
 
 
-class Taken(Enum):
-    """What became of news."""
+class ApplyResult(Enum):
+    """Outcome of applying an update."""
 
     WHOLE = "whole"
-    """All that the home has told is held now."""
+    """All that the home has sent is held now."""
     PART = "part"
-    """More has to come first."""
+    """More parts have to come first."""
     GAP = "gap"
-    """Something before was lost; it is asked for by the next report."""
+    """An earlier update was lost; the next report requests it."""
 
 
-class NewsFollower:
-    """An instance's side: the rows as the home told them."""
+class UpdateFollower:
+    """An instance's side: the rows as the home sent them."""
 
     def __init__(self) -> None:
         self.rows = VersionedRows()
         self._epoch = 0
         self._changed: set[str] = set()
         self.missed = False
-        """Whether news came that build on others which are not held."""
+        """Whether an update came that builds on a version which is not held."""
 
     @property
-    def held(self) -> HeldNews:
-        """What this instance holds."""
-        return HeldNews(self._epoch, self.rows.version)
-
-    def adopt(self, teller: NewsTeller) -> None:
-        """Hold what this instance told itself as the home it was until now."""
-        self.rows, self._epoch = teller.rows, teller.epoch
-
-    def take(self, news: FleetNews) -> Taken:
-        """Take news of the home. Raises MessageError."""
-        changes = unpack_changes(news.rows)
-        if not 0 <= news.base <= news.upto <= news.latest:
-            raise MessageError("news with versions out of order")
+    def held(self) -> HeldVersion:
+        """The version that this instance holds."""
+        return HeldVersion(self._epoch, self.rows.version)
+
+    def adopt(self, publisher: UpdatePublisher) -> None:
+        """Adopt the rows that this instance sent as the home, which it was until now."""
+        self.rows, self._epoch = publisher.rows, publisher.epoch
+
+    def apply(self, update: FleetNews) -> ApplyResult:
+        """Apply an update of the home. Raises MessageError."""
+        changes = unpack_changes(update.rows)
+        if not 0 <= update.base <= update.upto <= update.latest:
+            raise MessageError("an update with versions out of order")
         if len(self.rows) + len(changes) > MAX_KEYS:
-            raise MessageError("news of more than any fleet has")
-        turned = news.epoch == self._epoch or self._turn_to(news)
-        self.missed = not turned or news.base > self.rows.version
+            raise MessageError("an update with too many rows")
+        same_epoch = update.epoch == self._epoch or self._switch_epoch(update)
+        self.missed = not same_epoch or update.base > self.rows.version
         if self.missed:
-            return Taken.GAP
-        self._changed.update(self.rows.take(changes, news.upto))
-        return Taken.WHOLE if self.rows.version >= news.latest else Taken.PART
+            return ApplyResult.GAP
+        self._changed.update(self.rows.apply(changes, update.upto))
+        return ApplyResult.WHOLE if self.rows.version >= update.latest else ApplyResult.PART
 
     def pop_changed(self) -> set[str]:
-        """Give the keys of the rows that changed since they were last asked for."""
+        """Return the keys of the rows that changed since the last call."""
         changed, self._changed = self._changed, set()
         return changed
 
-    def _turn_to(self, news: FleetNews) -> bool:
-        """Take another home's numbers for the rows held, or begin anew; False if neither can be."""
-        goes_on = news.continued_epoch == self._epoch != 0
-        if goes_on and self.rows.version <= news.continued_version:
-            self._epoch = news.epoch
+    def _switch_epoch(self, update: FleetNews) -> bool:
+        """Renumber the held rows for another home, or start over; False if neither works."""
+        continues = update.continued_epoch == self._epoch != 0
+        if continues and self.rows.version <= update.continued_version:
+            self._epoch = update.epoch
             return True
-        if news.base > 0:
+        if update.base > 0:
             return False
         self._changed.update(self.rows.rows())
-        self.rows, self._epoch = VersionedRows(), news.epoch
+        self.rows, self._epoch = VersionedRows(), update.epoch
         return True
 
 
-class NewsKeeper:
-    """One instance's news, in either role; it changes roles without agreement with anybody."""
+class UpdateReplica:
+    """One instance's updates, in either role; roles change without agreement with anybody."""
 
     def __init__(self, draw_epoch: Callable[[], int]) -> None:
         self._draw_epoch = draw_epoch
-        self._follower = NewsFollower()
-        self._teller: NewsTeller | None = None
+        self._follower = UpdateFollower()
+        self._publisher: UpdatePublisher | None = None
 
     @property
-    def teller(self) -> NewsTeller | None:
-        """The home's side, only while this instance is the home."""
-        return self._teller
+    def publisher(self) -> UpdatePublisher | None:
+        """The home's side, None unless this instance is the home."""
+        return self._publisher
 
     @property
-    def held(self) -> HeldNews:
-        """What this instance holds.
+    def held(self) -> HeldVersion:
+        """The version that this instance holds.
 
-        A home has versions of its own. Told under its former home's epoch, they would look like
-        that one's, and another heir of it would leave out what this instance lacks.
+        A home has a numbering of its own. If it reported its versions under its predecessor's
+        epoch, they would look like the predecessor's, and another successor would leave out what
+        this instance lacks.
         """
-        if self._teller is not None:
-            return HeldNews(self._teller.epoch, self._teller.rows.version)
+        if self._publisher is not None:
+            return HeldVersion(self._publisher.epoch, self._publisher.rows.version)
         return self._follower.held
 
     @property
     def missed(self) -> bool:
-        """Whether this instance missed news of the home it follows."""
-        return self._teller is None and self._follower.missed
+        """Whether this instance missed updates of the home that it follows."""
+        return self._publisher is None and self._follower.missed
 
-    def lead(self) -> NewsTeller:
-        """Give the home's side, from now on this instance's."""
-        if self._teller is None:
+    def lead(self) -> UpdatePublisher:
+        """Return the home's side and take on that role."""
+        if self._publisher is None:
             held, rows = self._follower.held, self._follower.rows
-            self._teller = NewsTeller(self._draw_epoch, held, rows)
-        return self._teller
-
-    def follow(self) -> NewsFollower:
-        """Give the other side; what this instance told as the home is what it holds."""
-        if self._teller is not None:
-            self._follower.adopt(self._teller)
-            self._teller = None
+            self._publisher = UpdatePublisher(self._draw_epoch, held, rows)
+        return self._publisher
+
+    def follow(self) -> UpdateFollower:
+        """Return the follower's side and take on that role, with the rows sent as home."""
+        if self._publisher is not None:
+            self._follower.adopt(self._publisher)
+            self._publisher = None
         return self._follower
 
 
 def pack_changes(changes: list[RowChange]) -> bytes:
-    """Give changes as one datagram carries them."""
-    return zlib.compress(msgpack.packb(changes), _LEVEL) if changes else b""
+    """Return changes packed for one datagram."""
+    return zlib.compress(msgpack.packb(changes), _COMPRESSION_LEVEL) if changes else b""
 
 
 def unpack_changes(packed: bytes) -> list[RowChange]:
-    """Give the changes that were packed. Raises MessageError, also for too many of them."""
+    """Return the changes that were packed. Raises MessageError, also if there are too many."""
     if not packed:
         return []
     inflater = zlib.decompressobj()
     try:
         rows = msgpack.unpackb(inflater.decompress(packed, MAX_ROWS_BYTES))
     except (zlib.error, ValueError, msgpack.UnpackException) as error:
-        raise MessageError(f"changes that can't be unpacked: {error!r}") from error
+        raise MessageError(f"cannot unpack changes: {error!r}") from error
     if not inflater.eof or not isinstance(rows, list) or len(rows) > MAX_ROWS:
-        raise MessageError("changes cut short, or too many")
-    return [change_of(row) for row in rows]
+        raise MessageError("packed changes are truncated or too many")
+    return [change_from_row(row) for row in rows]
 
 
-def _split(base: int, latest: int, changes: list[RowChange]) -> Iterator[NewsPart]:
-    """Give parts that each fit a datagram; the last one reaches the latest version."""
+def _split_changes(base: int, latest: int, changes: list[RowChange]) -> Iterator[UpdatePart]:
+    """Yield parts that each fit a datagram; the last one reaches the latest version."""
     packed = pack_changes(changes)
     if len(packed) <= MAX_PACKED_BYTES or len(changes) == 1:
-        yield NewsPart(base, latest, packed)
+        yield UpdatePart(base, latest, packed)
         return
     middle = len(changes) // 2
-    border = changes[middle - 1].version
-    yield from _split(base, border, changes[:middle])
-    yield from _split(border, latest, changes[middle:])
+    middle_version = changes[middle - 1].version
+    yield from _split_changes(base, middle_version, changes[:middle])
+    yield from _split_changes(middle_version, latest, changes[middle:])
--- a/egretstack/policy/__init__.py
+++ b/egretstack/policy/__init__.py
@@ -1,6 +1,7 @@
-"""Policies: which request goes to which runner, when, and which is refused."""
+"""Scheduling policies: which request is sent to which runner, when, and which is refused."""
 
 from egretstack.policy._base import Policy
+from egretstack.policy._features import Feature
 from egretstack.policy._least_loaded import LeastLoaded
 from egretstack.policy._messages import (
     Action,
@@ -20,11 +21,10 @@
     RunnerLeft,
     RunnerReported,
     RunnerSeen,
+    SchedulingRequest,
     Started,
     Tick,
-    Work,
 )
-from egretstack.policy._parts import Part
 from egretstack.policy._registry import (
     DEFAULT_POLICY,
     ORACLE,
@@ -48,7 +48,7 @@
     "InstancesSeen",
     "LeastLoaded",
     "LengthsLearned",
-    "Part",
+    "Feature",
     "Policy",
     "PolicyEvent",
     "Progressed",
@@ -59,7 +59,7 @@
     "RunnerSeen",
     "Started",
     "Tick",
-    "Work",
+    "SchedulingRequest",
     "make_oracle",
     "make_policy",
 ]
--- /dev/null
+++ b/egretstack/relay/_context.py
@@ -0,0 +1,149 @@
+"""Objects shared by all relays, and the task that describes one request."""
+
+from abc import ABC, abstractmethod
+from collections.abc import Callable, Collection
+from dataclasses import dataclass
+from functools import cached_property
+
+import trio
+
+from egretstack.fleet import Runner, RunnerTable
+from egretstack.http1 import ConnectionPool
+from egretstack.ids import ContentId, RunnerId, ZoneName
+from egretstack.placing import (
+    GenerationRequest,
+    Placement,
+    PlainBalancer,
+    Run,
+    RunnerBackoffs,
+    SendBound,
+)
+from egretstack.relay._budget import RetryBudget
+from egretstack.relay._crash_guard import CrashGuard
+from egretstack.relay._runner_signals import RunnerSignals
+from egretstack.routing import ClientAccount, EngineConfig, Route, ServiceConfig
+from egretstack.traffic import ClientRequest, RunnerAnswer, SendTerms
+
+RANKS = 100
+"""Number of route ranks that are distinguished within one client account rank."""
+ENGINE_RANKS = 3
+"""The same for engines: an engine has ten priorities, and most accounts have one of three ranks."""
+CONNECT_TIMEOUT_S = 0.15
+"""Connecting takes some 3 ms unless the runner has ended. A lost SYN is retransmitted only after a
+second; trying another runner is faster."""
+
+
+class EnginePlacing(ABC):
+    """Places generations: asks the home, or decides locally while the home does not answer."""
+
+    @abstractmethod
+    async def place(self, request: GenerationRequest, engine: EngineConfig) -> Placement:
+        """Choose the engine of a generation. Raises RequestFailed."""
+
+    @abstractmethod
+    def add_run(self, run: Run) -> None:
+        """Add a run, in progress until `remove_run`; its fields are updated as it proceeds."""
+
+    @abstractmethod
+    def remove_run(self, run: Run) -> None:
+        """Remove a run that has ended on this instance."""
+
+    @abstractmethod
+    def record_first_token(self, run: Run, read_s: float, waited_s: float) -> None:
+        """Record a first token, `read_s` after the send, `waited_s` after the request arrived."""
+
+    @abstractmethod
+    def tokens_left(self, run: Run) -> float:
+        """Return the number of output tokens that a run is still expected to generate."""
+
+    @abstractmethod
+    async def choose_backup(
+        self, run: Run, engine: EngineConfig, source: RunnerId
+    ) -> RunnerId | None:
+        """Choose the backup engine of a run that moved off `source`; None if there is none."""
+
+    @abstractmethod
+    async def acquire_move_permit(self, run: Run, refused: Collection[RunnerId]) -> RunnerId:
+        """Wait for the permit to copy a run off its runner; return the destination.
+
+        `refused` names engines that recently had no capacity for its copy.
+        """
+
+    @abstractmethod
+    def release_move_permit(self, attempt: str, source: RunnerId) -> None:
+        """Release the permit."""
+
+
+@dataclass
+class RelayContext:
+    """Objects shared by all requests of a process."""
+
+    runners: RunnerTable
+    balancer: PlainBalancer
+    placing: EnginePlacing
+    budget: RetryBudget
+    pool: ConnectionPool
+    send_bounds: SendBound
+    """Limits on what may currently be sent to each runner."""
+    backoffs: RunnerBackoffs
+    crash_guard: CrashGuard
+    signals: RunnerSignals
+    on_runner_failure: Callable[[], None] = lambda: None
+    """Called when a runner failed a request that was sent to it."""
+
+    def on_answer(
+        self, task: "RelayTask", runner: RunnerId, answer: RunnerAnswer, sent_s: float
+    ) -> None:
+        """Record the signals in a runner's response to a task that was sent at `sent_s`."""
+        if answer.attempt_id in ("", task.request.attempt_id):
+            self.signals.on_answer(runner, answer, sent_s)
+
+    def record_engine_result(self, runner: RunnerId, *, broke: bool) -> None:
+        """Count whether an engine broke a run; the end of a leaving engine does not count."""
+        if broke and not self.runners.is_ready(runner):
+            return
+        self.balancer.recent_answers.record(trio.current_time(), runner, broke=broke)
+        if broke:
+            self.on_runner_failure()
+
+
+@dataclass(frozen=True)
+class RelayTask:
+    """One request with the routing decisions made when its head was read."""
+
+    request: ClientRequest
+    route: Route
+    service: ServiceConfig
+    account: ClientAccount | None
+    received_s: float
+    deadline_s: float
+    """Time by which the response has to be final, on trio's clock."""
+    zones: frozenset[ZoneName] | None = None
+    """Availability zones whose runners may run it; None if all may."""
+
+    @cached_property
+    def content_id(self) -> ContentId:
+        """Fingerprint of the request, equal for all attempts at the same request."""
+        return self.request.content_id("" if self.account is None else self.account.name)
+
+    def time_left_s(self) -> float:
+        """Return the time until the deadline."""
+        return self.deadline_s - trio.current_time()
+
+    @property
+    def rank(self) -> int:
+        """Rank among all waiting requests: the client account's rank first, then the route's."""
+        return self._account_rank() * RANKS + min(RANKS - 1, self.route.rank)
+
+    @property
+    def priority(self) -> int:
+        """The rank as an engine priority; engines have only a few."""
+        return self._account_rank() * ENGINE_RANKS + min(ENGINE_RANKS - 1, self.route.rank)
+
+    def _account_rank(self) -> int:
+        return self.account.rank or 0 if self.account is not None else 0
+
+    def send_terms(self, runner: Runner, **more: object) -> SendTerms:
+        """Return the terms of a send to a runner."""
+        account = None if self.account is None else self.account.name
+        return SendTerms(runner.incarnation.name, self.time_left_s(), account, **more)
--- a/egretstack/services/_runner_health.py
+++ b/egretstack/services/_runner_health.py
@@ -1,4 +1,4 @@
-"""Asks a runner for its health."""
+"""Requests the health of a runner."""
 
 import trio
 
@@ -7,17 +7,17 @@
 from egretstack.platform import health_request, runner_health
 from egretstack.traffic import RunnerHealth
 
-MOST_ANSWER_BYTES = 65_536
+MAX_ANSWER_BYTES = 65_536
 
 
 class NoHealthAnswer(Exception):
-    """Something accepted the connection and did not answer: a runner or what stands before it."""
+    """Something accepted the connection and did not answer: a runner or a proxy in front of it."""
 
 
-async def ask_health(
+async def fetch_health(
     runner: Runner, path: str, connect_s: float, answer_s: float
 ) -> RunnerHealth | None:
-    """Give what a healthy runner at a runner's address says; None if it is not healthy.
+    """Return the health of a healthy runner at a runner's address; None if it is not healthy.
 
     Raises ConnectFailed, NoHealthAnswer.
     """
@@ -26,10 +26,10 @@
 
 async def _answer(runner: Runner, path: str, connect_s: float, answer_s: float) -> ResponseHead:
     connection = await connect_upstream(runner.address, connect_s)
-    question = health_request(runner.address, path)
+    request = health_request(runner.address, path)
     try:
         with trio.fail_after(answer_s):
-            head, _ = await exchange(connection, question, b"", MOST_ANSWER_BYTES)
+            head, _ = await exchange(connection, request, b"", MAX_ANSWER_BYTES)
             return head
     except (UpstreamBroken, trio.TooSlowError) as error:
         raise NoHealthAnswer(repr(error)) from error
--- a/egretstack/services/configuration_news.py
+++ b/egretstack/services/configuration_news.py
@@ -1,4 +1,4 @@
-"""Tells other stewards, and the entry of this instance, that a revision is in force here."""
+"""Announces a revision in force here to other stewards and the entry of this instance."""
 
 import trio
 
@@ -13,8 +13,8 @@
 from egretstack.services.peer_port import PeerPort
 
 
-class ConfigurationNews(Service):
-    """Sends news; the receiver asks for what changed only if it has not got it yet."""
+class ConfigurationAnnouncer(Service):
+    """Sends announcements; a receiver requests the changes only if it has not got them yet."""
 
     name = "configuration_news"
     requires = ("instances", "peer_port", "configuration", "configuration_watch")
@@ -22,21 +22,21 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self.sent = 0
-        self._busy: set[tuple[str, str]] = set()
+        self._announcing: set[tuple[str, str]] = set()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Tell of each revision; one that is passed at once is left out."""
+        """Announce each revision, except those that are replaced at once."""
         configuration = self.kernel.get(Configuration)
-        told = Revision(0)
+        announced = Revision(0)
         async with trio.open_nursery() as nursery:
             task_status.started()
             while True:
-                if configuration.state.revision == told:
+                if configuration.state.revision == announced:
                     await configuration.wait_for_change()
-                told = configuration.state.revision
+                announced = configuration.state.revision
                 for member, port in self._receivers():
-                    if (member.id, port) not in self._busy:
-                        nursery.start_soon(self._tell, member, port)
+                    if (member.id, port) not in self._announcing:
+                        nursery.start_soon(self._announce, member, port)
 
     def _receivers(self) -> list[tuple[Member, str]]:
         own = self.kernel.get(Configuration).own
@@ -45,20 +45,23 @@
         children = self.kernel.get(ConfigurationWatch).fan_out.children
         return entry + [(one, STEWARD_PORT) for one in children]
 
-    async def _tell(self, member: Member, port: str) -> None:
-        """Tell one receiver until it has heard the newest; a lost message is left to its pulls."""
+    async def _announce(self, member: Member, port: str) -> None:
+        """Announce to one receiver until it has got the newest revision.
+
+        After a lost message its regular pulls find the revision.
+        """
         configuration = self.kernel.get(Configuration)
-        self._busy.add((member.id, port))
+        self._announcing.add((member.id, port))
         try:
-            told = Revision(0)
-            while told != configuration.state.revision:
-                told = configuration.state.revision
+            announced = Revision(0)
+            while announced != configuration.state.revision:
+                announced = configuration.state.revision
                 self.sent += 1
-                news = ConfigNews(configuration.own, told)
-                await self.kernel.get(PeerPort).ask(
-                    InstanceId(member.id), member.host, member.ports[port], news
+                announcement = ConfigNews(configuration.own, announced)
+                await self.kernel.get(PeerPort).request(
+                    InstanceId(member.id), member.host, member.ports[port], announcement
                 )
         except (PeerGone, PeerRefused):
             return
         finally:
-            self._busy.discard((member.id, port))
+            self._announcing.discard((member.id, port))
--- a/egretstack/services/crash_guard.py
+++ b/egretstack/services/crash_guard.py
@@ -1,6 +1,6 @@
-"""Finds out whether the runner of a broken run has ended, and what it was running; tells the home.
+"""Finds out whether the runner of a broken run has ended, and reports it with its requests.
 
-The home learns it from reports, and tells all instances in its news.
+The home learns it from reports, and sends it to all instances in its updates.
 """
 
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 import trio
 
-from egretstack.crashes import CrashReports, Strike, clear_of, strike_of, strike_weight
+from egretstack.crashes import CrashReports, Strike, clear_from_row, strike_from_row, strike_weight
 from egretstack.events import Event, log
 from egretstack.fleet import InstanceReport, Runner
 from egretstack.http1 import ConnectFailed
@@ -18,7 +18,7 @@
 from egretstack.kernel import Kernel, Service
 from egretstack.messages import MessageError
 from egretstack.relay import CrashGuard
-from egretstack.services._runner_health import NoHealthAnswer, ask_health
+from egretstack.services._runner_health import NoHealthAnswer, fetch_health
 from egretstack.services.engine_reports import EngineReports
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.relay_metrics import RelayMetrics
@@ -26,16 +26,16 @@
 
 CONNECT_TIMEOUT_S = 0.15
 HEALTH_TIMEOUT_S = 0.2
-MOST_PROBES = 3
-PROBE_AGAIN_S = 0.5
-"""Pause after a probe that told nothing: what starts in the runner's place may not be up yet."""
-NOTICE_S = 0.5
-"""A runner that was known to leave for longer ends by plan."""
+MAX_PROBES = 3
+PROBE_RETRY_S = 0.5
+"""Pause after a probe without a result: the runner's replacement may not be up yet."""
+PLANNED_END_NOTICE_S = 0.5
+"""A runner that was known to leave for longer than this has ended as planned."""
 FORGET_PERIOD_S = 30.0
 
 
-class _Word(Enum):
-    """What came of a probe."""
+class _ProbeResult(Enum):
+    """The result of a probe."""
 
     LIVES = "lives"
     ENDED = "ended"
@@ -49,11 +49,11 @@
     sent_s: float
     first_event_s: float | None
     broke_s: float
-    judged: trio.Event = field(default_factory=trio.Event)
+    decided: trio.Event = field(default_factory=trio.Event)
 
 
 class CrashGuardService(Service, CrashGuard):
-    """Probes runners whose runs broke, and shares what it finds."""
+    """Probes runners whose runs broke, and shares the results."""
 
     name = "crash_guard"
     requires = ("engine_reports", "fleet_port", "relay_metrics", "store_reading")
@@ -71,39 +71,39 @@
             "egret_relay_refused_contents",
             "Requests that no runner gets, as runners end under them.",
         )
-        gauge.set_function(self._port.crashes.refused)
+        gauge.set_function(self._port.crashes.refused_count)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Probe and share until cancelled."""
-        self._port.strikes = lambda: self._reports.strike_rows(trio.current_time())
-        self._port.clears = lambda: self._reports.clear_rows(trio.current_time())
-        self._port.on_report(self._take_report)
+        """Probe and share results until cancelled."""
+        self._port.strike_rows = lambda: self._reports.strike_rows(trio.current_time())
+        self._port.clear_rows = lambda: self._reports.clear_rows(trio.current_time())
+        self._port.on_report_received(self._on_report)
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
             while True:
                 await trio.sleep(FORGET_PERIOD_S)
-                self._port.crashes.forget_old(trio.current_time())
+                self._port.crashes.forget_expired(trio.current_time())
 
-    def refuses(self, content: ContentId) -> bool:
-        """Tell whether no runner may get a request now."""
-        return self._port.crashes.refuses(content)
+    def is_refused(self, content: ContentId) -> bool:
+        """Return whether no runner may get a request now."""
+        return self._port.crashes.is_refused(content)
 
-    def told_when_refused(
+    def notify_when_refused(
         self, content: ContentId, wake: Callable[[], None]
     ) -> AbstractContextManager[None]:
         """Call `wake` if a request is refused while the context lasts."""
-        return self._port.crashes.told_when_refused(content, wake)
+        return self._port.crashes.notify_when_refused(content, wake)
 
-    def answered(self, content: ContentId) -> None:
-        """Take note that a runner ran a request to an end and lives."""
+    def record_answered(self, content: ContentId) -> None:
+        """Record that a runner completed a request and is alive."""
         now_s = trio.current_time()
-        cleared_round = self._port.clear(now_s, content)
+        cleared_round = self._port.record_clear(now_s, content)
         if cleared_round is not None:
-            self._reports.cleared(now_s, content, cleared_round)
-            self._port.tell_soon()
+            self._reports.record_clear(now_s, content, cleared_round)
+            self._port.report_soon()
 
-    def broke(
+    def record_broken_run(
         self,
         attempt: str,
         content: ContentId,
@@ -111,61 +111,76 @@
         sent_s: float,
         first_event_s: float | None = None,
     ) -> trio.Event:
-        """Take note that a run broke off at a runner; find out whether that has ended."""
+        """Record that a run broke off at a runner; find out whether that runner has ended.
+
+        Returns an event that is set after the next probe of the runner, or at once if no record
+        of strikes exists for the request.
+        """
         broken = _BrokenRun(attempt, content, sent_s, first_event_s, trio.current_time())
         known = self._port.runners.by_id.get(runner)
         if known is None or self._nursery is None or self._is_leaving(runner):
-            broken.judged.set()
+            broken.decided.set()
         elif runner in self._broken_by_runner:
             self._broken_by_runner[runner].append(broken)
         else:
             self._broken_by_runner[runner] = [broken]
             self._nursery.start_soon(self._probe, known)
-        if self._port.crashes.suspects(content):
-            return broken.judged
+        if self._port.crashes.is_suspected(content):
+            return broken.decided
         unsuspected = trio.Event()
         unsuspected.set()
         return unsuspected
 
     def _is_leaving(self, runner: RunnerId) -> bool:
-        stopped_s = self._port.runners.stopped_s(runner)
-        return stopped_s is not None and trio.current_time() - stopped_s > NOTICE_S
+        stopped_s = self._port.runners.stopped_since_s(runner)
+        return stopped_s is not None and trio.current_time() - stopped_s > PLANNED_END_NOTICE_S
 
     async def _probe(self, runner: Runner) -> None:
-        """Ask a runner until it is known whether it has ended, a few times at most."""
-        word = await self._ask(runner)
-        for _ in range(MOST_PROBES - 1):
-            if word is not _Word.UNKNOWN:
+        """Probe a runner until it is known whether it has ended, a few times at most."""
+        result = await self._probe_once(runner)
+        for _ in range(MAX_PROBES - 1):
+            if result is not _ProbeResult.UNKNOWN:
                 break
             for broken in self._broken_by_runner[runner.id]:
-                broken.judged.set()
-            await trio.sleep(PROBE_AGAIN_S)
-            word = await self._ask(runner)
-        if word is _Word.UNKNOWN and self._port.runners.stopped_s(runner.id) is not None:
-            word = _Word.ENDED  # Its entry is gone too.
+                broken.decided.set()
+            await trio.sleep(PROBE_RETRY_S)
+            result = await self._probe_once(runner)
+        if (
+            result is _ProbeResult.UNKNOWN
+            and self._port.runners.stopped_since_s(runner.id) is not None
+        ):
+            result = _ProbeResult.ENDED  # Its entry is missing too.
         for broken in self._broken_by_runner.pop(runner.id):
-            self._judge(runner.id, broken, ended=word is _Word.ENDED)
-            broken.judged.set()
-        if word is _Word.ENDED:
-            self._port.tell_soon()
+            self._record_outcome(runner.id, broken, ended=result is _ProbeResult.ENDED)
+            broken.decided.set()
+        if result is _ProbeResult.ENDED:
+            self._port.report_soon()
 
-    async def _ask(self, runner: Runner) -> _Word:
+    async def _probe_once(self, runner: Runner) -> _ProbeResult:
         """Find out whether a runner accepts no connection, or another one answers in its place.
 
-        One that is busy answers late or rejects the question, and has not ended.
+        A busy runner answers late or rejects the request, and has not ended.
         """
         plan = self._store.service(runner.service)
         path = "/" if plan is None else plan.health_path
         try:
-            health = await ask_health(runner, path, CONNECT_TIMEOUT_S, HEALTH_TIMEOUT_S)
+            health = await fetch_health(runner, path, CONNECT_TIMEOUT_S, HEALTH_TIMEOUT_S)
         except ConnectFailed:
-            return _Word.ENDED
+            return _ProbeResult.ENDED
         except NoHealthAnswer:
-            return _Word.ENDED if self._port.runners.is_gone(runner.id) else _Word.UNKNOWN
+            return (
+                _ProbeResult.ENDED
+                if self._port.runners.is_gone(runner.id)
+                else _ProbeResult.UNKNOWN
+            )
         other = health is not None and health.name != runner.incarnation.name
-        return _Word.ENDED if other or self._port.runners.is_gone(runner.id) else _Word.LIVES
+        return (
+            _ProbeResult.ENDED
+            if other or self._port.runners.is_gone(runner.id)
+            else _ProbeResult.LIVES
+        )
 
-    def _judge(self, runner: RunnerId, broken: _BrokenRun, *, ended: bool) -> None:
+    def _record_outcome(self, runner: RunnerId, broken: _BrokenRun, *, ended: bool) -> None:
         log(
             Event.RUN_BROKEN,
             request=broken.attempt,
@@ -183,22 +198,22 @@
             strike_weight(broken.first_event_s, broken.broke_s),
             self._port.crashes.round(broken.content),
         )
-        self._strike(broken.content, strike)
-        self._reports.struck(broken.content, strike)
+        self._record_strike(broken.content, strike)
+        self._reports.record_strike(broken.content, strike)
 
-    def _strike(self, content: ContentId, strike: Strike) -> None:
-        if self._port.strike(trio.current_time(), content, strike):
-            self._engine_reports.ended(strike.runner)
+    def _record_strike(self, content: ContentId, strike: Strike) -> None:
+        if self._port.record_strike(trio.current_time(), content, strike):
+            self._engine_reports.record_ended(strike.runner)
 
-    def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
+    def _on_report(self, instance: InstanceId, report: InstanceReport) -> None:
         now_s = trio.current_time()
         try:
-            strikes = [strike_of(row, now_s) for row in report.strikes]
-            clears = [clear_of(row) for row in report.clears]
+            strikes = [strike_from_row(row, now_s) for row in report.strikes]
+            clears = [clear_from_row(row) for row in report.clears]
         except MessageError as error:
             log(Event.PEER_REFUSED, sender=instance, error=str(error))
             return
         for content, strike in strikes:
-            self._strike(content, strike)
+            self._record_strike(content, strike)
         for content, cleared_round in clears:
-            self._port.take_clear(now_s, content, cleared_round)
+            self._port.apply_clear(now_s, content, cleared_round)
--- a/egretstack/services/crash_list.py
+++ b/egretstack/services/crash_list.py
@@ -1,28 +1,29 @@
-"""Keeps what the fleet knows of requests that end runners in the store, as the home.
+"""Keeps the fleet's records of requests that end runners in the store, as the home.
 
-After a restart of every instance it is read from there. An instance that hears no other one is its
-own home, so that one which is cut off from its peers alone keeps to it and adds to it too.
+After a restart of every instance they are read from there. An instance that receives no reports of
+others is its own home, so that one that is cut off only from its peers still applies the records
+and adds to them.
 """
 
 import trio
 
-from egretstack.crashes import CrashRecord, record_of, record_row
+from egretstack.crashes import CrashRecord, record_from_row, record_row
 from egretstack.events import Event, log
-from egretstack.fleet import StoreSight
+from egretstack.fleet import StoreReachability
 from egretstack.ids import ContentId
 from egretstack.kernel import Kernel
 from egretstack.messages import MessageError
 from egretstack.platform import Change, ObjectKind, RevisionConflict, StoreAway
-from egretstack.services.fleet_port import IDLE_LOOK_S
+from egretstack.services.fleet_port import IDLE_POLL_INTERVAL_S
 from egretstack.services.store_following import StoreFollower
-from egretstack.services.store_reading import AWAY_PAUSE_S
+from egretstack.services.store_reading import UNAVAILABLE_PAUSE_S
 
 WATCH_S = 5.0
-"""Length of one watch. Only another home or an operator writes besides, both of them rarely."""
+"""Length of one watch. Besides this home only another home or an operator writes, both rarely."""
 FIELD = "record"
 """Name under which an object's spec holds the record's row."""
-MOST_BAD_LOGGED = 8
-MOST_NAME_LOGGED = 128
+MAX_BAD_LOGGED = 8
+MAX_NAME_LOGGED = 128
 
 
 class CrashList(StoreFollower):
@@ -38,25 +39,25 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Read and write until cancelled."""
-        self._port.on_crash_record(self._note_change)
+        self._port.on_crash_record_change(self._on_record_change)
         task_status.started()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follow)
             nursery.start_soon(self._write_changes)
 
-    def _note_change(self) -> None:
+    def _on_record_change(self) -> None:
         self._changed.set()
 
-    def _is_told(self) -> bool:
-        return self._port.fleet.is_led(trio.current_time())
+    def _is_current(self) -> bool:
+        return self._port.fleet.has_live_home(trio.current_time())
 
-    def _may_try(self) -> bool:
-        """Leave it to the list of runners to find out when the store is back."""
+    def _may_read(self) -> bool:
+        """Return whether the store is reachable; the list of runners finds out when it is again."""
         sight = self._port.fleet.own.store
-        return self._port.is_home() and sight is not StoreSight.AWAY
+        return self._port.is_home() and sight is not StoreReachability.UNREACHABLE
 
     async def _read(self) -> None:
-        store = self._reading.store
+        store = self._store_reading.store
         if self._revision is None:
             listing = await store.list(ObjectKind.CRASH_RECORD)
             self._stored_by_content.clear()
@@ -64,58 +65,58 @@
         else:
             watched = await store.watch(ObjectKind.CRASH_RECORD, self._revision, WATCH_S)
             changes, revision = watched.changes, watched.revision
-        bad = [name for change in changes if (name := self._take(change)) is not None]
-        for name in bad[:MOST_BAD_LOGGED]:
-            log(Event.CRASH_RECORD_UNREADABLE, content=name[:MOST_NAME_LOGGED])
+        bad = [name for change in changes if (name := self._apply(change)) is not None]
+        for name in bad[:MAX_BAD_LOGGED]:
+            log(Event.CRASH_RECORD_UNREADABLE, content=name[:MAX_NAME_LOGGED])
         self._revision = revision
         self._changed.set()
 
-    def _take(self, change: Change) -> str | None:
-        """Take an object of the store; give its name if it cannot be read."""
+    def _apply(self, change: Change) -> str | None:
+        """Apply an object of the store; return its name if it cannot be read."""
         now_s = trio.current_time()
         content = ContentId(change.object.name)
         if change.deleted:
-            # Deleted by an operator, unless this instance has nothing more to keep of it.
+            # It was deleted by an operator, unless this instance has dropped the record itself.
             if self._stored_by_content.pop(content, None) is not None:
-                self._port.clear(now_s, content)
+                self._port.record_clear(now_s, content)
             return None
         try:
-            record = record_of(change.object.spec.get(FIELD))
+            record = record_from_row(change.object.spec.get(FIELD))
         except MessageError:
             return change.object.name
         self._stored_by_content[content] = record
-        self._port.take_crash_record(now_s, content, record)
+        self._port.apply_crash_record(now_s, content, record)
         return None
 
     async def _write_changes(self) -> None:
         while True:
             await self._changed.wait()
-            if self._port.is_home() and (self._revision is None or not self._may_try()):
-                await trio.sleep(IDLE_LOOK_S)
+            if self._port.is_home() and (self._revision is None or not self._may_read()):
+                await trio.sleep(IDLE_POLL_INTERVAL_S)
                 continue
             self._changed = trio.Event()
             if not self._port.is_home():
-                continue  # Whoever becomes home reads the store first, and writes what it lacks.
+                continue  # The next home reads the store first, and writes what is missing there.
             try:
                 await self._write_all()
             except StoreAway as error:
-                self._reading.away(error)
+                self._store_reading.record_unavailable(error)
                 self._changed.set()
-                await trio.sleep(AWAY_PAUSE_S)
+                await trio.sleep(UNAVAILABLE_PAUSE_S)
 
     async def _write_all(self) -> None:
-        lasting = self._port.crashes.lasting()
+        lasting = self._port.crashes.durable_records()
         for content, record in lasting.items():
             if self._stored_by_content.get(content) != record:
                 await self._write(content, record)
         for content in self._stored_by_content.keys() - lasting.keys():
-            # What its own deletion tells is not an operator's doing.
+            # Removed here first, so that the watch does not take this deletion for an operator's.
             self._stored_by_content.pop(content)
-            await self._reading.store.delete(ObjectKind.CRASH_RECORD, content)
+            await self._store_reading.store.delete(ObjectKind.CRASH_RECORD, content)
 
     async def _write(self, content: ContentId, record: CrashRecord) -> None:
-        """Write a record; another home that wrote meanwhile is heard of by the watch."""
-        store, spec = self._reading.store, {FIELD: record_row(record)}
+        """Write a record; the watch reports what another home wrote at the same time."""
+        store, spec = self._store_reading.store, {FIELD: record_row(record)}
         try:
             if not await store.replace(ObjectKind.CRASH_RECORD, content, spec):
                 await store.create(ObjectKind.CRASH_RECORD, content, spec)
--- a/egretstack/services/directory_port.py
+++ b/egretstack/services/directory_port.py
@@ -8,7 +8,7 @@
 from egretstack.http1 import (
     BadRequest,
     ClientConnection,
-    ClientGone,
+    ClientDisconnected,
     RequestHead,
     ServerLimits,
     SlowSender,
@@ -30,17 +30,19 @@
 
 LIMITS = ServerLimits(header_bytes=8_192, body_bytes=1_024, header_timeout_s=2, idle_timeout_s=10)
 MAX_ADDRESSES = 64
-"""Clients use no more of one answer."""
-ANSWER_LIFE_S = 2.0
-"""How long clients keep an answer; some keep it three times as long, still within the grace of a
-stopping instance. A dead instance is named for no longer than this plus its silence."""
+"""Clients use no more addresses of one answer."""
+ANSWER_TTL_S = 2.0
+"""How long clients keep an answer. Some keep it three times as long, which is still within the
+grace period of a stopping instance. A dead instance is named for no longer than this plus the time
+after which it counts as not live."""
 GRACE_SHARE = 0.25
-"""Part of the grace that an answer's life may take at most, so that three lives end within it."""
-LOOK_S = 0.1
+"""Share of the grace period that an answer's time to live may take at most, so that three times to
+live end within it."""
+CHECK_INTERVAL_S = 0.1
 
 
 class DirectoryPort(Service):
-    """Answers directory questions and readiness checks."""
+    """Answers directory requests and readiness checks."""
 
     name = "directory_port"
     requires = ("fleet_port", "store_reading")
@@ -66,27 +68,27 @@
             task_status.started()
             nursery.start_soon(self._leave_on_drain)
             while True:
-                self._tell_state()
-                await trio.sleep(LOOK_S)
+                self._publish_state()
+                await trio.sleep(CHECK_INTERVAL_S)
 
     async def _leave_on_drain(self) -> None:
         await self.kernel.draining.wait()
         self._leaving = True
-        self._tell_state()
-        self._port.tell_soon()
+        self._publish_state()
+        self._port.report_soon()
 
     def is_ready(self) -> bool:
-        """Tell whether clients may be sent here."""
+        """Return whether clients may be sent here."""
         return not self._leaving and self._store.is_informed()
 
-    def _tell_state(self) -> None:
+    def _publish_state(self) -> None:
         if self._leaving:
             state = InstanceState.LEAVING
         else:
             state = InstanceState.READY if self.is_ready() else InstanceState.STARTING
         if state is not self._port.fleet.own.state:
-            self._port.describe(state=state)
-            self._port.tell_soon()
+            self._port.update_own(state=state)
+            self._port.report_soon()
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         connection = ClientConnection(stream, LIMITS)
@@ -96,11 +98,11 @@
                 if head is None:
                     return
                 await connection.read_body()
-                await connection.send_answer(*self._answer(head))
+                await connection.send_response(*self._answer(head))
                 if not connection.start_next():
                     return
-        except (BadRequest, SlowSender, ClientGone):
-            return  # Nothing was promised to whoever asked; it asks elsewhere.
+        except (BadRequest, SlowSender, ClientDisconnected):
+            return  # The client asks elsewhere.
         finally:
             connection.close()
 
@@ -108,25 +110,25 @@
         if is_ready_question(head):
             return json_answer(200 if self.is_ready() else 503, {"ready": self.is_ready()})
         if is_directory_question(head):
-            # Looked at ten times a second alone, an instance that has just become ready would send
-            # its first callers away.
-            self._tell_state()
+            # Checked only ten times a second, an instance that has just become ready would send its
+            # first clients away.
+            self._publish_state()
             addresses = self.ready_addresses(asked_region(head), asked_host(head))
             if not addresses:
-                return json_answer(503, {"error": "no instance is ready"}, ANSWER_LIFE_S)
+                return json_answer(503, {"error": "no instance is ready"}, ANSWER_TTL_S)
             grace_s = self.kernel.settings.bounds.grace_s
-            life_s = min(
-                ANSWER_LIFE_S, grace_s * GRACE_SHARE, self.kernel.settings.bounds.directory_life_s
+            ttl_s = min(
+                ANSWER_TTL_S, grace_s * GRACE_SHARE, self.kernel.settings.bounds.directory_life_s
             )
-            return directory_answer(addresses, life_s)
+            return directory_answer(addresses, ttl_s)
         return json_answer(404, {"error": "no such resource"})
 
     def ready_addresses(self, region: RegionName, host: str) -> list[str]:
-        """Give where clients of a region may connect; no more than they use of one answer."""
+        """Return the addresses for clients of a region, no more than they use of one answer."""
         live = self._port.fleet.live(trio.current_time())
         ready = [known.instance for known in live if known.state is InstanceState.READY]
         table = self._store.gate.table
-        homes = frozenset() if table is None else table.homes(host)
+        homes = frozenset() if table is None else table.allowed_regions(host)
         near = nearest(ready, self._region_by_zone, region, homes)
         ready = [one.front_address for one in near]
         if len(ready) > MAX_ADDRESSES:
--- a/egretstack/services/engine_reports.py
+++ b/egretstack/services/engine_reports.py
@@ -1,7 +1,7 @@
-"""Asks engines for their own reports, as the home, for the whole fleet.
+"""Reads the engines' own reports, as the home, for the whole fleet.
 
-Reports tell of a leaving or dead engine while the store cannot, and sooner. One reader keeps their
-number independent of the number of instances.
+Reports show a leaving or dead engine sooner than the store does, and also while the store cannot.
+With one reader their number does not grow with the number of instances.
 """
 
 from collections.abc import Callable
@@ -9,28 +9,28 @@
 import trio
 
 from egretstack.events import Event, log
-from egretstack.fleet import Runner, RunnerState, Silence
+from egretstack.fleet import Runner, RunnerState, UnansweredQueries
 from egretstack.http1 import ConnectFailed, ConnectionPool, UpstreamBroken, exchange
 from egretstack.ids import RunnerId
 from egretstack.kernel import Kernel, Service
 from egretstack.platform import BadBody, report_request, runner_report
-from egretstack.services.fleet_port import IDLE_LOOK_S, FleetPort
+from egretstack.services.fleet_port import IDLE_POLL_INTERVAL_S, FleetPort
 from egretstack.services.store_reading import StoreReading
 from egretstack.traffic import RunnerReport
 
-LOOK_S = 0.1
+POLL_INTERVAL_S = 0.1
 PERIOD_S = 1.0
-"""Each report costs a call; with the store there, its list tells of leaving runners sooner."""
-STORE_AWAY_S = 1.0
-"""Age of the list of runners from which reports stand in for it."""
-STORE_AWAY_PERIOD_S = 0.25
-"""Runners are gone some 1.5 s after their notice: a run needs the better part of that to move."""
+"""Each report costs a call; while the store is reachable, its list shows leaving runners sooner."""
+STORE_UNAVAILABLE_AGE_S = 1.0
+"""Age of the list of runners from which reports take its place."""
+STORE_UNAVAILABLE_PERIOD_S = 0.25
+"""Runners end some 1.5 s after their notice, and a run needs most of that time to move."""
 TIMEOUT_S = 0.5
 MAX_REPORT_BYTES = 1_048_576
 
 
 class EngineReports(Service):
-    """Learns from engines whether they leave or are silent."""
+    """Learns from engines whether they leave or do not answer."""
 
     name = "engine_reports"
     requires = ("fleet_port", "store_reading")
@@ -40,47 +40,52 @@
         self._port = kernel.get(FleetPort)
         self._store = kernel.get(StoreReading)
         self._pool = ConnectionPool(max_idle=1)
-        self._silence = Silence()
-        self._asked_s = float("-inf")
-        self._takers: list[Callable[[RunnerId, RunnerReport], None]] = []
+        self._unanswered = UnansweredQueries()
+        self._requested_s = float("-inf")
+        self._listeners: list[Callable[[RunnerId, RunnerReport], None]] = []
 
-    def on_report(self, taker: Callable[[RunnerId, RunnerReport], None]) -> None:
-        """Let `taker` see each report."""
-        self._takers.append(taker)
+    def on_report(self, listener: Callable[[RunnerId, RunnerReport], None]) -> None:
+        """Call `listener` with each report."""
+        self._listeners.append(listener)
 
-    def ended(self, runner: RunnerId) -> None:
-        """Take it, as the home, that an instance found a runner to have ended.
+    def record_ended(self, runner: RunnerId) -> None:
+        """Record, as the home, that an instance found a runner to have ended.
 
-        Its own silence would show a second or two later, when copies and places there are lost.
+        Its missing reports would show this only a second or two later, when copies and places at
+        that runner are already lost.
         """
         engines = self._engines()
         if self._port.is_home() and any(one.id == runner for one in engines):
-            self._silence.ended(runner)
-            self._tell_silent(engines)
+            self._unanswered.record_ended(runner)
+            self._publish_unresponsive(engines)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Ask while this instance is the home."""
+        """Read reports while this instance is the home."""
         task_status.started()
         try:
             async with trio.open_nursery() as nursery:
                 while True:
-                    await trio.sleep(LOOK_S if self._port.is_home() else IDLE_LOOK_S)
+                    await trio.sleep(
+                        POLL_INTERVAL_S if self._port.is_home() else IDLE_POLL_INTERVAL_S
+                    )
                     if self._port.is_home() and self._is_due():
-                        self._ask_all(nursery)
+                        self._check_all(nursery)
         finally:
             self._pool.close()
 
     def _is_due(self) -> bool:
         now_s = trio.current_time()
-        away = self._port.runners.age_s(now_s) > STORE_AWAY_S
-        return now_s - self._asked_s >= (STORE_AWAY_PERIOD_S if away else PERIOD_S)
+        unavailable = self._port.runners.age_s(now_s) > STORE_UNAVAILABLE_AGE_S
+        return now_s - self._requested_s >= (
+            STORE_UNAVAILABLE_PERIOD_S if unavailable else PERIOD_S
+        )
 
-    def _ask_all(self, nursery: trio.Nursery) -> None:
-        self._asked_s = trio.current_time()
+    def _check_all(self, nursery: trio.Nursery) -> None:
+        self._requested_s = trio.current_time()
         engines = self._engines()
-        self._tell_silent(engines)
+        self._publish_unresponsive(engines)
         for runner in engines:
-            nursery.start_soon(self._ask, runner)
+            nursery.start_soon(self._check, runner)
 
     def _engines(self) -> list[Runner]:
         return [
@@ -91,31 +96,31 @@
             and self._store.engine(runner.service)
         ]
 
-    def _tell_silent(self, engines: list[Runner]) -> None:
-        silent = self._silence.silent({runner.id for runner in engines})
-        if silent != self._port.runners.silent:
-            log(Event.RUNNERS_SILENT, runners=",".join(sorted(silent)))
-            self._port.runners.silent = silent
-            self._port.tell_soon()
+    def _publish_unresponsive(self, engines: list[Runner]) -> None:
+        unresponsive = self._unanswered.unresponsive({runner.id for runner in engines})
+        if unresponsive != self._port.runners.unresponsive:
+            log(Event.RUNNERS_SILENT, runners=",".join(sorted(unresponsive)))
+            self._port.runners.unresponsive = unresponsive
+            self._port.report_soon()
 
-    async def _ask(self, runner: Runner) -> None:
-        report = await self._report(runner)
+    async def _check(self, runner: Runner) -> None:
+        report = await self._request_report(runner)
         if report is None:
-            self._silence.missed(runner.id)
+            self._unanswered.record_miss(runner.id)
             return
-        if report.born_ms not in (None, runner.incarnation.born_ms):
-            self._port.runner_born(runner.id, report.born_ms)
+        if report.born_ms not in (None, runner.incarnation.started_ms):
+            self._port.record_runner_start(runner.id, report.born_ms)
             return
-        self._silence.answered(runner.id)
-        for taker in self._takers:
-            taker(runner.id, report)
+        self._unanswered.record_answer(runner.id)
+        for listener in self._listeners:
+            listener(runner.id, report)
         if report.leaving or report.leaves_in_s is not None:
-            self._port.notice(runner.id)
+            self._port.record_leaving(runner.id)
 
-    async def _report(self, runner: Runner) -> RunnerReport | None:
-        """Ask one engine; None if it gives no report that can be read."""
+    async def _request_report(self, runner: Runner) -> RunnerReport | None:
+        """Request the report of one engine; return None if no readable report comes."""
         try:
-            connection = await self._pool.take(runner.address, TIMEOUT_S)
+            connection = await self._pool.acquire(runner.address, TIMEOUT_S)
         except ConnectFailed:
             return None
         try:
@@ -131,5 +136,5 @@
         except BaseException:
             connection.close()
             raise
-        self._pool.give_back(connection)
+        self._pool.release(connection)
         return report
--- a/egretstack/services/evacuation_list.py
+++ b/egretstack/services/evacuation_list.py
@@ -1,27 +1,28 @@
 """Reads which availability zones the operator has evacuated, as the home for all.
 
-It is told as urgent news. An instance that no home tells reads for itself, so that one which is
-cut off from its peers alone keeps to the bound too.
+Changes are sent as urgent updates. An instance that gets none from a home reads for itself, so that
+one that is cut off from its peers alone keeps the bound too.
 """
 
 import trio
 
 from egretstack.events import Event, log
-from egretstack.fleet import StoreSight
+from egretstack.fleet import StoreReachability
 from egretstack.kernel import Kernel
 from egretstack.platform import Change, EvacuationEntries, ObjectKind
 from egretstack.services.relay_metrics import RelayMetrics
 from egretstack.services.store_following import StoreFollower
 
 WATCH_SHARE = 0.25
-"""Part of the time in which an evacuation has to be known everywhere that one watch lasts: a silent
-connection hides it for no longer, and the leash."""
-LONGEST_WATCH_S = 2.0
+"""Share of the time in which an evacuation has to be known everywhere that one watch may last: a
+connection that stopped answering hides an evacuation for this time and the watch's timeout
+margin."""
+MAX_WATCH_S = 2.0
 OWN_READING_SHARE = 0.5
-"""The same after which an instance without news from the home reads for itself; its call is given
-up after 1 s, and a second one is answered within the bound."""
-MOST_BAD_LOGGED = 8
-MOST_NAME_LOGGED = 128
+"""Share of the same time after which an instance without updates from the home reads for itself;
+its call times out after 1 s, and a second one is answered within the bound."""
+MAX_BAD_LOGGED = 8
+MAX_NAME_LOGGED = 128
 
 
 class EvacuationList(StoreFollower):
@@ -44,21 +45,23 @@
             await trio.sleep_forever()
         await self._follow()
 
-    def _is_told(self) -> bool:
-        old_s = self.kernel.settings.bounds.evacuate_s * OWN_READING_SHARE
-        return self._port.evacuations.age_s(trio.current_time()) < old_s
+    def _is_current(self) -> bool:
+        max_age_s = self.kernel.settings.bounds.evacuate_s * OWN_READING_SHARE
+        return self._port.evacuations.age_s(trio.current_time()) < max_age_s
 
-    def _may_try(self) -> bool:
-        """Leave it to the list of runners to find out when the store is back.
+    def _may_read(self) -> bool:
+        """Return whether the store is reachable; the list of runners finds out when it is again.
 
-        An instance that is not the home tries only while it reads that list itself: were all to
-        try, those that the store answers first would all take the home's place for a moment.
+        An instance that is not the home tries only while it reads that list itself. If all tried,
+        each of those that the store answers first would become the home for a moment.
         """
         sight = self._port.fleet.own.store
-        return sight is StoreSight.READS or (self._port.is_home() and sight is StoreSight.UNKNOWN)
+        return sight is StoreReachability.REACHABLE or (
+            self._port.is_home() and sight is StoreReachability.UNKNOWN
+        )
 
     async def _read(self) -> None:
-        store = self._reading.store
+        store = self._store_reading.store
         if self._revision is None:
             listing = await store.list(ObjectKind.EVACUATION)
             self._entries.clear()
@@ -66,10 +69,10 @@
         else:
             watch_s = self.kernel.settings.bounds.evacuate_s * WATCH_SHARE
             watched = await store.watch(
-                ObjectKind.EVACUATION, self._revision, min(LONGEST_WATCH_S, watch_s)
+                ObjectKind.EVACUATION, self._revision, min(MAX_WATCH_S, watch_s)
             )
             changes, revision = watched.changes, watched.revision
-        for bad in self._entries.take(changes)[:MOST_BAD_LOGGED]:
-            log(Event.EVACUATION_UNREADABLE, zone=bad.name[:MOST_NAME_LOGGED], error=bad.error)
+        for bad in self._entries.take(changes)[:MAX_BAD_LOGGED]:
+            log(Event.EVACUATION_UNREADABLE, zone=bad.name[:MAX_NAME_LOGGED], error=bad.error)
         self._revision = revision
-        self._port.take_evacuations(self._entries.zones(), revision, trio.current_time())
+        self._port.apply_evacuations(self._entries.zones(), revision, trio.current_time())
--- a/egretstack/services/fleet_news.py
+++ b/egretstack/services/fleet_news.py
@@ -1,7 +1,7 @@
-"""The home's news to all instances: which instances live and which runners there are.
+"""The home's updates to all instances: which instances are live, and which runners there are.
 
-What is told, and what an instance makes of it, is decided by `fleet.NewsTeller` and
-`fleet.NewsFollower`; here it is sent and put to use.
+`fleet.UpdatePublisher` and `fleet.UpdateFollower` decide what is sent and how it is applied; this
+service sends the updates and puts them to use.
 """
 
 from collections.abc import Callable
@@ -9,27 +9,27 @@
 
 import trio
 
-from egretstack.crashes import record_of, record_row
+from egretstack.crashes import record_from_row, record_row
 from egretstack.events import Event, log
 from egretstack.fleet import (
     REPEAT_AFTER_S,
     REPORT_PERIOD_S,
+    ApplyResult,
     FleetLoads,
     FleetNews,
     FleetView,
-    HeldNews,
+    HeldVersion,
     InstanceReport,
     KnownInstance,
-    NewsKeeper,
-    NewsPart,
     RunnerState,
-    Taken,
+    UpdatePart,
+    UpdateReplica,
+    broadcast_instance_row,
     checked_limit,
-    instance_of,
+    instance_from_row,
     instance_row,
-    runner_of,
+    runner_from_row,
     runner_row,
-    told_instance_row,
 )
 from egretstack.ids import ContentId, InstanceId, RunnerId, ZoneName
 from egretstack.kernel import Kernel, Service
@@ -38,17 +38,18 @@
 from egretstack.services.relay_metrics import RelayMetrics
 
 LOADS_PERIOD_S = 0.75
-"""How often loads are told. They are used only by an instance that finds the home silent, and are
+"""How often loads are sent. Only an instance whose home does not answer uses them, and they are
 then a second old anyway."""
-MOST_LOADS = 32
-"""Loads in one datagram, 30 bytes each; of more engines some are told each time, in turn."""
-MOST_HOLDERS = 8
-"""Instances that are named as having the newest configuration. Each of 195 fetches it from one of
-them; as more have it, others are named."""
-HAND_OVERS = 3
-"""How often a home that is no more says so: one datagram in some fifty is lost."""
-ASK_AGAIN_S = 0.1
-"""Time between two reports that ask for lost news; the answer takes some 5 ms."""
+MAX_LOADS = 32
+"""Limit on the loads in one datagram, 30 bytes each. If there are more engines, some of them are
+sent each time, in turn."""
+MAX_HOLDERS = 8
+"""Limit on the instances that are named as having the newest configuration. Each of 195 instances
+fetches it from one of them; as more instances have it, others are named."""
+HANDOVER_REPEATS = 3
+"""How often a former home announces its successor: one datagram in some fifty is lost."""
+REREQUEST_INTERVAL_S = 0.1
+"""Time between two reports that request lost updates; the answer takes some 5 ms."""
 EPOCH_BITS = 53
 MAX_AGE_S = 3600.0
 _INSTANCE = "i"
@@ -56,12 +57,12 @@
 _ZONE = "z"
 _CRASH = "c"
 _LIMIT = "l"
-_SILENT = 1
+_UNRESPONSIVE = 1
 _SUSPECT = 2
 
 
-class _AsOf(NamedTuple):
-    """How far what the rows tell goes."""
+class _SourceVersions(NamedTuple):
+    """The revisions and reading times that the rows reflect."""
 
     runners_revision: int
     runners_read_s: float
@@ -69,8 +70,8 @@
     evacuations_read_s: float
 
 
-class FleetNewsService(Service):
-    """Tells the news while this instance is the home, and takes them while it is not."""
+class FleetUpdatesService(Service):
+    """Sends the updates while this instance is the home, and applies them while it is not."""
 
     name = "fleet_news"
     requires = ("fleet_port", "relay_metrics")
@@ -78,309 +79,323 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self._port = kernel.get(FleetPort)
-        self._keeper = NewsKeeper(lambda: kernel.rng.getrandbits(EPOCH_BITS) or 1)
-        self._as_of = _AsOf(0, float("-inf"), 0, float("-inf"))
-        self._told_s = float("-inf")
-        self._loads_s = float("-inf")
+        self._keeper = UpdateReplica(lambda: kernel.rng.getrandbits(EPOCH_BITS) or 1)
+        self._sources = _SourceVersions(0, float("-inf"), 0, float("-inf"))
+        self._sent_s = float("-inf")
+        self._loads_sent_s = float("-inf")
         self._next_load = 0
-        self._hand_overs = 0
-        """How often the others are still told that this instance is home no more."""
-        self._urged = trio.Event()
-        """Set while urgent news wait to be sent once more."""
-        self._told_zones: frozenset[ZoneName] = frozenset()
-        """The evacuated zones as the home's rows have them."""
-        self._told_epoch = 0
-        """The epoch of the home whose rows these were."""
-        self._missed_s: float | None = None
-        """When what was lost was last asked for; None if nothing is missing."""
-        self.loads: Callable[[], list] = list
-        """Gives the rows of the loads of all engines."""
+        self._handovers_left = 0
+        """How many more times the others are told that this instance is no longer the home."""
+        self._urgent_sent = trio.Event()
+        """Set while an urgent update waits to be repeated."""
+        self._received_zones: frozenset[ZoneName] = frozenset()
+        """The evacuated zones according to the home's rows."""
+        self._received_epoch = 0
+        """The epoch of the home that sent these zones."""
+        self._gap_requested_s: float | None = None
+        """When lost updates were last requested; None if nothing is missing."""
+        self.load_rows: Callable[[], list] = list
+        """Returns the rows of the loads of all engines."""
         self._table_revision: int | None = None
-        """Revision of the table of runners as the home's news last left it; None if this instance
-        has read later ones since."""
+        """Revision of the table of runners as the home's updates last left it; None if this
+        instance has read a later one itself since."""
         self._gaps = kernel.get(RelayMetrics).gauge(
             "egret_relay_news_gaps",
             "News of the home that came after others that were lost.",
         )
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Tell and take until cancelled."""
-        self._port.held = lambda: self._keeper.held
-        self._port.missed = lambda: self._keeper.missed
-        self._port.on_tell(self._tell)
-        self._port.on_report(self._take_report)
-        self._port.handle(FleetNews, self._take)
+        """Send or apply updates until cancelled."""
+        self._port.held_updates = lambda: self._keeper.held
+        self._port.misses_updates = lambda: self._keeper.missed
+        self._port.on_report_sent(self._send_updates)
+        self._port.on_report_received(self._on_report)
+        self._port.handle(FleetNews, self._on_update)
         task_status.started()
-        await self._repeat()
+        await self._repeat_urgent()
 
-    def _tell(self) -> None:
-        """Tell what changed, or each period that nothing did; loads less often."""
+    def _send_updates(self) -> None:
+        """Send changes at once, an update without changes each period, and loads less often."""
         now_s = trio.current_time()
         if not self._port.is_home():
             self._hand_over(now_s)
             return
-        teller = self._keeper.lead()
-        others = self._port.fleet.others_heard(now_s)
-        teller.forget({known.instance.id for known in others})
-        before = teller.rows.version
-        changed = self._update(others)
-        if changed or now_s - self._told_s >= REPORT_PERIOD_S / 2:
-            self._told_s = now_s
-            self._send_all(now_s, others)
+        publisher = self._keeper.lead()
+        others = self._port.fleet.recently_reported(now_s)
+        publisher.retain({known.instance.id for known in others})
+        before = publisher.rows.version
+        changed = self._refresh_rows(others)
+        if changed or now_s - self._sent_s >= REPORT_PERIOD_S / 2:
+            self._sent_s = now_s
+            self._send_lacking(now_s, others)
         if changed and self._is_urgent(before):
-            teller.urge(before)
-            self._urged.set()
-        if now_s - self._loads_s >= LOADS_PERIOD_S:
-            self._loads_s = now_s
-            self._tell_loads(others)
+            publisher.mark_urgent(before)
+            self._urgent_sent.set()
+        if now_s - self._loads_sent_s >= LOADS_PERIOD_S:
+            self._loads_sent_s = now_s
+            self._send_loads(others)
 
-    def _update(self, others: list[KnownInstance]) -> bool:
-        """Bring the rows up to date, and how far they go; tell whether any row changed.
+    def _refresh_rows(self, others: list[KnownInstance]) -> bool:
+        """Refresh the rows and the revisions they reflect; return whether any row changed.
 
-        What is read between two tellings is in neither. Told with a later revision than theirs, the
-        rows of a home that has just begun would say that all runners are missing.
+        A reading between two updates is in neither of them. If an update named a later revision
+        than that of its rows, the rows of a new home would mean that all runners are missing.
         """
         runners, evacuations = self._port.runners, self._port.evacuations
-        self._as_of = _AsOf(
+        self._sources = _SourceVersions(
             runners.revision, runners.read_s, evacuations.revision, evacuations.read_s
         )
-        return self._keeper.lead().update(self._rows(others))
+        return self._keeper.lead().replace_rows(self._rows(others))
 
     def _is_urgent(self, before: int) -> bool:
-        """Tell whether runners may get less work since a version, or others are suspected."""
-        changes = self._keeper.lead().rows.since(before)
+        """Return whether the changes since a version are urgent.
+
+        They are if a runner was removed, is flagged or is not ready, or if a zone or a crash record
+        was added.
+        """
+        changes = self._keeper.lead().rows.changes_since(before)
         rows = [one.row for one in changes if one.key[0] == _RUNNER]
         ready = RunnerState.READY
-        if any(row is None or row[-1] or runner_of(row[:-1]).state is not ready for row in rows):
+        if any(
+            row is None or row[-1] or runner_from_row(row[:-1]).state is not ready for row in rows
+        ):
             return True
         return any(one.row is not None for one in changes if one.key[0] in (_ZONE, _CRASH))
 
-    async def _repeat(self) -> None:
-        """Send urgent news once more to whoever has not reported to hold them."""
+    async def _repeat_urgent(self) -> None:
+        """Repeat urgent updates to the instances that have not reported to hold them."""
         while True:
-            await self._urged.wait()
+            await self._urgent_sent.wait()
             await trio.sleep(REPEAT_AFTER_S)
-            self._urged = trio.Event()
+            self._urgent_sent = trio.Event()
             now_s = trio.current_time()
-            teller = self._keeper.teller
-            if teller is None or not self._port.is_home():
+            publisher = self._keeper.publisher
+            if publisher is None or not self._port.is_home():
                 continue
-            others = self._port.fleet.others_heard(now_s)
-            self._send_parts(now_s, [(one, teller.repeats_for(one.instance.id)) for one in others])
-            teller.repeated()
+            others = self._port.fleet.recently_reported(now_s)
+            self._send_parts(
+                now_s, [(known, publisher.urgent_parts_for(known.instance.id)) for known in others]
+            )
+            publisher.urgent_repeated()
 
     def _hand_over(self, now_s: float) -> None:
-        """Point the others to the home that follows this one, a few times.
+        """Point the others to the new home, a few times.
 
-        They hear this instance alone: of a home that is no more because it leaves, or does not
-        reach the store, they would hear nothing until they took it for silent.
+        They follow this instance alone. If it leaves or does not reach the store and so is no
+        longer the home, they would otherwise not notice until they find it unresponsive.
         """
-        if self._keeper.teller is not None:
+        if self._keeper.publisher is not None:
             self._keeper.follow()
-            self._hand_overs = HAND_OVERS
-        if not self._hand_overs:
+            self._handovers_left = HANDOVER_REPEATS
+        if not self._handovers_left:
             return
-        self._hand_overs -= 1
+        self._handovers_left -= 1
         fleet = self._port.fleet
-        home = fleet.record(fleet.home(now_s))
+        home = fleet.last_known(fleet.home(now_s))
         rows = [instance_row(one) for one in (fleet.own, home) if one is not None]
         view = encode(FleetView(rows))
-        for known in fleet.others_heard(now_s):
+        for known in fleet.recently_reported(now_s):
             self._port.send_encoded(known.instance.peer_address, view)
 
     def _rows(self, others: list[KnownInstance]) -> dict[str, list]:
-        """Give all rows; what has to be known soonest comes first when all of it is new."""
+        """Return all rows; the most urgent kinds come first when all of them are new."""
         runners = self._port.runners
         rows = {
-            f"{_RUNNER}{runner.id}": [*runner_row(runner), self._marks(runner.id)]
+            f"{_RUNNER}{runner.id}": [*runner_row(runner), self._flags(runner.id)]
             for runner in runners.by_id.values()
         }
         rows |= {f"{_ZONE}{zone}": [] for zone in self._port.evacuations.zones}
-        crashes = self._port.crashes.told().items()
+        crashes = self._port.crashes.shared_records().items()
         rows |= {f"{_CRASH}{content}": record_row(record) for content, record in crashes}
         limits = self._port.limits.limited().items()
         rows |= {f"{_LIMIT}{runner}": [per_s] for runner, per_s in limits}
         watchers = self._port.fleet.watchers(trio.current_time())
         for known in (self._port.fleet.own, *others):
             name = known.instance.id
-            rows[f"{_INSTANCE}{name}"] = told_instance_row(known, watches=name in watchers)
+            rows[f"{_INSTANCE}{name}"] = broadcast_instance_row(known, watches=name in watchers)
         return rows
 
-    def _marks(self, runner: RunnerId) -> int:
-        silent = _SILENT if runner in self._port.runners.silent else 0
-        return silent | (_SUSPECT if runner in self._port.runners.suspects else 0)
+    def _flags(self, runner: RunnerId) -> int:
+        unresponsive = _UNRESPONSIVE if runner in self._port.runners.unresponsive else 0
+        return unresponsive | (_SUSPECT if runner in self._port.runners.suspects else 0)
 
-    def _send_all(self, now_s: float, others: list[KnownInstance]) -> None:
-        """Send to each what it lacks."""
-        teller = self._keeper.lead()
-        self._send_parts(now_s, [(one, teller.parts_for(now_s, one.instance.id)) for one in others])
+    def _send_lacking(self, now_s: float, others: list[KnownInstance]) -> None:
+        """Send to each instance what it lacks."""
+        publisher = self._keeper.lead()
+        self._send_parts(
+            now_s, [(known, publisher.parts_for(now_s, known.instance.id)) for known in others]
+        )
 
     def _send_parts(
-        self, now_s: float, parts_by_instance: list[tuple[KnownInstance, list[NewsPart]]]
+        self, now_s: float, parts_by_instance: list[tuple[KnownInstance, list[UpdatePart]]]
     ) -> None:
-        """Send parts; what several instances lack alike is put together once."""
-        shape = self._news(now_s)
-        encoded_by_part: dict[NewsPart, bytes] = {}
+        """Send parts; one that several instances lack is encoded once."""
+        template = self._update_template(now_s)
+        encoded_by_part: dict[UpdatePart, bytes] = {}
         for known, parts in parts_by_instance:
             for part in parts:
                 data = encoded_by_part.get(part)
                 if data is None:
-                    data = encoded_by_part[part] = encode(part.fill(shape))
+                    data = encoded_by_part[part] = encode(part.fill(template))
                 self._port.send_encoded(known.instance.peer_address, data)
 
-    def _news(self, now_s: float) -> FleetNews:
-        """Give the news without their rows."""
-        teller = self._keeper.lead()
+    def _update_template(self, now_s: float) -> FleetNews:
+        """Return an update without rows."""
+        publisher = self._keeper.lead()
         version, holders = self._newest_configuration(now_s)
         return FleetNews(
             home=instance_row(self._port.fleet.own),
-            epoch=teller.epoch,
-            continued_epoch=teller.continued.epoch,
-            continued_version=teller.continued.version,
-            base=teller.rows.version,
-            upto=teller.rows.version,
-            latest=teller.rows.version,
+            epoch=publisher.epoch,
+            continued_epoch=publisher.continued.epoch,
+            continued_version=publisher.continued.version,
+            base=publisher.rows.version,
+            upto=publisher.rows.version,
+            latest=publisher.rows.version,
             rows=b"",
-            runners_revision=self._as_of.runners_revision,
-            runners_age_ms=_age_ms(now_s - self._as_of.runners_read_s),
-            evacuations_revision=self._as_of.evacuations_revision,
-            evacuations_age_ms=_age_ms(now_s - self._as_of.evacuations_read_s),
+            runners_revision=self._sources.runners_revision,
+            runners_age_ms=_age_ms(now_s - self._sources.runners_read_s),
+            evacuations_revision=self._sources.evacuations_revision,
+            evacuations_age_ms=_age_ms(now_s - self._sources.evacuations_read_s),
             config_version=version,
             config_holders=holders,
         )
 
     def _newest_configuration(self, now_s: float) -> tuple[int, list[InstanceId]]:
         version, holders = self._port.fleet.configuration_holders(now_s)
-        if len(holders) > MOST_HOLDERS:
-            holders = self.kernel.rng.sample(holders, MOST_HOLDERS)
+        if len(holders) > MAX_HOLDERS:
+            holders = self.kernel.rng.sample(holders, MAX_HOLDERS)
         return version, holders
 
-    def _tell_loads(self, others: list[KnownInstance]) -> None:
-        rows = self.loads()
+    def _send_loads(self, others: list[KnownInstance]) -> None:
+        rows = self.load_rows()
         if not rows:
             return
         begin = self._next_load % len(rows)
-        some = (rows[begin:] + rows[:begin])[:MOST_LOADS]
-        self._next_load = begin + len(some)
-        data = encode(FleetLoads(self._port.fleet.own.instance.id, some))
+        selected = (rows[begin:] + rows[:begin])[:MAX_LOADS]
+        self._next_load = begin + len(selected)
+        data = encode(FleetLoads(self._port.fleet.own.instance.id, selected))
         for known in others:
             self._port.send_encoded(known.instance.peer_address, data)
 
-    def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
-        teller = self._keeper.teller
-        if teller is None or not self._port.is_home():
+    def _on_report(self, instance: InstanceId, report: InstanceReport) -> None:
+        publisher = self._keeper.publisher
+        if publisher is None or not self._port.is_home():
             return
         now_s = trio.current_time()
-        held, missed = _held_of(report.held)
-        teller.note_held(instance, held, missed=missed)
-        if teller.lags(now_s, instance):
-            known = self._port.fleet.record(instance)
+        held, missed = _parse_held(report.held)
+        publisher.record_held(instance, held, missed=missed)
+        if publisher.is_behind(now_s, instance):
+            known = self._port.fleet.last_known(instance)
             if known is not None:
-                self._send_all(now_s, [known])
+                self._send_lacking(now_s, [known])
 
-    def _take(self, news: Message, sender: tuple[str, int]) -> None:
+    def _on_update(self, update: Message, sender: tuple[str, int]) -> None:
         now_s = trio.current_time()
-        home = instance_of(news.home)
-        self._port.fleet.met(now_s, home)
+        home = instance_from_row(update.home)
+        self._port.fleet.record_home(now_s, home)
         if self._port.fleet.home(now_s) != home.instance.id:
             return
-        holders = [InstanceId(str(one)) for one in news.config_holders]
-        self._port.fleet.told_configuration(news.config_version, holders)
-        taken = self._keeper.follow().take(news)
-        if taken is Taken.GAP:
-            self._miss(now_s, home.instance.id, news)
-        elif taken is Taken.WHOLE:
-            self._missed_s = None
-            self._use(now_s, home.instance.id, news)
-
-    def _miss(self, now_s: float, home: InstanceId, news: FleetNews) -> None:
-        """Ask for what was lost, at once the first time; of a burst one part tells enough."""
+        holders = [InstanceId(str(one)) for one in update.config_holders]
+        self._port.fleet.record_newest_config(update.config_version, holders)
+        result = self._keeper.follow().apply(update)
+        if result is ApplyResult.GAP:
+            self._on_gap(now_s, home.instance.id, update)
+        elif result is ApplyResult.WHOLE:
+            self._gap_requested_s = None
+            self._apply(now_s, home.instance.id, update)
+
+    def _on_gap(self, now_s: float, home: InstanceId, update: FleetNews) -> None:
+        """Request what was lost: at once the first time, and only once for a burst of updates."""
         self._gaps.inc()
-        if self._missed_s is None:
-            log(Event.NEWS_GAP, home=home, base=news.base, latest=news.latest)
-        if self._missed_s is None or now_s - self._missed_s >= ASK_AGAIN_S:
-            self._missed_s = now_s
-            self._port.tell_soon()
-
-    def _use(self, now_s: float, home: InstanceId, news: FleetNews) -> None:
-        """Put the rows to use, which are all that the home has told."""
+        if self._gap_requested_s is None:
+            log(Event.NEWS_GAP, home=home, base=update.base, latest=update.latest)
+        if self._gap_requested_s is None or now_s - self._gap_requested_s >= REREQUEST_INTERVAL_S:
+            self._gap_requested_s = now_s
+            self._port.report_soon()
+
+    def _apply(self, now_s: float, home: InstanceId, update: FleetNews) -> None:
+        """Put the rows to use, which are all rows that the home has sent."""
         changed_keys = self._keeper.follow().pop_changed()
         kinds = {key[0] for key in changed_keys}
         if _INSTANCE in kinds:
-            self._port.fleet.told(now_s, home, [instance_of(row) for row in self._of(_INSTANCE)])
+            self._port.fleet.record_live_instances(
+                now_s, home, [instance_from_row(row) for row in self._rows_of_kind(_INSTANCE)]
+            )
         else:
-            self._port.fleet.still_told(now_s, home)
-        self._use_crashes(now_s, changed_keys)
+            self._port.fleet.record_home_alive(now_s, home)
+        self._apply_crash_records(now_s, changed_keys)
         if _LIMIT in kinds or self._port.limits.limited():
-            self._port.take_limits(self._told_limits())
-        self._use_evacuations(now_s, news, _ZONE in kinds)
-        read_s = now_s - news.runners_age_ms / 1000
+            self._port.apply_limits(self._received_limits())
+        self._apply_evacuations(now_s, update, _ZONE in kinds)
+        read_s = now_s - update.runners_age_ms / 1000
         table = self._port.runners
         changed = _RUNNER in kinds or table.revision != self._table_revision
-        if changed or table.misses_any():
-            self._take_runners(news.runners_revision, read_s)
+        if changed or table.has_missing():
+            self._apply_runners(update.runners_revision, read_s)
         else:
-            table.still_holds(news.runners_revision, read_s)
-        was_taken = table.revision == news.runners_revision
-        self._table_revision = table.revision if was_taken else None
+            table.record_unchanged(update.runners_revision, read_s)
+        was_applied = table.revision == update.runners_revision
+        self._table_revision = table.revision if was_applied else None
 
-    def _use_crashes(self, now_s: float, changed_keys: set[str]) -> None:
-        """Take the changed records; one that the home has forgotten is forgotten here in time."""
+    def _apply_crash_records(self, now_s: float, changed_keys: set[str]) -> None:
+        """Apply the changed records; those that the home has dropped expire here by themselves."""
         keys = [key for key in changed_keys if key[0] == _CRASH]
         rows = self._keeper.follow().rows.rows() if keys else {}
         for key in keys:
             if key in rows:
                 content = ContentId(key[1:])
-                self._port.take_crash_record(now_s, content, record_of(rows[key]))
+                self._port.apply_crash_record(now_s, content, record_from_row(rows[key]))
 
-    def _use_evacuations(self, now_s: float, news: FleetNews, changed: bool) -> None:
-        # Under another home the rows may be the same as this instance told when it was home itself.
-        if changed or news.epoch != self._told_epoch:
-            self._told_epoch = news.epoch
+    def _apply_evacuations(self, now_s: float, update: FleetNews, changed: bool) -> None:
+        # Under another home the rows may be the same that this instance sent as the home itself.
+        if changed or update.epoch != self._received_epoch:
+            self._received_epoch = update.epoch
             rows = self._keeper.follow().rows.rows()
-            self._told_zones = frozenset(ZoneName(key[1:]) for key in rows if key[0] == _ZONE)
-        read_s = now_s - news.evacuations_age_ms / 1000
-        self._port.take_evacuations(self._told_zones, news.evacuations_revision, read_s)
+            self._received_zones = frozenset(ZoneName(key[1:]) for key in rows if key[0] == _ZONE)
+        read_s = now_s - update.evacuations_age_ms / 1000
+        self._port.apply_evacuations(self._received_zones, update.evacuations_revision, read_s)
 
-    def _told_limits(self) -> dict[RunnerId, float]:
+    def _received_limits(self) -> dict[RunnerId, float]:
         rows = self._keeper.follow().rows.rows().items()
-        return {RunnerId(key[1:]): _limit_of(row) for key, row in rows if key[0] == _LIMIT}
+        return {RunnerId(key[1:]): _parse_limit_row(row) for key, row in rows if key[0] == _LIMIT}
 
-    def _of(self, kind: str) -> list[list]:
+    def _rows_of_kind(self, kind: str) -> list[list]:
         return [row for key, row in self._keeper.follow().rows.rows().items() if key[0] == kind]
 
-    def _take_runners(self, revision: int, read_s: float) -> None:
+    def _apply_runners(self, revision: int, read_s: float) -> None:
         table = self._port.runners
-        rows = self._of(_RUNNER)
-        listed = [runner_of(row[:-1]) for row in rows]
-        marks_by_id = {one.id: _marks_of(row) for one, row in zip(listed, rows, strict=True)}
-        self._port.take_runners(listed, revision, read_s, by_home=True)
-        table.silent = frozenset(one for one, it in marks_by_id.items() if it & _SILENT)
-        table.suspects = frozenset(one for one, it in marks_by_id.items() if it & _SUSPECT)
+        rows = self._rows_of_kind(_RUNNER)
+        listed = [runner_from_row(row[:-1]) for row in rows]
+        flags_by_id = {one.id: _parse_flags(row) for one, row in zip(listed, rows, strict=True)}
+        self._port.apply_runner_list(listed, revision, read_s, from_home=True)
+        table.unresponsive = frozenset(
+            name for name, flags in flags_by_id.items() if flags & _UNRESPONSIVE
+        )
+        table.suspects = frozenset(name for name, flags in flags_by_id.items() if flags & _SUSPECT)
 
 
 def _age_ms(age_s: float) -> int:
     return round(min(age_s, MAX_AGE_S) * 1000)
 
 
-def _marks_of(row: list) -> int:
-    """Read the marks at the end of a runner's row. Raises MessageError."""
+def _parse_flags(row: list) -> int:
+    """Parse the flags at the end of a runner's row. Raises MessageError."""
     if not isinstance(row[-1], int):
-        raise MessageError("a runner without marks")
+        raise MessageError("a runner row has no flags")
     return row[-1]
 
 
-def _limit_of(row: list) -> float:
-    """Read the row of a runner's limit. Raises MessageError."""
+def _parse_limit_row(row: list) -> float:
+    """Parse the row of a runner's limit. Raises MessageError."""
     if len(row) != 1:
-        raise MessageError("a limit that is no rate")
+        raise MessageError("a limit row has not exactly one rate")
     return checked_limit(row[0])
 
 
-def _held_of(row: list) -> tuple[HeldNews, bool]:
-    """Read what a report tells of the news that its sender holds. Raises MessageError."""
+def _parse_held(row: list) -> tuple[HeldVersion, bool]:
+    """Parse which of the home's updates a report's sender holds. Raises MessageError."""
     try:
         epoch, version, missed = row
-        return HeldNews(int(epoch), int(version)), bool(missed)
+        return HeldVersion(int(epoch), int(version)), bool(missed)
     except (TypeError, ValueError) as error:
-        raise MessageError(f"not a version of news: {error}") from error
+        raise MessageError(f"invalid version of updates: {error}") from error
--- a/egretstack/services/fleet_port.py
+++ b/egretstack/services/fleet_port.py
@@ -1,4 +1,4 @@
-"""Datagrams between instances: reports of who lives and what runs there, and what others send."""
+"""Datagrams between instances: reports of live instances and their runs, and other messages."""
 
 import socket
 from collections.abc import Callable, Iterable, Mapping
@@ -15,7 +15,7 @@
     Evacuations,
     Fleet,
     FleetView,
-    HeldNews,
+    HeldVersion,
     Instance,
     InstanceReport,
     InstanceState,
@@ -24,32 +24,34 @@
     RunnerLimits,
     RunnerState,
     RunnerTable,
-    StoreSight,
-    instance_of,
+    StoreReachability,
+    instance_from_row,
     instance_row,
-    rows_of,
+    parse_rows,
 )
 from egretstack.ids import ContentId, InstanceId, RunnerId, ZoneName
 from egretstack.kernel import Kernel, Service
 from egretstack.messages import Message, MessageError, decode, encode
 from egretstack.platform import NodeSettings
 
-MOST_GREETED = 4
-"""Instances that a newcomer tells of itself beside the one that it takes for the home. Any of them
-points to the home; were all of a list greeted, instances that start together would send each other
-as many datagrams as the square of their number."""
-MOST_LEAVING = 64
-"""Leaving runners in one report, some 20 bytes each; the latest to leave."""
+MAX_ANNOUNCEMENTS = 4
+"""Number of instances to which a new instance announces itself, besides the one that it believes to
+be the home. Any of them points it to the home. If it announced itself to all of a list, instances
+that start together would send each other a number of datagrams that grows with the square of their
+number."""
+MAX_LEAVING_REPORTED = 64
+"""Limit on the leaving runners in one report, some 20 bytes each; the latest to leave are
+reported."""
 MAX_DATAGRAM_BYTES = 65_000
 INCARNATION_BITS = 53
-IDLE_LOOK_S = 0.25
-"""How often an instance that is not the home looks whether it has become it: a report's period.
-Loops that look more often wake idle processes up for nothing."""
+IDLE_POLL_INTERVAL_S = 0.25
+"""How often an instance that is not the home checks whether it has become the home: the period of
+the reports. Loops that check more often wake idle processes up for nothing."""
 Handler = Callable[[Message, tuple[str, int]], None]
 
 
 class FleetPort(Service):
-    """Tells peers of this instance and learns of them; the views that others read are here."""
+    """Exchanges reports with peers, and holds the views of the fleet that other services read."""
 
     name = "fleet_port"
 
@@ -64,68 +66,70 @@
             strength=round(log2(max(1.0, node.link_mbps))),
         )
         incarnation = kernel.rng.getrandbits(INCARNATION_BITS)
-        known = KnownInstance(own, incarnation, InstanceState.STARTING, StoreSight.UNKNOWN, 0)
+        known = KnownInstance(
+            own, incarnation, InstanceState.STARTING, StoreReachability.UNKNOWN, 0
+        )
         self.fleet = Fleet(known, trio.current_time())
         self.runners = RunnerTable()
         self.evacuations = Evacuations()
         self.crashes = CrashTable()
         self.limits = RunnerLimits()
-        self.runs: Callable[[], list] = list
-        """Gives the rows of the runs of this instance."""
-        self.held: Callable[[], HeldNews] = HeldNews
-        """Gives what this instance holds of the home's news."""
-        self.missed: Callable[[], bool] = bool
-        """Tells whether some of it was lost."""
-        self.answers: Callable[[], list] = list
-        """Gives the rows of what plain runners made of the calls of this instance."""
-        self.strikes: Callable[[], list] = list
-        """Gives the rows of the runners that ended while they ran requests of this instance."""
-        self.clears: Callable[[], list] = list
-        """Gives the rows of the requests that were answered since."""
-        self.tell_now = trio.Event()
+        self.run_rows: Callable[[], list] = list
+        """Returns the rows of the runs of this instance."""
+        self.held_updates: Callable[[], HeldVersion] = HeldVersion
+        """Returns the epoch and version of the home's updates that this instance holds."""
+        self.misses_updates: Callable[[], bool] = bool
+        """Returns whether some of the updates were lost."""
+        self.answer_count_rows: Callable[[], list] = list
+        """Returns the rows of the counts of plain runners' answers to calls of this instance."""
+        self.strike_rows: Callable[[], list] = list
+        """Returns the rows of the runners that ended while they ran requests of this instance."""
+        self.clear_rows: Callable[[], list] = list
+        """Returns the rows of the requests that were answered since."""
+        self.report_now = trio.Event()
         self._handler_by_kind: dict[type[Message], Handler] = {
-            InstanceReport: self._take_report,
-            FleetView: self._take_view,
+            InstanceReport: self._on_report,
+            FleetView: self._on_view,
         }
-        self._tellers: list[Callable[[], None]] = []
-        self._crash_takers: list[Callable[[], None]] = []
-        self._gone_takers: list[Callable[[Runner], None]] = []
-        self._report_takers: list[Callable[[InstanceId, InstanceReport], None]] = []
-        self._raw = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._raw.setblocking(False)
+        self._report_sent_listeners: list[Callable[[], None]] = []
+        self._crash_listeners: list[Callable[[], None]] = []
+        self._runner_end_listeners: list[Callable[[Runner], None]] = []
+        self._report_listeners: list[Callable[[InstanceId, InstanceReport], None]] = []
+        self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self._socket.setblocking(False)
 
     def handle(self, kind: type[Message], handler: Handler) -> None:
-        """Let `handler` take messages of a kind."""
+        """Register the handler of a kind of message."""
         self._handler_by_kind[kind] = handler
 
-    def on_tell(self, teller: Callable[[], None]) -> None:
-        """Let `teller` send what it has to tell, each time this instance has reported."""
-        self._tellers.append(teller)
+    def on_report_sent(self, listener: Callable[[], None]) -> None:
+        """Call `listener` each time this instance has sent its report."""
+        self._report_sent_listeners.append(listener)
 
-    def on_report(self, taker: Callable[[InstanceId, InstanceReport], None]) -> None:
-        """Let `taker` see what an instance reports."""
-        self._report_takers.append(taker)
+    def on_report_received(self, listener: Callable[[InstanceId, InstanceReport], None]) -> None:
+        """Call `listener` with each report of another instance."""
+        self._report_listeners.append(listener)
 
-    def describe(self, **changes: object) -> None:
-        """Change what this instance tells of itself."""
+    def update_own(self, **changes: object) -> None:
+        """Change fields of the record that this instance reports about itself."""
         self.fleet.own = replace(self.fleet.own, **changes)
 
     def is_home(self) -> bool:
-        """Tell whether this instance is the home."""
+        """Return whether this instance is the home."""
         return self.fleet.is_home(trio.current_time())
 
     def home_address(self) -> str | None:
-        """Give where the home hears; None if this instance is the home."""
+        """Return the address of the home; None if this instance is the home."""
         home = self.fleet.home(trio.current_time())
         return self.address_of(home)
 
     def address_of(self, instance: InstanceId) -> str | None:
-        """Give where an instance hears; None for this one or one that is not known."""
+        """Return the address of an instance; None for this one or an unknown one."""
         found = self.fleet.find(instance)
         return None if found is None else found.peer_address
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message; it may be lost, as any datagram may."""
+        """Send a message; like any datagram it may be lost."""
         data = encode(message)
         if len(data) > MAX_DATAGRAM_BYTES:
             log(Event.DATAGRAM_TOO_LARGE, kind=type(message).__name__, size=len(data))
@@ -133,87 +137,91 @@
         self.send_encoded(address, data)
 
     def send_encoded(self, address: str, data: bytes) -> None:
-        """Send an encoded message, which may go to many."""
+        """Send an encoded message; used for messages that go to many instances."""
         host, _, port = address.rpartition(":")
         try:
-            self._raw.sendto(data, (host, int(port)))
+            self._socket.sendto(data, (host, int(port)))
         except OSError as error:
             log(Event.DATAGRAM_UNSENT, to=address, error=str(error))
 
-    def tell_soon(self) -> None:
-        """Report, and tell as the home, without waiting for the period's end."""
-        self.tell_now.set()
+    def report_soon(self) -> None:
+        """Send the report, and as the home the updates, without waiting for the period to end."""
+        self.report_now.set()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Send and receive."""
+        """Send and receive until cancelled."""
         node: NodeSettings = self.kernel.settings
-        with trio.socket.from_stdlib_socket(self._raw) as receiving:
+        with trio.socket.from_stdlib_socket(self._socket) as receiving:
             await receiving.bind((node.ip, node.first_peer_port))
             async with trio.open_nursery() as nursery:
-                self._greet_seeds()
+                self._announce_to_seeds()
                 nursery.start_soon(self._receive, receiving)
-                nursery.start_soon(self._tell)
+                nursery.start_soon(self._report_periodically)
                 task_status.started()
 
     async def farewell(self) -> None:
-        """Tell the others that this instance ends."""
-        self._report()
+        """Send a last report, which tells the others that this instance ends."""
+        self._send_report()
 
     def has_seeds(self) -> bool:
-        """Tell whether the settings name other instances."""
+        """Return whether the settings name other instances."""
         own_ip = self.kernel.settings.ip
         return any(seed.rpartition(":")[0] != own_ip for seed in self.kernel.settings.seeds)
 
-    def _greet_seeds(self) -> None:
-        """Report to the seeds, again in each period until anybody is heard: they start as late."""
+    def _announce_to_seeds(self) -> None:
+        """Report to the seeds.
+
+        This is repeated in each period until a report of another instance arrives, since the seeds
+        may start at the same time.
+        """
         node: NodeSettings = self.kernel.settings
         for seed in node.seeds:
             host = seed.rpartition(":")[0]
             if host != node.ip:
                 self.send(f"{host}:{node.first_peer_port}", self._own_report())
 
-    def greet_some(self) -> None:
-        """Report to a few instances that are not heard; one of them knows the home."""
-        unheard = self.fleet.unheard(trio.current_time())
-        some = self.kernel.rng.sample(unheard, min(MOST_GREETED, len(unheard)))
-        self._greet_all(some)
+    def announce_to_some(self) -> None:
+        """Report to a few instances that do not report here; one of them knows the home."""
+        unheard = self.fleet.not_live(trio.current_time())
+        chosen = self.kernel.rng.sample(unheard, min(MAX_ANNOUNCEMENTS, len(unheard)))
+        self._announce_to(chosen)
 
-    def greet_unheard(self) -> None:
-        """Report to all instances that are not heard, as the home: they follow another one."""
-        self._greet_all(self.fleet.unheard(trio.current_time()))
+    def announce_to_all(self) -> None:
+        """Report, as the home, to all instances that do not report here but to another home."""
+        self._announce_to(self.fleet.not_live(trio.current_time()))
 
-    def _greet_all(self, instances: list[Instance]) -> None:
+    def _announce_to(self, instances: list[Instance]) -> None:
         report = self._own_report()
         for instance in instances:
             self.send(instance.peer_address, report)
 
-    async def _tell(self) -> None:
+    async def _report_periodically(self) -> None:
         while True:
             with trio.move_on_after(REPORT_PERIOD_S):
-                await self.tell_now.wait()
-            self.tell_now = trio.Event()
-            self._report()
+                await self.report_now.wait()
+            self.report_now = trio.Event()
+            self._send_report()
             if len(self.fleet.live(trio.current_time())) == 1:
-                self._greet_seeds()
-            for teller in self._tellers:
-                teller()
+                self._announce_to_seeds()
+            for listener in self._report_sent_listeners:
+                listener()
 
-    def _report(self) -> None:
+    def _send_report(self) -> None:
         report = self._own_report()
         for target in self.fleet.report_targets(trio.current_time()):
             self.send(target.peer_address, report)
 
     def _own_report(self) -> InstanceReport:
         home = self.fleet.home(trio.current_time())
-        held = self.held()
+        held = self.held_updates()
         return InstanceReport(
             instance_row(self.fleet.own),
             home,
-            [held.epoch, held.version, self.missed()],
-            self.runs(),
-            self.answers(),
-            self.strikes(),
-            self.clears(),
+            [held.epoch, held.version, self.misses_updates()],
+            self.run_rows(),
+            self.answer_count_rows(),
+            self.strike_rows(),
+            self.clear_rows(),
             self.leaving(),
             self.limits.rows(trio.current_time()),
         )
@@ -229,157 +237,158 @@
                 message = decode(msgpack.unpackb(data))
                 handler = self._handler_by_kind.get(type(message))
                 if handler is None:
-                    raise MessageError(f"no answer to {type(message).__name__}")
+                    raise MessageError(f"no handler for {type(message).__name__}")
                 handler(message, sender)
             except (ValueError, msgpack.UnpackException, MessageError) as error:
                 log(Event.PEER_REFUSED, sender=sender[0], error=str(error))
 
-    def _take_report(self, report: InstanceReport, sender: tuple[str, int]) -> None:
-        known = instance_of(report.sender)
+    def _on_report(self, report: InstanceReport, sender: tuple[str, int]) -> None:
+        known = instance_from_row(report.sender)
         now_s = trio.current_time()
-        self.fleet.heard(now_s, known)
-        for taker in self._report_takers:
-            taker(known.instance.id, report)
+        self.fleet.record_report(now_s, known)
+        for listener in self._report_listeners:
+            listener(known.instance.id, report)
         home = self.fleet.home(now_s)
         if home not in (report.home, self.fleet.own.instance.id):
             rows = [instance_row(one) for one in self.fleet.live(now_s) if one.instance.id == home]
             self.send(known.instance.peer_address, FleetView(rows))
 
-    def _take_view(self, view: FleetView, sender: tuple[str, int]) -> None:
+    def _on_view(self, view: FleetView, sender: tuple[str, int]) -> None:
         now_s = trio.current_time()
         before = self.fleet.home(now_s)
-        self.fleet.pointed(now_s, rows_of(view.instances, instance_of))
+        self.fleet.record_referral(now_s, parse_rows(view.instances, instance_from_row))
         if self.fleet.home(now_s) != before:
-            self.tell_soon()
+            self.report_soon()
 
-    def take_runners(
-        self, runners: list, revision: int, read_s: float, *, by_home: bool = False
+    def apply_runner_list(
+        self, runners: list, revision: int, read_s: float, *, from_home: bool = False
     ) -> None:
-        """Take a reading of the list of runners, by this instance or by the home."""
+        """Apply a reading of the list of runners, made by this instance or by the home."""
         now_s = trio.current_time()
-        stopped = self.runners.take(now_s, runners, revision, read_s, by_home=by_home)
+        stopped = self.runners.apply_reading(now_s, runners, revision, read_s, from_home=from_home)
         for runner in stopped:
             log(Event.RUNNER_LEAVES, runner=runner.id, service=runner.service, revision=revision)
-        self._tell_gone(stopped)
+        self._notify_ended(stopped)
         if stopped and self.is_home():
-            self.tell_soon()
+            self.report_soon()
 
-    def take_evacuations(self, zones: frozenset[ZoneName], revision: int, read_s: float) -> None:
-        """Take a reading of the evacuated zones, by this instance or by the home."""
-        change = self.evacuations.take(zones, revision, read_s)
+    def apply_evacuations(self, zones: frozenset[ZoneName], revision: int, read_s: float) -> None:
+        """Apply a reading of the evacuated zones, made by this instance or by the home."""
+        change = self.evacuations.apply_reading(zones, revision, read_s)
         if change is None:
             return
         now_s = trio.current_time()
-        self.runners.evacuate(now_s, self.evacuations.zones)
+        self.runners.set_evacuated(now_s, self.evacuations.zones)
         age_ms = round(self.evacuations.age_s(now_s) * 1000)
         for zone in sorted(change.begun):
             log(Event.ZONE_EVACUATED, zone=zone, revision=revision, age_ms=age_ms)
         for zone in sorted(change.ended):
             log(Event.ZONE_BACK, zone=zone, revision=revision, age_ms=age_ms)
         if self.is_home():
-            self.tell_soon()
+            self.report_soon()
 
     def leaving(self) -> list[RunnerId]:
-        """Give the runners that leave, for a report: the next home may know of none."""
-        return self.runners.leaving()[-MOST_LEAVING:]
+        """Return the leaving runners for a report, since the next home may know of none."""
+        return self.runners.leaving()[-MAX_LEAVING_REPORTED:]
 
-    def take_limits(self, per_s_by_id: Mapping[RunnerId, float]) -> None:
-        """Take all limits of runners that the home knows of."""
-        for runner in self.limits.told_all(trio.current_time(), per_s_by_id):
-            self._limit_changed(runner)
+    def apply_limits(self, per_s_by_id: Mapping[RunnerId, float]) -> None:
+        """Apply all limits of runners that the home knows."""
+        for runner in self.limits.apply_home_limits(trio.current_time(), per_s_by_id):
+            self._on_limit_changed(runner)
 
-    def hear_limit(self, runner: RunnerId, per_s: float | None, sent_s: float) -> None:
-        """Take what an answer to a request sent at `sent_s` says of a runner's limit."""
-        if self.limits.heard(trio.current_time(), runner, per_s, sent_s):
-            self._limit_changed(runner)
+    def record_runner_limit(self, runner: RunnerId, per_s: float | None, sent_s: float) -> None:
+        """Record the limit of a runner from its answer to a request sent at `sent_s`."""
+        if self.limits.record_answer(trio.current_time(), runner, per_s, sent_s):
+            self._on_limit_changed(runner)
 
-    def take_limit(self, runner: RunnerId, per_s: float | None, age_s: float) -> None:
-        """Take another instance's word of what a runner said of its limit."""
+    def record_peer_limit(self, runner: RunnerId, per_s: float | None, age_s: float) -> None:
+        """Record the limit of a runner that another instance has received from it."""
         now_s = trio.current_time()
-        if self.limits.told(now_s, runner, per_s, now_s - age_s):
-            self._limit_changed(runner)
+        if self.limits.record_reported(now_s, runner, per_s, now_s - age_s):
+            self._on_limit_changed(runner)
 
-    def _limit_changed(self, runner: RunnerId) -> None:
+    def _on_limit_changed(self, runner: RunnerId) -> None:
         per_s = self.limits.per_s(runner)
         if per_s is None:
             log(Event.RUNNER_UNLIMITED, runner=runner)
         else:
             log(Event.RUNNER_LIMITED, runner=runner, per_s=per_s)
-        self.tell_soon()
+        self.report_soon()
 
-    def take_crash_record(self, now_s: float, content: ContentId, record: CrashRecord) -> None:
-        """Take what the home or the store knows of a request under which runners ended."""
-        refused = self.crashes.refuses(content)
-        if self.crashes.take(now_s, content, record):
-            self._crashes_changed(content, was_refused=refused)
+    def apply_crash_record(self, now_s: float, content: ContentId, record: CrashRecord) -> None:
+        """Apply the home's or the store's record of a request under which runners ended."""
+        refused = self.crashes.is_refused(content)
+        if self.crashes.merge_record(now_s, content, record):
+            self._on_crash_record_changed(content, was_refused=refused)
 
-    def strike(self, now_s: float, content: ContentId, strike: Strike) -> bool:
-        """Note that a runner ended while it ran a request of this instance, or of another one.
+    def record_strike(self, now_s: float, content: ContentId, strike: Strike) -> bool:
+        """Record that a runner ended while it ran a request of this or another instance.
 
-        Tells whether that is news.
+        Returns whether the strike was not known before.
         """
-        refused = self.crashes.refuses(content)
-        changed = self.crashes.strike(now_s, content, strike)
+        refused = self.crashes.is_refused(content)
+        changed = self.crashes.record_strike(now_s, content, strike)
         if changed:
-            self._crashes_changed(content, was_refused=refused)
+            self._on_crash_record_changed(content, was_refused=refused)
         return changed
 
-    def take_clear(self, now_s: float, content: ContentId, cleared_round: int) -> None:
-        """Take it that a runner answered a request of another instance."""
-        refused = self.crashes.refuses(content)
-        if self.crashes.take_clear(now_s, content, cleared_round):
-            self._crashes_changed(content, was_refused=refused)
+    def apply_clear(self, now_s: float, content: ContentId, cleared_round: int) -> None:
+        """Apply another instance's report that a runner answered a request."""
+        refused = self.crashes.is_refused(content)
+        if self.crashes.merge_clear(now_s, content, cleared_round):
+            self._on_crash_record_changed(content, was_refused=refused)
 
-    def clear(self, now_s: float, content: ContentId) -> int | None:
-        """Note that a request was answered, or let free; give the round that begins, if any."""
-        refused = self.crashes.refuses(content)
+    def record_clear(self, now_s: float, content: ContentId) -> int | None:
+        """Record that a request was answered or allowed again; return the round that begins, if
+        any."""
+        refused = self.crashes.is_refused(content)
         cleared_round = self.crashes.clear(now_s, content)
         if cleared_round is not None:
-            self._crashes_changed(content, was_refused=refused)
+            self._on_crash_record_changed(content, was_refused=refused)
         return cleared_round
 
-    def on_crash_record(self, taker: Callable[[], None]) -> None:
-        """Let `taker` know when a record of a request under which runners ended has changed."""
-        self._crash_takers.append(taker)
+    def on_crash_record_change(self, listener: Callable[[], None]) -> None:
+        """Call `listener` when the record of a request under which runners ended has changed."""
+        self._crash_listeners.append(listener)
 
-    def _crashes_changed(self, content: ContentId, *, was_refused: bool) -> None:
-        refuses = self.crashes.refuses(content)
+    def _on_crash_record_changed(self, content: ContentId, *, was_refused: bool) -> None:
+        refuses = self.crashes.is_refused(content)
         if refuses != was_refused:
             event = Event.CONTENT_REFUSED if refuses else Event.CONTENT_CLEARED
             record = self.crashes.record(content)
             log(event, content=content, runners=",".join(record.weight_by_runner))
-        for taker in self._crash_takers:
-            taker()
+        for listener in self._crash_listeners:
+            listener()
         if self.is_home():
-            self.tell_soon()
+            self.report_soon()
 
-    def runner_born(self, runner: RunnerId, born_ms: int) -> None:
-        """Take a runner's own word of when it started."""
-        gone = self.runners.started(runner, born_ms)
-        if gone is None:
+    def record_runner_start(self, runner: RunnerId, started_ms: int) -> None:
+        """Record the start time that a runner reports of itself."""
+        ended = self.runners.record_start(runner, started_ms)
+        if ended is None:
             return
-        log(Event.RUNNER_STARTED_AGAIN, runner=runner, born_ms=born_ms)
-        self._tell_gone([gone])
-        self.tell_soon()
+        log(Event.RUNNER_STARTED_AGAIN, runner=runner, born_ms=started_ms)
+        self._notify_ended([ended])
+        self.report_soon()
 
-    def runner_back(self, runner: RunnerId) -> None:
-        """Take it that a runner whose entry came back answers for itself."""
-        if self.runners.confirm(runner):
+    def confirm_runner(self, runner: RunnerId) -> None:
+        """Record that a runner whose entry came back answers under its own name."""
+        if self.runners.confirm_alive(runner):
             log(Event.RUNNER_BACK, runner=runner, revision=self.runners.revision)
-            self.tell_soon()
+            self.report_soon()
 
-    def on_gone(self, taker: Callable[[Runner], None]) -> None:
-        """Let `taker` see each start of a runner that has surely ended."""
-        self._gone_takers.append(taker)
+    def on_runner_ended(self, listener: Callable[[Runner], None]) -> None:
+        """Call `listener` with each incarnation of a runner that has certainly ended."""
+        self._runner_end_listeners.append(listener)
 
-    def _tell_gone(self, stopped: Iterable[Runner]) -> None:
+    def _notify_ended(self, stopped: Iterable[Runner]) -> None:
         for runner in stopped:
             if runner.state is RunnerState.GONE:
-                for taker in self._gone_takers:
-                    taker(runner)
+                for listener in self._runner_end_listeners:
+                    listener(runner)
 
-    def notice(self, runner: RunnerId) -> None:
-        """Take a runner's own word that it leaves."""
-        if self.runners.notice(trio.current_time(), runner):
+    def record_leaving(self, runner: RunnerId) -> None:
+        """Record that a runner itself said that it leaves."""
+        if self.runners.record_leaving(trio.current_time(), runner):
             log(Event.RUNNER_LEAVES, runner=runner, by="itself")
-            self.tell_soon()
+            self.report_soon()
--- a/egretstack/services/limits.py
+++ b/egretstack/services/limits.py
@@ -1,4 +1,4 @@
-"""Asks the homes of the accounts served here for slices, and is a home itself."""
+"""Requests slices of accounts' limits from their limits homes, and is a limits home itself."""
 
 import trio
 
@@ -8,15 +8,15 @@
 from egretstack.ids import AccountId, InstanceId
 from egretstack.kernel import Kernel, Service
 from egretstack.limits import (
-    ASK_TIMEOUT_S,
-    BEAT_S,
-    READY_WAIT_S,
-    EntrySide,
-    HomeAsk,
-    Homes,
-    HomeSide,
+    MAX_READY_WAIT_S,
+    QUERY_TIMEOUT_S,
+    TICK_INTERVAL_S,
+    EntryLimiter,
+    HomeLocator,
+    HomeQuery,
     LimitsAnswer,
     LimitsAsk,
+    LimitsHome,
 )
 from egretstack.objectapi import Member
 from egretstack.peers import Message, MessageError, Nothing, PeerGone, PeerRefused
@@ -25,7 +25,7 @@
 from egretstack.services.peer_port import PeerPort
 
 PEER_PORT = "peer"
-_SERIALS_A_SECOND = 1000
+_SERIALS_PER_SECOND = 1000
 
 
 class Limits(Service):
@@ -38,45 +38,44 @@
         super().__init__(kernel)
         self._own = InstanceId(kernel.settings.text("instance", "id"))
         now_s = clock.now()
-        self._homes = Homes(now_s)
-        # A process that follows another on this instance starts above all its serials.
-        serial = int(kernel.epoch.now() * _SERIALS_A_SECOND)
-        self.entry = EntrySide(self._own, self._homes, now_s, serial)
-        self.home = HomeSide(self._own, self._homes, now_s)
+        self._homes = HomeLocator(now_s)
+        # A process that follows another on this instance starts above all of its serials.
+        serial = int(kernel.epoch.now() * _SERIALS_PER_SECOND)
+        self.entry = EntryLimiter(self._own, self._homes, now_s, serial)
+        self.home = LimitsHome(self._own, self._homes, now_s)
         self._wake = trio.Event()
         self._answered = trio.Event()
         self._waiters: set[object] = set()
         self._woken: set[object] = set()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Answer entries, and send the asks that are due."""
-        self.kernel.get(PeerPort).answer_peer(LimitsAsk, self._answer)
-        self.kernel.get(Membership).on_change(self._see)
-        self._see()
+        """Answer entries, and send the queries that are due."""
+        self.kernel.get(PeerPort).register_peer_handler(LimitsAsk, self._answer)
+        self.kernel.get(Membership).on_change(self._update_view)
+        self._update_view()
         async with trio.open_nursery() as nursery:
             task_status.started()
             while True:
-                self._beat(nursery)
-                with trio.move_on_after(BEAT_S):
+                self._send_due(nursery)
+                with trio.move_on_after(TICK_INTERVAL_S):
                     await self._wake.wait()
                 self._wake = trio.Event()
-                await self._let_woken_run()
+                await self._run_woken()
 
     async def ready(self, contract: Contract) -> None:
-        """Wait, at most READY_WAIT_S, while the account's home may let in one more request.
+        """Wait, at most MAX_READY_WAIT_S, while the limits home may let in one more request.
 
-        Call it right before `open`, which decides. A caller waits here only where this entry
-        holds too little of the account's limits and its home has not just said that no more is
-        left.
+        Call this right before `open`, which decides. A caller waits here only if this entry holds
+        too little of the account's limits and the home has not just reported that nothing is left.
         """
-        with trio.move_on_after(READY_WAIT_S) as scope:
+        with trio.move_on_after(MAX_READY_WAIT_S) as scope:
             while self.entry.should_wait(clock.now(), contract):
                 await self._wait(contract.account)
         if scope.cancelled_caught:
-            self.entry.unanswered(clock.now(), contract.account)
+            self.entry.on_wait_timeout(clock.now(), contract.account)
 
     def open(self, contract: Contract) -> None:
-        """Count a request in; raise EgretError."""
+        """Count a request in. Raises EgretError."""
         self.entry.open(clock.now(), contract)
 
     def close(self, account: AccountId) -> None:
@@ -86,12 +85,12 @@
     async def _wait(self, account: AccountId) -> None:
         waiter = object()
         self._waiters.add(waiter)
-        self.entry.wait(account, 1)
+        self.entry.count_waiting(account, 1)
         self._wake.set()
         try:
             await self._answered.wait()
         finally:
-            self.entry.wait(account, -1)
+            self.entry.count_waiting(account, -1)
             self._waiters.discard(waiter)
             self._woken.discard(waiter)
 
@@ -102,40 +101,42 @@
         self._answered = trio.Event()
         self._wake.set()
 
-    async def _let_woken_run(self) -> None:
-        # Requests that an answer has just let in run before the next ask; counted as waiting once
-        # more, they would take a second token, and others would be refused for it. Tasks that are
-        # ready run in any order, so one checkpoint is not enough.
+    async def _run_woken(self) -> None:
+        # Requests that an answer has just let in run before the next query. If they were counted as
+        # waiting once more, they would take a second token, and others would be refused for it.
+        # Tasks that are ready run in any order, so one checkpoint is not enough.
         while self._woken:
             await trio.lowlevel.checkpoint()
 
-    def _beat(self, nursery: trio.Nursery) -> None:
-        if self.home.beat(clock.now()):
+    def _send_due(self, nursery: trio.Nursery) -> None:
+        if self.home.tick(clock.now()):
             log(Event.LIMITS_HOME_THAWED)
-        for ask in self.entry.due(clock.now()):
-            nursery.start_soon(self._ask, ask)
+        for query in self.entry.due_queries(clock.now()):
+            nursery.start_soon(self._query, query)
 
-    async def _ask(self, ask: HomeAsk) -> None:
+    async def _query(self, query: HomeQuery) -> None:
         try:
-            answer = await self._reach(ask)
-            self.entry.answered(clock.now(), ask, answer)
+            answer = await self._query_home(query)
+            self.entry.on_answer(clock.now(), query, answer)
         except (PeerGone, PeerRefused, MessageError) as error:
-            log(Event.LIMITS_HOME_AWAY, home=ask.home, error=str(error))
-            self.entry.failed(clock.now(), ask)
+            log(Event.LIMITS_HOME_AWAY, home=query.home, error=str(error))
+            self.entry.on_failure(clock.now(), query)
         self._wake_waiters()
 
-    async def _reach(self, ask: HomeAsk) -> LimitsAnswer:
-        if ask.home == self._own:
-            return self._decide(self._own, ask.message)
-        member = self._live().get(ask.home)
+    async def _query_home(self, query: HomeQuery) -> LimitsAnswer:
+        if query.home == self._own:
+            return self._decide(self._own, query.message)
+        member = self._live().get(query.home)
         if member is None or PEER_PORT not in member.ports:
-            raise PeerGone("not listed")
+            raise PeerGone("the limits home is not listed with a peer port")
         port = member.ports[PEER_PORT]
-        with trio.move_on_after(ASK_TIMEOUT_S):
-            answer = await self.kernel.get(PeerPort).ask(ask.home, member.host, port, ask.message)
+        with trio.move_on_after(QUERY_TIMEOUT_S):
+            answer = await self.kernel.get(PeerPort).request(
+                query.home, member.host, port, query.message
+            )
             if isinstance(answer, LimitsAnswer):
                 return answer
-            raise PeerRefused("not an answer about limits")
+            raise PeerRefused("the answer is not a LimitsAnswer")
         raise PeerGone("no answer in time")
 
     async def _answer(self, sender: InstanceId, message: Message) -> Message:
@@ -145,18 +146,19 @@
             log(Event.PEER_REFUSED, error=str(error))
             return Nothing()
 
-    def _decide(self, sender: InstanceId, ask: LimitsAsk) -> LimitsAnswer:
+    def _decide(self, sender: InstanceId, query: LimitsAsk) -> LimitsAnswer:
         contracts = self.kernel.get(Configuration).state.contract_by_account
-        return self.home.answer(clock.now(), sender, ask, contracts)
+        return self.home.answer(clock.now(), sender, query, contracts)
 
-    def _see(self) -> None:
+    def _update_view(self) -> None:
         zone_by_id = {instance: member.zone for instance, member in self._live().items()}
-        self._homes.see(clock.now(), zone_by_id)
+        self._homes.update_view(clock.now(), zone_by_id)
         self._wake.set()
 
     def _live(self) -> dict[InstanceId, Member]:
-        """Give the live entries: the one place that asks who may be a home."""
+        """Return the live entries, which are the only candidates for limits homes."""
         membership = self.kernel.get(Membership)
-        # The last instance serves on while it leaves; without a home it would refuse everyone.
+        # The last instance serves on while it leaves; without a limits home it would refuse
+        # everyone.
         members = membership.live_members() or [membership.own_member]
         return {InstanceId(member.id): member for member in members}
--- a/egretstack/services/membership.py
+++ b/egretstack/services/membership.py
@@ -1,4 +1,4 @@
-"""Which instances of the system live, and which configuration revision each has applied."""
+"""Tracks which instances of the system are live, and the configuration revision of each."""
 
 import random
 from collections.abc import Callable
@@ -13,9 +13,9 @@
 from egretstack.membership import (
     ANSWER_TIMEOUT_S,
     TICK_S,
-    Ask,
     Heartbeat,
     HeartbeatAnswer,
+    HeartbeatRequest,
     InstanceState,
     InstanceView,
     MembershipState,
@@ -39,7 +39,7 @@
 
 
 class Membership(Service):
-    """Tells other services of the instances that live, of changes, and of peers' revisions."""
+    """Informs other services of the live instances, of changes, and of peers' revisions."""
 
     name = "membership"
     requires = ("instances", "peer_port")
@@ -55,40 +55,40 @@
             _own_member(kernel), trio.current_time(), kernel.epoch.now(), self._rng
         )
         self._listing = trio.Lock()
-        self._told_twins = 0
-        self._told_changes = -1
-        self._told_live: tuple[InstanceId, ...] = ()
-        self._told_states: dict[InstanceId, InstanceState] = {}
+        self._logged_duplicates = 0
+        self._published_changes = -1
+        self._published_live: tuple[InstanceId, ...] = ()
+        self._logged_states: dict[InstanceId, InstanceState] = {}
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Send heartbeats, answer them, and follow the list."""
-        await self.kernel.get(Instances).on_reading(self._take_reading)
+        await self.kernel.get(Instances).on_reading(self._on_reading)
         port = self.kernel.get(PeerPort)
-        port.answer_peer(Heartbeat, self._answer)
+        port.register_peer_handler(Heartbeat, self._answer)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._leave_when_draining)
             task_status.started()
             while True:
-                self._beat(nursery)
+                self._send_due(nursery)
                 await trio.sleep(TICK_S)
 
     async def farewell(self) -> None:
-        """Let the neighbours know that this instance is gone, so that none has to find it out."""
+        """Announce that this instance has ended, so that no neighbour has to detect it."""
         self._state.stop()
         async with trio.open_nursery() as nursery:
-            self._beat(nursery)
+            self._send_due(nursery)
 
     def live_instances(self) -> tuple[InstanceId, ...]:
-        """Give the ids of instances that take work, sorted; this one too unless it leaves.
+        """Return the sorted ids of the instances that accept requests.
 
-        A suspect instance is still among them, so that a lost heartbeat moves no home. Two
-        instances may differ in their answers for a few seconds, or as long as they are cut off
-        from each other; what is decided by it has to bear that.
+        This one is included unless it leaves. A suspect instance is still included, so that a lost
+        heartbeat moves no limits home. Two instances may return different ids for a few seconds, or
+        as long as they are cut off from each other; what is decided by them has to tolerate that.
         """
         return tuple(sorted(InstanceId(member.id) for member in self.live_members()))
 
     def live_members(self) -> list[Member]:
-        """Give addresses of the instances that take work, this one too unless it leaves."""
+        """Return the instances that accept requests, with this one unless it leaves."""
         live = [one for one in self._state.live(trio.current_time()) if one.id != self.own]
         if not self.kernel.draining.is_set():
             live.append(self._state.own_member)
@@ -96,15 +96,15 @@
 
     @property
     def own_member(self) -> Member:
-        """Give this instance's own address."""
+        """Return this instance's own address."""
         return self._state.own_member
 
     def views(self) -> dict[InstanceId, InstanceView]:
-        """Give every instance known, with its state."""
+        """Return every known instance with its state."""
         return self._state.views()
 
     def member(self, instance: InstanceId) -> Member | None:
-        """Give the address of an instance in any state, or None for an unknown one."""
+        """Return the address of an instance in any state, or None for an unknown one."""
         view = self._state.views().get(instance)
         return None if view is None else view.member
 
@@ -113,81 +113,81 @@
         self._listeners.append(listener)
 
     def on_peer_revision(self, listener: RevisionListener) -> None:
-        """Call `listener` when a heartbeat tells another applied revision of a neighbour.
+        """Call `listener` when a heartbeat reports a new applied revision of a neighbour.
 
-        The neighbour can be asked for what it has applied; see `member`.
+        The neighbour can be queried for what it has applied; see `member`.
         """
         self._revision_listeners.append(listener)
 
     def set_revision(self, revision: Revision) -> None:
-        """Let heartbeats carry this applied revision; the next ones go out at once."""
+        """Send this applied revision with the heartbeats; the next ones go out at once."""
         self._state.set_revision(revision)
 
-    def notice_runner(self, runner: RunnerId, leaving: bool, *, for_good: bool) -> None:
-        """Let every instance know that a runner leaves, or takes work again.
+    def publish_runner_notice(self, runner: RunnerId, leaving: bool, *, for_good: bool) -> None:
+        """Announce to every instance that a runner leaves, or accepts requests again.
 
-        A notice that is not for good ends after some minutes unless it is given again.
+        A notice that is not for good expires after some minutes unless it is given again.
         """
         log(Event.RUNNER_NOTICED, runner=runner, leaving=leaving)
-        self._state.notice(trio.current_time(), runner, leaving, for_good)
+        self._state.announce_runner(trio.current_time(), runner, leaving, for_good)
         self._publish()
 
-    def _beat(self, nursery: trio.Nursery) -> None:
-        for ask in self._state.tick(trio.current_time()):
-            nursery.start_soon(self._ask, ask)
-        if self._told_twins != self._state.twin_alarms:
-            self._told_twins = self._state.twin_alarms
+    def _send_due(self, nursery: trio.Nursery) -> None:
+        for heartbeat in self._state.tick(trio.current_time()):
+            nursery.start_soon(self._send_heartbeat, heartbeat)
+        if self._logged_duplicates != self._state.duplicate_alarms:
+            self._logged_duplicates = self._state.duplicate_alarms
             log(Event.INSTANCE_ID_TWICE, instance=self.own)
         if self._state.wants_list(trio.current_time()):
             self.kernel.get(Instances).read_soon()
         self._publish()
 
-    async def _ask(self, ask: Ask) -> None:
-        peer = InstanceId(ask.peer.id)
+    async def _send_heartbeat(self, heartbeat: HeartbeatRequest) -> None:
+        peer = InstanceId(heartbeat.peer.id)
         try:
-            answer = await self._send(ask)
-            self._state.answered(trio.current_time(), peer, answer)
+            answer = await self._send(heartbeat)
+            self._state.on_answer(trio.current_time(), peer, answer)
         except (PeerGone, PeerRefused, RowError):
-            self._state.missed(trio.current_time(), peer)
+            self._state.on_timeout(trio.current_time(), peer)
             return
-        self._hear_revision(peer, answer.revision)
+        self._record_revision(peer, answer.revision)
         self._publish()
 
-    async def _send(self, ask: Ask) -> HeartbeatAnswer:
-        port = ask.peer.ports.get(_port_name(self.kernel))
+    async def _send(self, heartbeat: HeartbeatRequest) -> HeartbeatAnswer:
+        port = heartbeat.peer.ports.get(_port_name(self.kernel))
         if port is None:
-            raise PeerGone("no peer port is listed")
-        answer = await self.kernel.get(PeerPort).ask(
-            InstanceId(ask.peer.id),
-            ask.peer.host,
+            raise PeerGone("the peer lists no port for heartbeats")
+        answer = await self.kernel.get(PeerPort).request(
+            InstanceId(heartbeat.peer.id),
+            heartbeat.peer.host,
             port,
-            ask.message,
+            heartbeat.message,
             ANSWER_TIMEOUT_S,
             Lane.HEARTBEAT,
         )
         if not isinstance(answer, HeartbeatAnswer):
-            raise PeerRefused("another answer than to a heartbeat")
+            raise PeerRefused("the answer is not a HeartbeatAnswer")
         return answer
 
     async def _answer(self, sender: InstanceId, message: Message) -> Message:
         try:
-            answer = self._state.asked(trio.current_time(), sender, message)
+            answer = self._state.on_heartbeat(trio.current_time(), sender, message)
         except RowError as error:
-            raise PeerRefused(f"a row that cannot be read: {error}") from error
-        self._hear_revision(sender, message.revision)
+            raise PeerRefused(f"invalid row in a heartbeat: {error}") from error
+        self._record_revision(sender, message.revision)
         self._publish()
         return answer
 
-    def _hear_revision(self, peer: InstanceId, revision: int) -> None:
+    def _record_revision(self, peer: InstanceId, revision: int) -> None:
         if self._revision_by_peer.get(peer) == revision:
             return
         self._revision_by_peer[peer] = revision
         for listener in self._revision_listeners:
             listener(peer, Revision(revision))
 
-    async def _take_reading(self, members: list[Member]) -> None:
+    async def _on_reading(self, members: list[Member]) -> None:
         async with self._listing:
-            for _ in self._state.listing(trio.current_time(), members):
+            for _ in self._state.apply_list_steps(trio.current_time(), members):
                 await trio.lowlevel.checkpoint()
         self._publish()
 
@@ -197,31 +197,34 @@
         self._publish()
 
     def _publish(self) -> None:
-        """Tell listeners of what has changed since they were told last."""
-        if self._told_changes != self._state.changes:
-            self._told_changes = self._state.changes
-            self.kernel.get(Instances).put(self._state.members())
+        """Notify the listeners of what has changed since they were last notified."""
+        if self._published_changes != self._state.changes:
+            self._published_changes = self._state.changes
+            self.kernel.get(Instances).set_members(self._state.members())
             self._log_states()
         live = self.live_instances()
-        if live == self._told_live:
+        if live == self._published_live:
             return
-        self._told_live = live
+        self._published_live = live
         for listener in self._listeners:
             listener()
 
     def _log_states(self) -> None:
         views = self._state.views()
         for name, view in views.items():
-            before = self._told_states.get(name, InstanceState.LIVE)
+            before = self._logged_states.get(name, InstanceState.LIVE)
             if before is not view.state:
                 log(_EVENT_BY_STATE[view.state], instance=name)
-        self._told_states = {name: view.state for name, view in views.items()}
+        self._logged_states = {name: view.state for name, view in views.items()}
         for name in self._revision_by_peer.keys() - views.keys():
             del self._revision_by_peer[name]
 
 
 def _port_name(kernel: Kernel) -> str:
-    """Name the port for heartbeats: entries keep them among entries, stewards among stewards."""
+    """Return the port for heartbeats.
+
+    Entries exchange them with entries, and stewards with stewards.
+    """
     return ENTRY_PORT if kernel.settings.has("caller", "address") else STEWARD_PORT
 
 
--- a/egretstack/services/peer_port.py
+++ b/egretstack/services/peer_port.py
@@ -1,4 +1,4 @@
-"""The port on which other processes of the system ask this one, and the links to them."""
+"""The port on which other processes of the system query this one, and the links to them."""
 
 from collections import Counter
 from collections.abc import Awaitable, Callable
@@ -22,25 +22,26 @@
 )
 from egretstack.services.platform_access import PlatformAccess
 
-ASK_TIMEOUT_S = 2.0
+REQUEST_TIMEOUT_S = 2.0
 MAX_LINKS = 512
 MAX_LINKS_OF_PEER = 8
 MAX_OPEN_LINKS = 512
 IDLE_LINK_S = 60.0
-"""Silence after which an accepted link is closed."""
+"""Idle time after which an accepted link is closed."""
 REUSE_S = 30.0
-"""Least idle time after which a link is opened anew; below `IDLE_LINK_S`, so that a question is
-never sent into a link that the other side is closing."""
-Answerer = Callable[[Message], Awaitable[Message]]
-PeerAnswerer = Callable[[InstanceId, Message], Awaitable[Message]]
+"""Idle time after which a link is replaced by a new one; below `IDLE_LINK_S`, so that a request is
+never sent on a link that the other side is closing."""
+Handler = Callable[[Message], Awaitable[Message]]
+PeerHandler = Callable[[InstanceId, Message], Awaitable[Message]]
 
 
 class Lane(Enum):
-    """Which of the links to a peer carries a question."""
+    """The kind of link to a peer that carries a request."""
 
     ORDINARY = "ordinary"
     HEARTBEAT = "heartbeat"
-    """Apart from the rest: a long answer ahead of it would look like a peer that is gone."""
+    """Separate from other messages: behind a long answer the heartbeat would be late, as if the
+    peer had ended."""
 
 
 @dataclass
@@ -49,34 +50,34 @@
     used_s: float
 
 
-_Place = tuple[str, int, Lane]
+_LinkKey = tuple[str, int, Lane]
 
 
 class PeerPort(Service):
-    """Answers peers by message kind, and asks peers over links that are kept open."""
+    """Answers peers by message kind, and sends requests to peers over links that are kept open."""
 
     name = "peer_port"
     requires = ("platform_access",)
 
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
-        self._answerer_by_kind: dict[type[Message], PeerAnswerer] = {}
-        self._link_by_place: dict[_Place, _OpenLink] = {}
-        self._lock_by_place: dict[_Place, trio.Lock] = {}
+        self._handler_by_kind: dict[type[Message], PeerHandler] = {}
+        self._link_by_key: dict[_LinkKey, _OpenLink] = {}
+        self._lock_by_key: dict[_LinkKey, trio.Lock] = {}
         self._accepted = 0
         self._accepted_by_peer: Counter[InstanceId] = Counter()
 
-    def answer(self, kind: type[Message], answerer: Answerer) -> None:
-        """Let `answerer` answer messages of a kind."""
+    def register_handler(self, kind: type[Message], handler: Handler) -> None:
+        """Register the handler that answers messages of a kind."""
 
         async def without_sender(_: InstanceId, message: Message) -> Message:
-            return await answerer(message)
+            return await handler(message)
 
-        self._answerer_by_kind[kind] = without_sender
+        self._handler_by_kind[kind] = without_sender
 
-    def answer_peer(self, kind: type[Message], answerer: PeerAnswerer) -> None:
-        """Let `answerer` answer messages of a kind, given the sender's proven name too."""
-        self._answerer_by_kind[kind] = answerer
+    def register_peer_handler(self, kind: type[Message], handler: PeerHandler) -> None:
+        """Register a handler that also gets the sender's authenticated id."""
+        self._handler_by_kind[kind] = handler
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Serve peers."""
@@ -87,64 +88,68 @@
             await nursery.start(access.serve_streams, self._serve, address, int(port))
             task_status.started()
 
-    async def ask(
+    async def request(
         self,
         peer: InstanceId,
         host: str,
         port: int,
         message: Message,
-        timeout_s: float = ASK_TIMEOUT_S,
+        timeout_s: float = REQUEST_TIMEOUT_S,
         lane: Lane = Lane.ORDINARY,
     ) -> Message:
-        """Ask a peer. Raises PeerGone (also where no answer came in time), PeerRefused."""
-        place = (host, port, lane)
-        lock = self._lock_by_place.setdefault(place, trio.Lock())
+        """Send a request to a peer and return the answer.
+
+        Raises PeerGone (also if no answer came in time), PeerRefused.
+        """
+        key = (host, port, lane)
+        lock = self._lock_by_key.setdefault(key, trio.Lock())
         try:
             with trio.move_on_after(timeout_s):
                 async with lock:
-                    return await self._ask(peer, place, message)
+                    return await self._request(peer, key, message)
         finally:
-            self._forget_unused(place, lock)
+            self._forget_unused(key, lock)
         raise PeerGone("no answer in time")
 
-    async def _ask(self, peer: InstanceId, place: _Place, message: Message) -> Message:
-        link = await self._take_link(place)
+    async def _request(self, peer: InstanceId, key: _LinkKey, message: Message) -> Message:
+        link = await self._acquire_link(key)
         try:
             if link.peer != peer:
                 raise PeerRefused(f"{link.peer} answers in place of {peer}")
             answer = await link.ask(message)
         except BaseException:
-            # A link left in the middle of an exchange would give the next asker this answer. And
-            # one that went silent for good is never used again: the next question opens another.
+            # A link left in the middle of an exchange would give the next request this answer. And
+            # a link that stopped answering for good must not be used again: the next request opens
+            # a new one.
             await trio.aclose_forcefully(link)
             raise
-        await self._keep_link(place, link)
+        await self._keep_link(key, link)
         return answer
 
-    async def _take_link(self, place: _Place) -> PeerLink:
-        kept = self._link_by_place.pop(place, None)
+    async def _acquire_link(self, key: _LinkKey) -> PeerLink:
+        kept = self._link_by_key.pop(key, None)
         if kept is not None and trio.current_time() - kept.used_s < REUSE_S:
             return kept.link
         if kept is not None:
             await trio.aclose_forcefully(kept.link)
-        host, port, _ = place
+        host, port, _ = key
         access = self.kernel.get(PlatformAccess)
         opener = partial(access.open_stream, host, port)
         return await connect_peer(opener, access.peer_keys, self._own())
 
-    async def _keep_link(self, place: _Place, link: PeerLink) -> None:
-        former = self._link_by_place.pop(place, None)
+    async def _keep_link(self, key: _LinkKey, link: PeerLink) -> None:
+        former = self._link_by_key.pop(key, None)
         if former is not None:
             await trio.aclose_forcefully(former.link)
-        self._link_by_place[place] = _OpenLink(link, trio.current_time())
-        while len(self._link_by_place) > MAX_OPEN_LINKS:
-            oldest = next(iter(self._link_by_place))
-            await trio.aclose_forcefully(self._link_by_place.pop(oldest).link)
+        self._link_by_key[key] = _OpenLink(link, trio.current_time())
+        while len(self._link_by_key) > MAX_OPEN_LINKS:
+            oldest = next(iter(self._link_by_key))
+            await trio.aclose_forcefully(self._link_by_key.pop(oldest).link)
 
-    def _forget_unused(self, place: _Place, lock: trio.Lock) -> None:
-        """Keep no lock of a peer that is gone: addresses change with every replacement."""
-        if place not in self._link_by_place and not lock.locked():
-            self._lock_by_place.pop(place, None)
+    def _forget_unused(self, key: _LinkKey, lock: trio.Lock) -> None:
+        """Drop the lock of a peer without links: addresses change with every replacement."""
+        if key not in self._link_by_key and not lock.locked():
+            self._lock_by_key.pop(key, None)
 
     async def _serve(self, stream: trio.abc.Stream) -> None:
         if self._accepted >= MAX_LINKS:
@@ -175,16 +180,16 @@
             self._accepted_by_peer += Counter()
 
     async def _serve_one(self, link: PeerLink) -> None:
-        # A link whose other end vanished without a sign says nothing for ever; kept, such links
-        # would fill the places of those that work.
+        # A link whose other end vanished without closing it stays open for ever; such links would
+        # use up the limit on links.
         with trio.move_on_after(IDLE_LINK_S) as idle:
             message = await link.receive()
         if idle.cancelled_caught:
             raise PeerGone("idle")
-        answerer = self._answerer_by_kind.get(type(message))
-        if answerer is None:
-            raise PeerRefused(f"no answer to {type(message).__name__} here")
-        await link.send(await answerer(link.peer, message))
+        handler = self._handler_by_kind.get(type(message))
+        if handler is None:
+            raise PeerRefused(f"no handler for {type(message).__name__} here")
+        await link.send(await handler(link.peer, message))
 
     def _own(self) -> InstanceId:
         return InstanceId(self.kernel.settings.text("instance", "id"))
--- a/egretstack/services/relay_metrics.py
+++ b/egretstack/services/relay_metrics.py
@@ -9,7 +9,7 @@
 from egretstack.http1 import (
     BadRequest,
     ClientConnection,
-    ClientGone,
+    ClientDisconnected,
     ResponseHead,
     ServerLimits,
     SlowSender,
@@ -21,11 +21,12 @@
 
 LIMITS = ServerLimits(header_bytes=8_192, body_bytes=1_024, header_timeout_s=2, idle_timeout_s=60)
 BUCKETS_S = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.8, 2.5, 4.0, 8.0, 20.0, 40.0)
-"""Around the targets of both users: 125 and 200 ms for calls, 1.5 and 1.8 s for first tokens."""
+"""Concentrated around the targets of both users: 125 and 200 ms for calls, 1.5 and 1.8 s for first
+tokens."""
 
 
 class RelayMetrics(Service):
-    """The metrics of one process; all label values come from closed lists."""
+    """The metrics of one process; all label values come from fixed sets."""
 
     name = "relay_metrics"
 
@@ -51,15 +52,15 @@
         count_events(lambda event: self._events.labels(event.name.lower()).inc())
 
     def gauge(self, name: str, meaning: str, *labels: str) -> Gauge:
-        """Add a gauge of another service's; the values of its labels come from closed lists."""
+        """Add a gauge for another service; the values of its labels come from fixed sets."""
         return Gauge(name, meaning, labels, registry=self.registry)
 
-    def ended(self, kind: RouteKind | None, outcome: str) -> None:
+    def count_request(self, kind: RouteKind | None, outcome: str) -> None:
         """Count a request; the kind is None where no route was found."""
         self._requests.labels("none" if kind is None else kind.value, outcome).inc()
 
-    def answered(self, kind: RouteKind, seconds: float) -> None:
-        """Note the time to an answer or a first event."""
+    def observe_answer(self, kind: RouteKind, seconds: float) -> None:
+        """Record the time to an answer or a first event."""
         self._seconds.labels(kind.value).observe(seconds)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
@@ -77,10 +78,10 @@
         try:
             while await connection.read_head() is not None:
                 await connection.read_body()
-                await connection.send_answer(head, generate_latest(self.registry))
+                await connection.send_response(head, generate_latest(self.registry))
                 if not connection.start_next():
                     return
-        except (BadRequest, SlowSender, ClientGone):
-            return  # Whoever reads metrics asks again.
+        except (BadRequest, SlowSender, ClientDisconnected):
+            return  # The scraper tries again.
         finally:
             connection.close()
--- a/egretstack/services/relaying.py
+++ b/egretstack/services/relaying.py
@@ -1,4 +1,4 @@
-"""Decides what becomes of a client's request, and holds the tools that all relays share."""
+"""Decides how a client's request is served, and holds the context that all relays share."""
 
 import random
 
@@ -10,40 +10,41 @@
 from egretstack.kernel import Kernel, Service
 from egretstack.placing import PlainBalancer
 from egretstack.platform import NodeSettings
-from egretstack.relay import RelayTools, RequestFailed, RetryBudget, Task, barred
+from egretstack.relay import RelayContext, RelayTask, RequestFailed, RetryBudget, no_eligible_runner
 from egretstack.routing import (
     ClientAccount,
     Route,
     RouteKind,
     RoutingTable,
-    ServicePlan,
-    common_homes,
+    ServiceConfig,
+    common_regions,
 )
 from egretstack.services.crash_guard import CrashGuardService
 from egretstack.services.engine_placing import EnginePlacingService
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.placing_home import PlacingHome
-from egretstack.services.runner_words import RunnerWordsService
+from egretstack.services.runner_words import RunnerSignalsService
 from egretstack.services.store_reading import StoreReading
 from egretstack.traffic import ClientRequest
 
-INSTANCES_LOOK_S = 0.5
+INSTANCES_CHECK_INTERVAL_S = 0.5
 STARTING_RETRY_S = 0.5
 LEAVING_RETRY_S = 0.05
-"""A leaving instance sends clients to another one, which can take them at once."""
-TOKEN_S = 0.012
-"""Time for one output token of a stream on a busy engine, by which a leaving instance judges
+"""A leaving instance sends clients to another one, which can serve them at once."""
+TOKEN_TIME_S = 0.012
+"""Time for one output token of a stream on a busy engine, by which a leaving instance estimates
 whether a stream would end before the process has to."""
 STREAM_START_S = 1.0
-LAST_CALL_S = 0.6
-"""Time before the last moments of a leaving instance from which it takes no more calls: clients
-use their connections until it is gone, and a call that was passed on has to be answered."""
+CALL_TIME_S = 0.6
+"""Time that a call needs at most on a leaving instance. One with less time left accepts no more
+calls: clients use their connections until it has ended, and a call that was passed on has to be
+answered."""
 STOP_MARGIN_S = 1.0
-"""Kept of the grace for the last bytes to leave."""
+"""Part of the grace period that is kept for sending the last bytes."""
 
 
 class Relaying(Service):
-    """Makes tasks of requests."""
+    """Makes relay tasks of requests."""
 
     name = "relaying"
     requires = (
@@ -63,45 +64,45 @@
         self._store = kernel.get(StoreReading)
         self._split = kernel.get(PlacingHome).split
         self._leaving_since_s: float | None = None
-        self.tools = RelayTools(
+        self.context = RelayContext(
             runners=self._port.runners,
             balancer=PlainBalancer(node.zone, kernel.rng),
             placing=kernel.get(EnginePlacingService),
             budget=RetryBudget(node.bounds),
             pool=ConnectionPool(),
-            bounds=kernel.get(PlacingHome).bounds,
-            rests=kernel.get(PlacingHome).rests,
-            crashes=kernel.get(CrashGuardService),
-            words=kernel.get(RunnerWordsService),
+            send_bounds=kernel.get(PlacingHome).send_bounds,
+            backoffs=kernel.get(PlacingHome).backoffs,
+            crash_guard=kernel.get(CrashGuardService),
+            signals=kernel.get(RunnerSignalsService),
         )
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Keep the shared tools up to date."""
-        # A connection to a process that ended behind a cut looks whole: a request sent on it would
-        # wait for nothing.
-        self._port.on_gone(lambda runner: self.tools.pool.forget(runner.address))
+        """Keep the shared context up to date."""
+        # A connection to a process that ended behind a network partition looks intact: a request
+        # sent on it would wait in vain.
+        self._port.on_runner_ended(lambda runner: self.context.pool.close_idle(runner.address))
         task_status.started()
         try:
             while True:
                 now_s = trio.current_time()
-                self._count_instances(now_s)
-                await trio.sleep_until(now_s + INSTANCES_LOOK_S)
+                self._update_instance_count(now_s)
+                await trio.sleep_until(now_s + INSTANCES_CHECK_INTERVAL_S)
         finally:
-            self.tools.pool.close()
+            self.context.pool.close()
 
-    def _count_instances(self, now_s: float) -> None:
-        """Bring up to date among how many instances what the fleet may do is split."""
-        others = self._port.fleet.known()
-        self.tools.budget.instances = len(others) + 1
+    def _update_instance_count(self, now_s: float) -> None:
+        """Update the number of instances among which the limits of the fleet are split."""
+        others = self._port.fleet.known_instances()
+        self.context.budget.instances = len(others) + 1
         self._split.others = tuple(one.id for one in others)
-        self._split.heard = len(self._port.fleet.live(now_s)) - 1
+        self._split.reachable = len(self._port.fleet.live(now_s)) - 1
 
-    def leave(self) -> None:
-        """Take no new work that could not end before the process has to."""
+    def begin_leaving(self) -> None:
+        """Accept no new requests that could not end before the process has to."""
         self._leaving_since_s = trio.current_time()
 
-    def task(self, request: ClientRequest, began_s: float) -> Task:
-        """Give what is decided about a request by its head. Raises RequestFailed."""
+    def task(self, request: ClientRequest, began_s: float) -> RelayTask:
+        """Return a request's task, with its route, account and service. Raises RequestFailed."""
         table = self._table()
         route = table.route(request.host, request.path)
         if route is None:
@@ -112,11 +113,11 @@
         if request.time_left_s is not None:
             limit_s = min(limit_s, request.time_left_s)
         zones = self._zones(route, account)
-        if self._port.runners.is_barred(service.name, zones):
-            raise barred()
-        task = Task(request, route, service, account, began_s, began_s + limit_s, zones)
+        if self._port.runners.has_only_evacuated(service.name, zones):
+            raise no_eligible_runner()
+        task = RelayTask(request, route, service, account, began_s, began_s + limit_s, zones)
         self._refuse_while_leaving(task)
-        self.tools.budget.requested(trio.current_time(), service.name)
+        self.context.budget.record_request(trio.current_time(), service.name)
         return task
 
     def _table(self) -> RoutingTable:
@@ -134,7 +135,7 @@
             raise RequestFailed(ErrorKind.UNAUTHENTICATED, "no account has this key")
         return account
 
-    def _service(self, table: RoutingTable, route: Route) -> ServicePlan:
+    def _service(self, table: RoutingTable, route: Route) -> ServiceConfig:
         weights = [target.weight for target in route.targets]
         rng: random.Random = self.kernel.rng
         target = rng.choices(route.targets, weights)[0] if sum(weights) > 0 else route.targets[0]
@@ -146,26 +147,28 @@
         return service
 
     def _zones(self, route: Route, account: ClientAccount | None) -> frozenset[ZoneName] | None:
-        """Give the availability zones whose runners alone may run a request; None if all may."""
-        homes = common_homes(route, account)
+        """Return the availability zones whose runners may run a request; None if all may."""
+        homes = common_regions(route, account)
         if homes is None:
             return None
         regions = self._node.region_by_zone.items()
         return frozenset(zone for zone, region in regions if region in homes)
 
-    def _refuse_while_leaving(self, task: Task) -> None:
+    def _refuse_while_leaving(self, task: RelayTask) -> None:
         if self._leaving_since_s is None:
             return
         passed_s = trio.current_time() - self._leaving_since_s
         left_s = self._node.bounds.grace_s - STOP_MARGIN_S - passed_s
-        if self._needs_s(task, left_s) >= left_s:
+        if self._required_s(task, left_s) >= left_s:
             raise RequestFailed(
                 ErrorKind.DRAINING, "this instance leaves", retry_after_s=LEAVING_RETRY_S
             )
 
     @staticmethod
-    def _needs_s(task: Task, left_s: float) -> float:
+    def _required_s(task: RelayTask, left_s: float) -> float:
         if task.route.kind is not RouteKind.STREAM:
-            return LAST_CALL_S
-        wants = task.request.generation
-        return STREAM_START_S + (wants.max_output_tokens * TOKEN_S if wants else left_s)
+            return CALL_TIME_S
+        generation = task.request.generation
+        return STREAM_START_S + (
+            generation.max_output_tokens * TOKEN_TIME_S if generation else left_s
+        )
--- a/egretstack/services/runner_strikes.py
+++ b/egretstack/services/runner_strikes.py
@@ -1,22 +1,23 @@
-"""Tells the fleet which runners break what they are sent, and learns it as the home."""
+"""Reports which runners fail the requests they get, and combines the reports as the home."""
 
 import trio
 
 from egretstack.events import Event, log
-from egretstack.fleet import InstanceReport, rows_of
+from egretstack.fleet import InstanceReport, parse_rows
 from egretstack.ids import InstanceId, RunnerId
 from egretstack.kernel import Kernel, Service
-from egretstack.placing import FleetStrikes, count_of, count_row
-from egretstack.services.fleet_port import IDLE_LOOK_S, FleetPort
+from egretstack.placing import FleetStrikes, count_from_row, count_row
+from egretstack.services.fleet_port import IDLE_POLL_INTERVAL_S, FleetPort
 from egretstack.services.relaying import Relaying
 from egretstack.services.store_reading import StoreReading
 
-LOOK_S = 0.1
-"""How often the home judges, besides at each report; clears suspects in time."""
+CHECK_INTERVAL_S = 0.1
+"""How often the home determines the suspects, besides at each report with a failure, so that they
+are cleared in time."""
 
 
 class RunnerStrikes(Service):
-    """The counts of this instance, and as the home those of all."""
+    """Counts answers and failures of this instance, and of all instances as the home."""
 
     name = "runner_strikes"
     requires = ("fleet_port", "relaying", "store_reading")
@@ -25,40 +26,40 @@
         super().__init__(kernel)
         self._port = kernel.get(FleetPort)
         self._store = kernel.get(StoreReading)
-        self._balancer = kernel.get(Relaying).tools.balancer
+        self._balancer = kernel.get(Relaying).context.balancer
         self._strikes = FleetStrikes()
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
-        """Report and judge until cancelled."""
-        self._port.answers = self._rows
-        self._port.on_report(self._take_report)
-        self.kernel.get(Relaying).tools.on_break = self._port.tell_soon
+        """Report counts and determine suspects until cancelled."""
+        self._port.answer_count_rows = self._rows
+        self._port.on_report_received(self._on_report)
+        self.kernel.get(Relaying).context.on_runner_failure = self._port.report_soon
         task_status.started()
         while True:
-            await trio.sleep(LOOK_S if self._port.is_home() else IDLE_LOOK_S)
+            await trio.sleep(CHECK_INTERVAL_S if self._port.is_home() else IDLE_POLL_INTERVAL_S)
             if self._port.is_home():
-                self._judge()
+                self._update_suspects()
 
     def _rows(self) -> list:
-        return [count_row(one) for one in self._balancer.recent.counts(trio.current_time())]
+        return [count_row(one) for one in self._balancer.recent_answers.counts(trio.current_time())]
 
-    def _take_report(self, instance: InstanceId, report: InstanceReport) -> None:
-        counts = rows_of(report.answers, count_of)
-        self._strikes.reported(trio.current_time(), instance, counts)
+    def _on_report(self, instance: InstanceId, report: InstanceReport) -> None:
+        counts = parse_rows(report.answers, count_from_row)
+        self._strikes.record_report(trio.current_time(), instance, counts)
         if self._port.is_home() and any(one.broke for one in counts):
-            self._judge()
+            self._update_suspects()
 
     def _engines(self) -> set[RunnerId]:
         runners = self._port.runners.by_id.values()
         return {runner.id for runner in runners if self._store.engine(runner.service)}
 
-    def _judge(self) -> None:
+    def _update_suspects(self) -> None:
         now_s = trio.current_time()
         own = self.kernel.settings.instance
-        self._strikes.reported(now_s, own, self._balancer.recent.counts(now_s))
-        self._strikes.forget(self._port.runners.by_id)
+        self._strikes.record_report(now_s, own, self._balancer.recent_answers.counts(now_s))
+        self._strikes.retain(self._port.runners.by_id)
         suspects = self._strikes.suspects(now_s, self._engines())
         if suspects != self._port.runners.suspects:
             log(Event.RUNNERS_SUSPECTED, runners=",".join(sorted(suspects)))
             self._port.runners.suspects = suspects
-            self._port.tell_soon()
+            self._port.report_soon()
--- a/egretstack/services/runners.py
+++ b/egretstack/services/runners.py
@@ -13,7 +13,7 @@
     MAX_REPORTS,
     NearbyReports,
     ReportChooser,
-    ReportTurns,
+    ReportSchedule,
     RunnerWatch,
 )
 from egretstack.objectapi import Member, MemberState
@@ -25,14 +25,14 @@
 from egretstack.upstreams import EngineClient, EngineError, LoadReport, PlainService
 
 REPORT_TIMEOUT_S = 2.0
-RENEW_S = 60.0
-"""How often it is spread again that a runner's own report says it leaves."""
-CLIENT_KEPT_S = 3600.0
-"""How long the client of a runner that is not listed any more is kept, for what still runs."""
+NOTICE_RENEWAL_S = 60.0
+"""How often a notice is repeated while a runner's own report says that it leaves."""
+CLIENT_TTL_S = 3600.0
+"""How long the client of a runner that is no longer listed is kept, for what still runs there."""
 
 
 class Runners(Service):
-    """Follows list, notices and reports; tells the policy of engines that come, report, leave."""
+    """Follows list, notices and reports; tells the policy of engines that join, report or leave."""
 
     name = "runners"
     requires = ("platform_access", "instances", "membership", "configuration")
@@ -50,26 +50,26 @@
         self._unlisted_s: dict[RunnerId, float] = {}
         self._renewed_s: dict[RunnerId, float] = {}
         self._listeners: list[Callable[[PolicyEvent], None]] = []
-        self._turns = ReportTurns(
+        self._schedule = ReportSchedule(
             settings.number("engines", "report_readings_per_s"),
             settings.number("engines", "report_period_s"),
             self._rng,
         )
         self._busy: set[RunnerId] = set()
-        self._turns_changed = trio.Event()
+        self._schedule_changed = trio.Event()
 
     def on_event(self, listener: Callable[[PolicyEvent], None]) -> None:
-        """Tell `listener` of every runner that comes, reports or leaves.
+        """Call `listener` with each event of a runner that joins, reports or leaves.
 
-        It is told of those already known first: a runner seen before the listener came would
-        otherwise never get work, and its callers would be refused as if there were no runner.
+        It first gets the runners already known: a runner seen before the listener was added would
+        otherwise never get requests, and its callers would be refused as if there were no runner.
         """
         self._listeners.append(listener)
         for info in self._watch.usable():
             listener(RunnerSeen(info))
 
     def choose_reports(self, chooser: ReportChooser) -> None:
-        """Let another chooser say whose load reports this instance reads.
+        """Replace the chooser that selects the runners whose load reports this instance reads.
 
         At most `MAX_REPORTS` of its choice are read; call `reconsider` when its choice changes.
         """
@@ -77,23 +77,23 @@
         self.reconsider()
 
     def reconsider(self) -> None:
-        """Ask the chooser again."""
+        """Apply the chooser again."""
         known = self._watch.known()
         chosen = sorted(self._chooser.choose(known) & {info.id for info in known})[:MAX_REPORTS]
-        self._turns.choose(chosen)
-        self._turns_changed.set()
+        self._schedule.set_runners(chosen)
+        self._schedule_changed.set()
 
-    def doubt(self, runner_id: RunnerId) -> None:
+    def check_soon(self, runner_id: RunnerId) -> None:
         """Read a runner's report out of turn, after a refused connection or a broken stream."""
-        self._turns.doubt(runner_id)
-        self._turns_changed.set()
+        self._schedule.prioritize(runner_id)
+        self._schedule_changed.set()
 
     def engine(self, runner_id: RunnerId) -> EngineClient | None:
-        """Give the client of an engine, also of a leaving one."""
+        """Return the client of an engine, also of a leaving one; None if it is unknown."""
         return self._engine_by_id.get(runner_id)
 
     def plain(self, service: ServiceName) -> list[PlainService]:
-        """Give the live runners of a plain service, those of the own zone first."""
+        """Return the live runners of a plain service, those of the own zone first."""
         members = self.kernel.get(Instances).members(service, MemberState.LIVE)
         self._rng.shuffle(members)
         members.sort(key=lambda member: member.zone != self._zone)
@@ -112,19 +112,19 @@
                 self._refresh()
 
     def _refresh(self) -> None:
-        live_by_info: dict[RunnerInfo, bool] = {}
+        is_live_by_runner: dict[RunnerInfo, bool] = {}
         services = self.kernel.get(Configuration).state.service_by_name
         for member in self.kernel.get(Instances).all_members():
             spec = services.get(member.service)
             if spec is not None and spec.kind is ServiceKind.ENGINE:
                 self._keep_client(member)
-                live_by_info[_info(member, spec)] = member.state is MemberState.LIVE
-        self._drop_clients({info.id for info in live_by_info})
-        self._tell_all(self._watch.listed(live_by_info))
+                is_live_by_runner[_runner_info(member, spec)] = member.state is MemberState.LIVE
+        self._drop_clients({info.id for info in is_live_by_runner})
+        self._publish_all(self._watch.on_list(is_live_by_runner))
         self.reconsider()
 
     def _keep_client(self, member: Member) -> None:
-        """Have a client for every listed engine: a leaving one still runs generations."""
+        """Keep a client for every listed engine: a leaving one still runs generations."""
         runner_id = RunnerId(member.id)
         known = self._member_by_id.get(runner_id)
         if known is None or (known.host, known.ports) != (member.host, member.ports):
@@ -136,7 +136,7 @@
         for runner_id in list(self._engine_by_id):
             if runner_id in listed:
                 self._unlisted_s.pop(runner_id, None)
-            elif now_s - self._unlisted_s.setdefault(runner_id, now_s) >= CLIENT_KEPT_S:
+            elif now_s - self._unlisted_s.setdefault(runner_id, now_s) >= CLIENT_TTL_S:
                 del self._engine_by_id[runner_id]
                 del self._member_by_id[runner_id]
                 del self._unlisted_s[runner_id]
@@ -145,30 +145,30 @@
     async def _read_in_turn(self) -> None:
         async with trio.open_nursery() as nursery:
             while True:
-                self._turns_changed = trio.Event()
+                self._schedule_changed = trio.Event()
                 now_s = trio.current_time()
-                runner_id = self._turns.take(now_s, self._busy)
+                runner_id = self._schedule.pop_due(now_s, self._busy)
                 if runner_id is not None:
                     self._busy.add(runner_id)
                     nursery.start_soon(self._read_report, runner_id)
                     continue
-                with trio.move_on_after(self._turns.wait_s(now_s, self._busy)):
-                    await self._turns_changed.wait()
+                with trio.move_on_after(self._schedule.wait_s(now_s, self._busy)):
+                    await self._schedule_changed.wait()
 
     async def _read_report(self, runner_id: RunnerId) -> None:
         try:
             report = await self._load(runner_id)
         finally:
             self._busy.discard(runner_id)
-            self._turns_changed.set()
+            self._schedule_changed.set()
         if report is None:
-            self._turns.failed(trio.current_time(), runner_id)
-            self._note_silence(runner_id)
+            self._schedule.record_failure(trio.current_time(), runner_id)
+            self._record_failure(runner_id)
             return
-        self._turns.succeeded(runner_id)
-        self._tell_all(self._watch.reported(runner_id, report.leaving))
-        self._spread(runner_id, report.leaving)
-        self._tell(_reported(runner_id, report))
+        self._schedule.record_success(runner_id)
+        self._publish_all(self._watch.on_report(runner_id, report.leaving))
+        self._spread_notice(runner_id, report.leaving)
+        self._publish(_reported_event(runner_id, report))
 
     async def _load(self, runner_id: RunnerId) -> LoadReport | None:
         engine = self._engine_by_id.get(runner_id)
@@ -181,37 +181,37 @@
                 return None
         return None
 
-    def _note_silence(self, runner_id: RunnerId) -> None:
-        was_silent = self._watch.is_silent(runner_id)
-        self._tell_all(self._watch.failed(trio.current_time(), runner_id))
-        if self._watch.is_silent(runner_id) and not was_silent:
+    def _record_failure(self, runner_id: RunnerId) -> None:
+        was_unresponsive = self._watch.is_unresponsive(runner_id)
+        self._publish_all(self._watch.on_report_failed(trio.current_time(), runner_id))
+        if self._watch.is_unresponsive(runner_id) and not was_unresponsive:
             log(Event.RUNNER_SILENT, runner=runner_id)
 
-    def _spread(self, runner_id: RunnerId, leaving: bool) -> None:
-        """Let instances that do not read this runner's reports know what it says."""
+    def _spread_notice(self, runner_id: RunnerId, leaving: bool) -> None:
+        """Announce what a runner reports to the instances that do not read its reports."""
         now_s = trio.current_time()
         renewed_s = self._renewed_s.get(runner_id)
-        if leaving and (renewed_s is None or now_s - renewed_s >= RENEW_S):
+        if leaving and (renewed_s is None or now_s - renewed_s >= NOTICE_RENEWAL_S):
             self._renewed_s[runner_id] = now_s
-            self.kernel.get(Membership).notice_runner(runner_id, True, for_good=False)
+            self.kernel.get(Membership).publish_runner_notice(runner_id, True, for_good=False)
         elif not leaving and renewed_s is not None:
             del self._renewed_s[runner_id]
-            self.kernel.get(Membership).notice_runner(runner_id, False, for_good=False)
+            self.kernel.get(Membership).publish_runner_notice(runner_id, False, for_good=False)
 
-    def _tell_all(self, events: list[PolicyEvent]) -> None:
+    def _publish_all(self, events: list[PolicyEvent]) -> None:
         for event in events:
             if isinstance(event, RunnerSeen):
                 log(Event.RUNNER_JOINED, runner=event.runner.id, service=event.runner.service)
             elif isinstance(event, RunnerLeft):
                 log(Event.RUNNER_LEFT, runner=event.runner_id)
-            self._tell(event)
+            self._publish(event)
 
-    def _tell(self, event: PolicyEvent) -> None:
+    def _publish(self, event: PolicyEvent) -> None:
         for listener in self._listeners:
             listener(event)
 
 
-def _reported(runner_id: RunnerId, report: LoadReport) -> RunnerReported:
+def _reported_event(runner_id: RunnerId, report: LoadReport) -> RunnerReported:
     return RunnerReported(
         runner_id=runner_id,
         taken_s=trio.current_time() - report.age_s,
@@ -223,7 +223,7 @@
     )
 
 
-def _info(member: Member, spec: ServiceSpec) -> RunnerInfo:
+def _runner_info(member: Member, spec: ServiceSpec) -> RunnerInfo:
     return RunnerInfo(
         id=RunnerId(member.id),
         service=spec.name,
--- a/tests/news_fixtures.py
+++ b/tests/news_fixtures.py
@@ -1,18 +1,18 @@
-"""A home that tells news and instances that follow it, without a network."""
+"""A home that sends updates and instances that follow it, without a network."""
 
 from itertools import count
 
 from egretstack.fleet import (
     FleetNews,
-    HeldNews,
-    NewsTeller,
+    HeldVersion,
+    UpdatePublisher,
     VersionedRows,
+    broadcast_instance_row,
     instance_row,
     runner_row,
-    told_instance_row,
 )
 from egretstack.ids import InstanceId
-from tests.fleet_fixtures import known, runner
+from tests.fleet_fixtures import known_instance, runner
 
 OTHER = InstanceId("entry-1")
 INSTANCES = 195
@@ -22,15 +22,15 @@
 REPORT_S = 0.25
 
 
-def teller(epoch=7, held=None, rows=None):
+def publisher(epoch=7, held=None, rows=None):
     epochs = count(epoch)
-    return NewsTeller(lambda: next(epochs), held or HeldNews(), rows or VersionedRows())
+    return UpdatePublisher(lambda: next(epochs), held or HeldVersion(), rows or VersionedRows())
 
 
-def messages(home, part):
-    """Give a part as it goes out."""
-    news = FleetNews(
-        home=instance_row(known(0)),
+def message_with(home, part):
+    """Return a part as the message that is sent."""
+    update = FleetNews(
+        home=instance_row(known_instance(0)),
         epoch=home.epoch,
         continued_epoch=home.continued.epoch,
         continued_version=home.continued.version,
@@ -45,25 +45,25 @@
         config_version=3,
         config_holders=[f"edge-guanajuato-c-{number}" for number in range(8)],
     )
-    return part.fill(news)
+    return part.fill(update)
 
 
-def tell(home, follower):
-    """Tell a follower all that it lacks, without a loss; give what became of the last part."""
+def deliver_all(home, follower):
+    """Deliver all that a follower lacks, without loss; return the result of the last part."""
     name = InstanceId(f"follower-{id(follower)}")
-    home.note_held(name, follower.held)
+    home.record_held(name, follower.held)
     for part in home.parts_for(0.0, name):
-        taken = follower.take(messages(home, part))
-    home.forget(set())
-    return taken
+        result = follower.apply(message_with(home, part))
+    home.retain(set())
+    return result
 
 
 def fleet_rows(instances=INSTANCES, runners=RUNNERS):
-    """Give the rows of a whole fleet."""
+    """Return the rows of a whole fleet."""
     rows = {
         f"r{name}": [*runner_row(runner(name)), 0]
         for name in map("i-{:010x}".format, range(runners))
     }
     for number in range(instances):
-        rows[f"i{number}"] = told_instance_row(known(number), watches=number < 2)
+        rows[f"i{number}"] = broadcast_instance_row(known_instance(number), watches=number < 2)
     return rows
--- a/tests/test_membership_work.py
+++ b/tests/test_membership_work.py
@@ -9,8 +9,8 @@
 
 from egretstack.ids import InstanceId, RunnerId
 from egretstack.membership import Heartbeat, InstanceState, MembershipState, RowError
-from egretstack.membership._detector import MAX_MISSES
 from egretstack.membership._exchange import Exchange
+from egretstack.membership._failure_detector import MAX_SUSPECT_MISSES
 from egretstack.membership._listing import STEP_ROWS
 from egretstack.membership._rings import RINGS, Rings
 from egretstack.membership._rows import InstanceRow, ListedRow, RunnerNotice, pack_row, unpack_row
@@ -57,79 +57,79 @@
     check.assertTrue(all(1 <= count <= 2 * RINGS for count in watchers.values()))
 
 
-def test_what_a_former_run_had_confirmed_leaves_no_hole():
-    # A neighbour counts on rows that the former run of this process had confirmed and sends only
-    # what came after. Taken as a whole, the rows before would be missing here for ever, and
-    # callers would be sent to an instance that everyone else knows to be gone.
+def test_rows_confirmed_by_an_earlier_run_leave_no_gap():
+    # A neighbour counts on rows that the earlier run of this process had confirmed and sends only
+    # what came after. If that counted as complete, the rows before would be missing here for good,
+    # and callers would be sent to an instance that everyone else knows to be gone.
     sender = Exchange(1000, Table())
     for number in range(3):
         sender.table.put(InstanceRow(instance(number), 1000, InstanceState.GONE))
     peer, own = InstanceId("peer"), InstanceId("own")
     former = Exchange(2000, Table())
-    former.take(own, sender.message(peer))
-    sender.take(peer, former.message(own))
+    former.apply(own, sender.message(peer))
+    sender.apply(peer, former.message(own))
     sender.table.put(InstanceRow(instance(9), 1000, InstanceState.LIVE))
     restarted = Exchange(3000, Table())
-    restarted.take(own, sender.message(peer))
+    restarted.apply(own, sender.message(peer))
     for _ in range(2):
-        sender.take(peer, restarted.message(own))
-        restarted.take(own, sender.message(peer))
+        sender.apply(peer, restarted.message(own))
+        restarted.apply(own, sender.message(peer))
     check.assertEqual(restarted.table.digest, sender.table.digest)
 
 
-def test_patience_has_an_end():
+def test_the_limit_of_misses_is_bounded():
     fleet, _ = fleet_of(3)
-    detector = fleet.of(0)._detector
+    detector = fleet.state_of(0)._detector
     peer = InstanceId("entry-1")
     for _ in range(20):
-        detector.wronged(0.0, peer)
-    detector.heard(0.0, InstanceId("entry-2"))
-    answers = [detector.missed(0.0, peer) for _ in range(MAX_MISSES)]
-    check.assertEqual(answers, [False] * (MAX_MISSES - 1) + [True])
+        detector.record_false_suspicion(0.0, peer)
+    detector.record_message(0.0, InstanceId("entry-2"))
+    answers = [detector.record_miss(0.0, peer) for _ in range(MAX_SUSPECT_MISSES)]
+    check.assertEqual(answers, [False] * (MAX_SUSPECT_MISSES - 1) + [True])
 
 
-def test_a_change_in_a_large_fleet_works_on_its_own_rows():
-    # A neighbour tells of one runner that leaves. Were every view worked out again, each such
-    # message would hold up the tokens that pass through the same loop, the more the larger the
+def test_a_change_in_a_large_fleet_updates_only_its_own_rows():
+    # A neighbour sends that one runner is leaving. If every view were computed anew, each such
+    # message would delay the tokens that pass through the same event loop, the more the larger the
     # fleet is.
     state = MembershipState(instance(0), 0.0, EPOCH_S, random.Random(1))
-    state.listed(0.0, [instance(n) for n in range(100)] + [runner(n) for n in range(400)])
+    state.apply_list(0.0, [instance(n) for n in range(100)] + [runner(n) for n in range(400)])
     before = {member.id: member for member in state.members()}
     views = dict(state.views())
-    state.notice(1.0, RunnerId("runner-7"), True, for_good=True)
+    state.announce_runner(1.0, RunnerId("runner-7"), True, for_good=True)
     changed = [member.id for member in state.members() if member is not before[member.id]]
     check.assertEqual(changed, ["runner-7"])
     check.assertTrue(all(view is views[name] for name, view in state.views().items()))
 
 
-def test_a_reading_is_compared_in_bounded_steps():
-    # A first reading brings everything, the next one loses everything; neither may hold the loop.
+def test_a_reading_is_merged_in_bounded_steps():
+    # A first reading adds everything, the next one removes everything; neither may block the loop.
     state = MembershipState(instance(0), 0.0, EPOCH_S, random.Random(1))
     members = [runner(number) for number in range(500)]
     for reading in (members, [], members):
         sizes = [len(state.members())]
-        for _ in state.listing(1.0, reading):
+        for _ in state.apply_list_steps(1.0, reading):
             sizes.append(len(state.members()))
         steps = [abs(after - old) for old, after in itertools.pairwise(sizes)]
         check.assertLessEqual(max(steps), STEP_ROWS)
         check.assertEqual(len(state.members()), len(reading))
 
 
-def test_news_that_comes_between_the_steps_of_a_reading_stands():
-    # A reading is compared while a neighbour tells what it read later: one runner leaves, another
-    # one is new. The reading names the first as live and the second not at all; taken so, callers
-    # would be sent to the one that leaves.
+def test_an_update_between_the_steps_of_a_reading_is_kept():
+    # While a reading is merged a neighbour sends what it read later: one runner is leaving, another
+    # one is new. The reading has the first as live and the second not at all; if that replaced the
+    # update, callers would be sent to the one that is leaving.
     state = MembershipState(instance(0), 0.0, EPOCH_S, random.Random(1))
     members = [runner(number) for number in range(200)]
-    state.listed(0.0, members)
-    steps = state.listing(10.0, members)
+    state.apply_list(0.0, members)
+    steps = state.apply_list_steps(10.0, members)
     next(steps)
     table = state._table
     table.put(ListedRow(members[-1], MemberState.LEAVING, 20_000), "peer")
     table.put(ListedRow(runner(999), MemberState.LIVE, 20_000), "peer")
     for _ in steps:
         pass
-    state.notice(11.0, RunnerId("runner-0"), True, for_good=True)
+    state.announce_runner(11.0, RunnerId("runner-0"), True, for_good=True)
     state_by_id = {member.id: member.state for member in state.members()}
     check.assertIs(state_by_id[members[-1].id], MemberState.LEAVING)
     check.assertIs(state_by_id["runner-999"], MemberState.LIVE)
@@ -186,9 +186,9 @@
             unpack_row(bad)
 
 
-def test_a_heartbeat_without_news_is_small():
+def test_a_heartbeat_without_updates_is_small():
     state = MembershipState(instance(0), 0.0, EPOCH_S, random.Random(1))
-    state.listed(0.0, [instance(0), instance(1)])
-    ask = next(iter(state.tick(1.0)))
-    check.assertIsInstance(ask.message, Heartbeat)
-    check.assertLessEqual(len(encode(replace(ask.message, rows=[]))), 60)
+    state.apply_list(0.0, [instance(0), instance(1)])
+    request = next(iter(state.tick(1.0)))
+    check.assertIsInstance(request.message, Heartbeat)
+    check.assertLessEqual(len(encode(replace(request.message, rows=[]))), 60)
