--- a/egretstack/ledger/_attempts.py
+++ b/egretstack/ledger/_attempts.py
@@ -18,13 +18,13 @@
     """It was sent and its outcome is unknown for good."""
     ENDED = "ended"
     """It has an outcome, which is being written."""
-    GONE = "gone"
+    OWNER_ENDED = "gone"
     """The process that owned it is no more."""
-    SILENT = "silent"
+    UNRESPONSIVE = "silent"
     """The owner does not answer: it may be frozen, cut off or gone."""
 
 
-class AttemptBook:
+class AttemptRegistry:
     """The stages of this process's attempts, until the ledger has what came of them."""
 
     def __init__(self, boot: str, limit: int) -> None:
@@ -33,7 +33,7 @@
         self._stage_by_id: dict[AttemptId, Stage] = {}
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Tell whether no further attempt can be remembered."""
         return len(self._stage_by_id) >= self._limit
 
@@ -60,13 +60,13 @@
     def stage(self, boot: str, attempt: AttemptId) -> Stage:
         """Answer a question about an attempt."""
         if boot != self._boot:
-            return Stage.GONE
+            return Stage.OWNER_ENDED
         # One that is not in the book has its outcome in the ledger: whoever asks read an older
         # row, and finds the outcome by reading again.
         return self._stage_by_id.get(attempt, Stage.ENDED)
 
 
-class NextMove(Enum):
+class NextAction(Enum):
     """What a repeat does about an open row."""
 
     REPLACE = "replace"
@@ -77,21 +77,21 @@
     """A look-up found that the call ran; its answer is not known."""
 
 
-def next_move(stage: Stage, row: Row, epoch_s: float, has_lookup: bool) -> NextMove:
+def next_action(stage: Stage, row: Row, epoch_s: float, has_lookup: bool) -> NextAction:
     """Decide about an open row from what its owner says.
 
     A silent owner is given the attempt's deadline to come back, and one that has ended to write
     the outcome; after that the repeat gets its final answer, so that repeats end.
     """
     if stage is Stage.ABANDONED:
-        return NextMove.REPLACE
+        return NextAction.REPLACE
     if stage is Stage.RUNNING or stage is Stage.ENDED and epoch_s < row.deadline_s:
-        return NextMove.WAIT
+        return NextAction.WAIT
     if has_lookup:
-        return NextMove.LOOK_UP
-    if stage is Stage.SILENT and epoch_s < row.deadline_s:
-        return NextMove.WAIT
-    return NextMove.UNKNOWN
+        return NextAction.LOOK_UP
+    if stage is Stage.UNRESPONSIVE and epoch_s < row.deadline_s:
+        return NextAction.WAIT
+    return NextAction.UNKNOWN
 
 
 class SendHistory:
@@ -106,18 +106,18 @@
         """Tell whether any try so far may have run."""
         return self._may_have_run is not None
 
-    def unsent(self, proof: NotRunProof) -> None:
+    def record_unsent(self, proof: NotRunProof) -> None:
         """Take in a try that did not leave; it says nothing of the tries before."""
         self._proof = proof
 
-    def unknown(self, cause: str) -> None:
+    def record_unknown(self, cause: str) -> None:
         """Take in a try that may have run."""
         self._may_have_run = cause
 
-    def refusal(self, no_try: str, may_have_run: ErrorKind) -> EgretError:
+    def final_error(self, no_runner_detail: str, may_have_run_kind: ErrorKind) -> EgretError:
         """Give the final answer; `may_have_run` is the kind for tries that may have."""
         if self._may_have_run is not None:
-            return EgretError(may_have_run, self._may_have_run)
+            return EgretError(may_have_run_kind, self._may_have_run)
         if self._proof is None:
-            return EgretError(ErrorKind.NO_RUNNER, no_try)
+            return EgretError(ErrorKind.NO_RUNNER, no_runner_detail)
         return EgretError(ErrorKind.NOT_RUN, self._proof.reason, proof=self._proof)
--- a/egretstack/ledger/_homes.py
+++ b/egretstack/ledger/_homes.py
@@ -10,49 +10,49 @@
 from egretstack.ids import AttemptId, InstanceId
 from egretstack.ledger._messages import ShardAsk, ShardTell
 from egretstack.ledger._row import KEY_ID_LENGTH, KeyId, Row
-from egretstack.ledger._shard import SHARDS
-from egretstack.ledger._steps import Operation, Outcome, Wanted
+from egretstack.ledger._shard import SHARD_COUNT
+from egretstack.ledger._steps import Operation, OperationKind, Outcome
 
 MAX_ROW_FIELD_LENGTH = 16_384
 
 
-class BadAsk(Exception):
+class InvalidShardRequest(Exception):
     """A peer asks for what no entry of this version would."""
 
 
-def home_of(shard: int, entries: list[InstanceId]) -> InstanceId | None:
+def find_ledger_home(shard: int, entries: list[InstanceId]) -> InstanceId | None:
     """Pick the shard's home by rendezvous hashing; entries with different lists may differ."""
     return max(entries, key=lambda entry: _weight(shard, entry), default=None)
 
 
-def ask_of(shard: int, operation: Operation, until_s: float) -> ShardAsk:
+def make_shard_request(shard: int, operation: Operation, until_s: float) -> ShardAsk:
     """Build the request to a home."""
-    over = operation.over or ""
-    wanted, row = operation.wanted.value, operation.row.spec()
+    over = operation.replaces or ""
+    wanted, row = operation.kind.value, operation.row.spec()
     return ShardAsk(shard, wanted, operation.key, row, over, until_s)
 
 
-def operation_of(ask: ShardAsk, epoch_s: float, now_s: float) -> Operation:
+def parse_shard_request(ask: ShardAsk, epoch_s: float, now_s: float) -> Operation:
     """Read a request, with the time left as its bound; raise BadAsk.
 
     A home that was frozen finds requests of long ago; their senders have done without it.
     """
-    if not 0 <= ask.shard < SHARDS or len(ask.key) != KEY_ID_LENGTH or epoch_s > ask.until_s:
-        raise BadAsk("no such shard or key, or too late")
+    if not 0 <= ask.shard < SHARD_COUNT or len(ask.key) != KEY_ID_LENGTH or epoch_s > ask.until_s:
+        raise InvalidShardRequest("no such shard or key, or too late")
     try:
         int(ask.key, 16)
-        wanted = Wanted(ask.wanted)
+        wanted = OperationKind(ask.wanted)
         row = Row.from_spec(ask.row)
     except (ValueError, TypeError) as error:
-        raise BadAsk(repr(error)) from error
-    if row.size > MAX_ROW_FIELD_LENGTH or wanted is Wanted.RETRACT:
-        raise BadAsk("a row that is too large, or a retraction")
+        raise InvalidShardRequest(repr(error)) from error
+    if row.size > MAX_ROW_FIELD_LENGTH or wanted is OperationKind.RETRACT:
+        raise InvalidShardRequest("a row that is too large, or a retraction")
     give_up_s = now_s + ask.until_s - epoch_s
     over = AttemptId(ask.over) or None
     return Operation(wanted, KeyId(ask.key), row, give_up_s, over, for_peer=True)
 
 
-def tell_of(operation: Operation) -> ShardTell:
+def make_shard_answer(operation: Operation) -> ShardTell:
     """Build the home's answer."""
     if operation.outcome is None:
         return ShardTell("", [])
@@ -60,7 +60,7 @@
     return ShardTell(operation.outcome.value, row.spec())
 
 
-def take_tell(tell: ShardTell, operation: Operation) -> bool:
+def apply_shard_answer(tell: ShardTell, operation: Operation) -> bool:
     """Take a home's answer over; False where it settles nothing and one writes oneself."""
     try:
         outcome = Outcome(tell.outcome)
--- a/egretstack/ledger/_intents.py
+++ b/egretstack/ledger/_intents.py
@@ -19,7 +19,7 @@
     fingerprint: str
     timeout_s: float
     retention_s: float
-    over: AttemptId | None = None
+    replaces: AttemptId | None = None
 
 
 @dataclass(frozen=True)
@@ -28,14 +28,14 @@
 
     key: KeyId
     row: Row
-    began_s: float
+    started_at_s: float
 
 
 class CallLedger(ABC):
     """Keeps intents and outcomes; what it refuses raises EgretError."""
 
     @abstractmethod
-    async def begin(self, ask: IntentRequest) -> Intent | Row:
+    async def begin(self, request: IntentRequest) -> Intent | Row:
         """Write an intent, or give the row that the key has already.
 
         Raises EgretError PLATFORM_AWAY; the call was then not sent and never will be.
--- a/egretstack/ledger/_lookup.py
+++ b/egretstack/ledger/_lookup.py
@@ -15,7 +15,7 @@
 _HTTP_OK = 200
 
 
-class LookUp(Enum):
+class LookupResult(Enum):
     """What a look-up told."""
 
     RAN = "ran"
@@ -23,7 +23,7 @@
     NO_ANSWER = "no-answer"
 
 
-def lookup_request(
+def make_lookup_request(
     spec: ServiceSpec, account: AccountId, key: IdempotencyKey, fence: int
 ) -> CallRequest:
     """Build the look-up; at a service that checks fencing numbers it also fences older ones off."""
@@ -34,14 +34,14 @@
     return CallRequest("GET", path, "", tuple(headers), b"", LOOKUP_TIMEOUT_S)
 
 
-def read_lookup(answer: CallResponse) -> LookUp:
+def parse_lookup(answer: CallResponse) -> LookupResult:
     """Read the answer: status 200 and a JSON object whose member `ran` is true or false."""
     if answer.status != _HTTP_OK:
-        return LookUp.NO_ANSWER
+        return LookupResult.NO_ANSWER
     try:
         ran = json.loads(answer.body)["ran"]
     except (ValueError, KeyError, TypeError):
-        return LookUp.NO_ANSWER
+        return LookupResult.NO_ANSWER
     if not isinstance(ran, bool):
-        return LookUp.NO_ANSWER
-    return LookUp.RAN if ran else LookUp.NOT_RAN
+        return LookupResult.NO_ANSWER
+    return LookupResult.RAN if ran else LookupResult.NOT_RAN
--- a/egretstack/ledger/_once.py
+++ b/egretstack/ledger/_once.py
@@ -10,15 +10,15 @@
 from egretstack.errors import EgretError, ErrorKind
 from egretstack.events import Event, log
 from egretstack.ids import AccountId, IdempotencyKey
-from egretstack.ledger._attempts import NextMove, SendHistory, next_move
+from egretstack.ledger._attempts import NextAction, SendHistory, next_action
 from egretstack.ledger._entry import CallState, fingerprint
 from egretstack.ledger._intents import CallLedger, Intent, IntentRequest
 from egretstack.ledger._lookup import (
     FENCING_HEADER,
     KEY_HEADER,
-    LookUp,
-    lookup_request,
-    read_lookup,
+    LookupResult,
+    make_lookup_request,
+    parse_lookup,
 )
 from egretstack.ledger._row import KeptAnswer, Row, check_same_request, key_id
 from egretstack.upstreams import CallRequest, CallResponse, OutcomeUnknown, PlainService, Unsent
@@ -30,7 +30,7 @@
 RAN = KeptAnswer(0)
 
 
-class OnceCall:
+class AtMostOnceCall:
     """A call with its key; `runners` gives the live runners of its service."""
 
     def __init__(
@@ -60,7 +60,7 @@
             self._spec.retention_s,
         )
         begun = await self._ledger.begin(asked)
-        if isinstance(begun, Row) and begun.open:
+        if isinstance(begun, Row) and begun.is_open:
             begun = await self._repeat(asked, begun)
         if isinstance(begun, Intent):
             return await self._dispatch(begun)
@@ -79,37 +79,37 @@
         check_same_request(row, asked.fingerprint)
         stage = await self._ledger.stage(row)
         now_s = self._epoch.now()
-        move = next_move(stage, row, now_s, bool(self._spec.lookup))
-        if move is NextMove.LOOK_UP:
-            move = await self._look_up(row, next_move(stage, row, now_s, has_lookup=False))
-        if move is NextMove.RAN:
-            return row.ended(CallState.DONE, RAN)
-        if move is NextMove.WAIT:
+        move = next_action(stage, row, now_s, bool(self._spec.lookup))
+        if move is NextAction.LOOK_UP:
+            move = await self._look_up(row, next_action(stage, row, now_s, has_lookup=False))
+        if move is NextAction.RAN:
+            return row.with_outcome(CallState.DONE, RAN)
+        if move is NextAction.WAIT:
             raise _in_progress(f"a call with this key has begun; its sender is {stage.value}")
-        if move is NextMove.UNKNOWN:
+        if move is NextAction.UNKNOWN:
             raise EgretError(ErrorKind.OUTCOME_UNKNOWN, f"the call's sender is {stage.value}")
         log(Event.CALL_TAKEN_OVER, attempt=row.attempt, stage=stage.value)
-        return await self._ledger.begin(replace(asked, over=row.attempt))
+        return await self._ledger.begin(replace(asked, replaces=row.attempt))
 
-    async def _look_up(self, row: Row, otherwise: NextMove) -> NextMove:
+    async def _look_up(self, row: Row, otherwise: NextAction) -> NextAction:
         """Ask the service whether the call ran; `otherwise` is the move if that settles nothing.
 
         "It did not run" settles it only where the look-up fences the attempt off as well: its
         sender may be frozen with the call in its hands, and would send it after the look-up.
         """
-        ask = lookup_request(self._spec, self._account, self._key, row.fence + 1)
-        found = LookUp.NO_ANSWER
+        ask = make_lookup_request(self._spec, self._account, self._key, row.fence + 1)
+        found = LookupResult.NO_ANSWER
         for runner in self._runners()[:MAX_RUNNERS_TRIED]:
             try:
-                found = read_lookup(await runner.call(ask))
+                found = parse_lookup(await runner.call(ask))
             except (Unsent, OutcomeUnknown):
                 continue
             break
         log(Event.CALL_LOOKED_UP, attempt=row.attempt, found=found.value)
-        if found is LookUp.RAN:
-            return NextMove.RAN
+        if found is LookupResult.RAN:
+            return NextAction.RAN
         fenced = self._spec.fencing is Fencing.CHECKED
-        return NextMove.REPLACE if found is LookUp.NOT_RAN and fenced else otherwise
+        return NextAction.REPLACE if found is LookupResult.NOT_RAN and fenced else otherwise
 
     async def _dispatch(self, intent: Intent) -> CallResponse:
         history = SendHistory()
@@ -119,21 +119,21 @@
             try:
                 answer = await self._send(runner, intent)
             except Unsent as error:
-                history.unsent(error.proof)
+                history.record_unsent(error.proof)
                 continue
             except EgretError as error:
                 # The check before the first byte found the intent too old to be sent.
-                history.unsent(error.proof)
+                history.record_unsent(error.proof)
                 break
             except OutcomeUnknown as error:
                 log(Event.CALL_UNKNOWN, attempt=intent.row.attempt, cause=str(error))
-                history.unknown(str(error))
+                history.record_unknown(str(error))
                 await self._ledger.finish(intent, None)
                 break
             return await self._answered(intent, answer)
         if not history.may_have_run:
             await self._ledger.release(intent)
-        raise history.refusal(f"service {self._spec.name}", ErrorKind.OUTCOME_UNKNOWN)
+        raise history.final_error(f"service {self._spec.name}", ErrorKind.OUTCOME_UNKNOWN)
 
     async def _send(self, runner: PlainService, intent: Intent) -> CallResponse:
         headers = self._request.headers
@@ -154,7 +154,7 @@
             # answer to the call, and the key is free or in the hands of the repeat.
             await self._ledger.release(intent)
             raise _in_progress("a later attempt took this one's place")
-        if not await self._ledger.finish(intent, KeptAnswer.of(answer)):
+        if not await self._ledger.finish(intent, KeptAnswer.from_response(answer)):
             raise _in_progress("a later attempt took this one's place")
         return answer
 
--- a/egretstack/ledger/_pruning.py
+++ b/egretstack/ledger/_pruning.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from egretstack.ledger._shard import SHARDS, BadShard, Shard, head_name
+from egretstack.ledger._shard import SHARD_COUNT, CorruptShard, Shard, head_name
 from egretstack.objectapi import (
     Conflict,
     ObjectApi,
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Pruned:
+class PruneResult:
     """What one round did: segments dropped, and heads that could not be done."""
 
     segments: int
@@ -43,23 +43,23 @@
     def __init__(
         self,
         api: ObjectApi,
-        shards: int = SHARDS,
+        shards: int = SHARD_COUNT,
         before_pair: Callable[[], Awaitable[None]] = trio.lowlevel.checkpoint,
     ) -> None:
         self._api = api
         self._before_pair = before_pair
         self._shards = shards
 
-    async def round(self, epoch_s: float) -> Pruned:
+    async def prune(self, epoch_s: float) -> PruneResult:
         """Drop what may be forgotten at `epoch_s`, in seconds since the epoch."""
         dropped = failed = 0
         for number in range(self._shards):
             try:
                 dropped += await self._prune_head(head_name(number), epoch_s)
-            except (PlatformAway, PlatformOutcomeUnknown, Conflict, BadShard):
+            except (PlatformAway, PlatformOutcomeUnknown, Conflict, CorruptShard):
                 # Another writer came first or the store is away: the next round does it.
                 failed += 1
-        return Pruned(dropped, failed)
+        return PruneResult(dropped, failed)
 
     async def _prune_head(self, name: str, epoch_s: float) -> int:
         shard = Shard.from_stored(await self._api.get(ObjectKind.LEDGER, name))
@@ -92,7 +92,7 @@
             left = tuple(one for one in shard.segments if one.name not in dropped)
             if left == shard.segments:
                 return
-            fresh = Shard(shard.row_by_key, left, shard.turn + 1)
+            fresh = Shard(shard.row_by_key, left, shard.write_count + 1)
             with suppress(Conflict):
                 await self._api.replace(ObjectKind.LEDGER, name, fresh.spec(), stored.version)
                 return
--- a/egretstack/ledger/_row.py
+++ b/egretstack/ledger/_row.py
@@ -45,7 +45,7 @@
     length: int = 0
 
     @classmethod
-    def of(cls, answer: CallResponse) -> "KeptAnswer":
+    def from_response(cls, answer: CallResponse) -> "KeptAnswer":
         """Bound an answer: a big one leaves its status, length and digest."""
         digest = hashlib.sha256(answer.body).hexdigest()
         header_bytes = sum(len(name) + len(value) for name, value in answer.headers)
@@ -96,7 +96,7 @@
     answer: KeptAnswer | None = None
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Tell whether the attempt may still be under way."""
         return self.state is CallState.INTENT
 
@@ -105,7 +105,7 @@
         """Give the bytes of the stored form, with its key."""
         return len(json.dumps(self.spec())) + KEY_ID_LENGTH + len('"": , ')
 
-    def ended(self, state: CallState, answer: KeptAnswer | None = None) -> "Row":
+    def with_outcome(self, state: CallState, answer: KeptAnswer | None = None) -> "Row":
         """Give the row with its outcome."""
         return replace(self, state=state, answer=answer)
 
--- a/egretstack/ledger/_segments.py
+++ b/egretstack/ledger/_segments.py
@@ -4,7 +4,7 @@
 
 from egretstack.ledger._row import KeyId, Row
 from egretstack.ledger._shard import Segment, SegmentIndex, Shard, largest_bucket
-from egretstack.ledger._steps import MakeSegment, Operation
+from egretstack.ledger._steps import CreateSegment, Operation
 
 
 class SegmentBook:
@@ -45,7 +45,7 @@
         self._missing.add(name)
         return again
 
-    def make(self, name: str, made: MakeSegment, version: str | None) -> None:
+    def make(self, name: str, made: CreateSegment, version: str | None) -> None:
         """Take in that a segment was made of rows of the head at a version."""
         self.made = Segment(name, made.until_s)
         self.moved = made.row_by_key
@@ -66,7 +66,7 @@
     def holder(self, operation: Operation, shard: Shard, epoch_s: float) -> str | None:
         """Give the newest segment that holds the key, or that must be read to know."""
         for segment in reversed(shard.segments):
-            if segment.until_s <= epoch_s or segment.name in operation.cleared:
+            if segment.until_s <= epoch_s or segment.name in operation.segments_without_key:
                 continue
             if not self._index_by_name[segment.name].may_hold(operation.key):
                 continue
@@ -75,10 +75,10 @@
             row = self.row_by_key.get(operation.key)
             if row is not None and row.until_s > epoch_s:
                 return segment.name
-            operation.cleared.add(segment.name)
+            operation.segments_without_key.add(segment.name)
         return None
 
-    def roll(self, rows: dict[KeyId, Row]) -> MakeSegment | None:
+    def roll(self, rows: dict[KeyId, Row]) -> CreateSegment | None:
         """Take moved rows out of `rows`, or tell which to move where there are too many."""
         if self.made is not None:
             for key, row in self.moved.items():
@@ -90,7 +90,7 @@
         moved = largest_bucket(rows)
         if not moved:
             return None
-        return MakeSegment(moved, max(row.until_s for row in moved.values()))
+        return CreateSegment(moved, max(row.until_s for row in moved.values()))
 
     def _add(self, name: str, keys: Iterable[KeyId]) -> None:
         self._index_by_name[name] = SegmentIndex(list(keys))
--- a/egretstack/ledger/_shard.py
+++ b/egretstack/ledger/_shard.py
@@ -14,7 +14,7 @@
 from egretstack.ledger._row import KeyId, Row
 from egretstack.objectapi import StoredObject
 
-SHARDS = 8
+SHARD_COUNT = 8
 """Never change it while rows are kept: a key would move to a shard that has not its row."""
 BUCKET_S = 3_600
 """Rows that may be forgotten in the same hour go into the same segment, which goes whole."""
@@ -34,12 +34,12 @@
     return f"head-{number}"
 
 
-def shard_number(key: KeyId, shards: int = SHARDS) -> int:
+def shard_number(key: KeyId, shards: int = SHARD_COUNT) -> int:
     """Give the shard of a key."""
     return int(key[:8], 16) % shards
 
 
-class BadShard(Exception):
+class CorruptShard(Exception):
     """A ledger object cannot be read; nothing may be sent on the strength of it."""
 
 
@@ -60,7 +60,7 @@
 
     row_by_key: dict[KeyId, Row] = field(default_factory=dict)
     segments: tuple[Segment, ...] = ()
-    turn: int = 0
+    write_count: int = 0
 
     @property
     def size(self) -> int:
@@ -70,7 +70,7 @@
     def spec(self) -> dict[str, object]:
         """Give the stored form."""
         return {
-            "turn": self.turn,
+            "turn": self.write_count,
             "segments": [[one.name, one.until_s] for one in self.segments],
             "rows": rows_spec(self.row_by_key),
         }
@@ -84,7 +84,7 @@
             listed = tuple(Segment(name, until_s) for name, until_s in stored.spec["segments"])
             return cls(read_rows(stored.spec), listed, stored.spec["turn"])
         except (KeyError, TypeError, ValueError) as error:
-            raise BadShard(f"{stored.name}: {error!r}") from error
+            raise CorruptShard(f"{stored.name}: {error!r}") from error
 
 
 def rows_spec(row_by_key: dict[KeyId, Row]) -> dict[str, object]:
--- a/egretstack/ledger/_steps.py
+++ b/egretstack/ledger/_steps.py
@@ -7,7 +7,7 @@
 from egretstack.ledger._row import KeyId, Row
 
 
-class Wanted(Enum):
+class OperationKind(Enum):
     """What an operation wants of the shard."""
 
     BEGIN = "begin"
@@ -43,17 +43,17 @@
     was asked to write the same intent and may do so late; `for_peer` that this process was asked.
     """
 
-    wanted: Wanted
+    kind: OperationKind
     key: KeyId
     row: Row
-    give_up_s: float
-    over: AttemptId | None = None
+    give_up_at_s: float
+    replaces: AttemptId | None = None
     forwarded: bool = False
     for_peer: bool = False
     in_doubt: bool = False
-    doubt: str | None = None
-    fresh: bool = False
-    cleared: set[str] = field(default_factory=set)
+    in_doubt_version: str | None = None
+    has_fresh_head: bool = False
+    segments_without_key: set[str] = field(default_factory=set)
     retraction: "Operation | None" = None
     outcome: Outcome | None = None
     found: Row | None = None
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True)
-class MakeSegment:
+class CreateSegment:
     """Create a segment under a name that nobody used."""
 
     row_by_key: dict[KeyId, Row]
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True)
-class DropSegment:
+class DeleteSegment:
     """Delete a segment that no head lists and none ever will."""
 
     name: str
@@ -94,4 +94,4 @@
     version: str | None = None
 
 
-Step = ReadHead | ReadSegment | MakeSegment | DropSegment | WriteHead
+Step = ReadHead | ReadSegment | CreateSegment | DeleteSegment | WriteHead
--- a/egretstack/ledger/_store.py
+++ b/egretstack/ledger/_store.py
@@ -7,16 +7,23 @@
 import trio
 
 from egretstack.clock import EpochClock
-from egretstack.ledger._shard import SHARDS, BadShard, Shard, head_name, read_rows, rows_spec
+from egretstack.ledger._shard import (
+    SHARD_COUNT,
+    CorruptShard,
+    Shard,
+    head_name,
+    read_rows,
+    rows_spec,
+)
 from egretstack.ledger._steps import (
-    DropSegment,
-    MakeSegment,
+    CreateSegment,
+    DeleteSegment,
     Operation,
+    OperationKind,
     Outcome,
     ReadHead,
     ReadSegment,
     Step,
-    Wanted,
     WriteHead,
 )
 from egretstack.ledger._writer import ShardWriter
@@ -61,21 +68,21 @@
         api: ObjectApi,
         epoch: EpochClock,
         nursery: trio.Nursery,
-        shards: int = SHARDS,
-        pace_s: float = PACE_S,
+        shards: int = SHARD_COUNT,
+        min_write_interval_s: float = PACE_S,
     ) -> None:
         self._api = api
         self._epoch = epoch
         self._nursery = nursery
-        self._pace_s = pace_s
+        self._pace_s = min_write_interval_s
         self._rng = random.Random()
         self._lanes = [_Lane(ShardWriter(), head_name(number)) for number in range(shards)]
         self._event_by_operation: dict[Operation, trio.Event] = {}
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell whether nothing waits to be written or settled."""
-        return all(lane.writer.idle for lane in self._lanes)
+        return all(lane.writer.is_idle for lane in self._lanes)
 
     def submit(self, number: int, operation: Operation) -> None:
         """Start an operation on a shard."""
@@ -85,7 +92,7 @@
             lane.working = True
             self._nursery.start_soon(self._work, lane)
 
-    def refuses(self, number: int) -> bool:
+    def is_unavailable(self, number: int) -> bool:
         """Tell whether the shard's store was away a moment ago."""
         return trio.current_time() < self._lanes[number].away_until_s
 
@@ -93,18 +100,18 @@
         """Wait for an operation's outcome until it gives up; a beginning then has one."""
         event = self._event_by_operation.setdefault(operation, trio.Event())
         if operation.outcome is None:
-            with trio.move_on_at(operation.give_up_s):
+            with trio.move_on_at(operation.give_up_at_s):
                 await event.wait()
         self._event_by_operation.pop(operation, None)
-        if operation.outcome is None and operation.wanted is Wanted.BEGIN:
-            self._lanes[number].writer.give_up(trio.current_time())
+        if operation.outcome is None and operation.kind is OperationKind.BEGIN:
+            self._lanes[number].writer.expire_begins(trio.current_time())
         return operation.outcome
 
     async def _work(self, lane: _Lane) -> None:
         while True:
             await trio.sleep_until(lane.next_write_s)
-            lane.writer.give_up(trio.current_time())
-            step = lane.writer.step(self._epoch.now())
+            lane.writer.expire_begins(trio.current_time())
+            step = lane.writer.next_step(self._epoch.now())
             self._announce()
             if step is None:
                 lane.working = False
@@ -124,16 +131,16 @@
             return
         except Conflict:
             lane.conflicts += 1
-            lane.writer.conflict()
+            lane.writer.on_conflict()
             pause_s = CONFLICT_PAUSE_S
         except (trio.TooSlowError, PlatformOutcomeUnknown):
-            lane.writer.failed(sent)
+            lane.writer.on_failure(sent)
             pause_s = CONFLICT_PAUSE_S if sent else AWAY_PAUSE_S
-        except (PlatformError, BadShard):
-            lane.writer.failed(False)
+        except (PlatformError, CorruptShard):
+            lane.writer.on_failure(False)
             pause_s = AWAY_PAUSE_S
-        if isinstance(step, DropSegment):
-            lane.writer.segment_dropped()
+        if isinstance(step, DeleteSegment):
+            lane.writer.on_segment_deleted()
         if pause_s == AWAY_PAUSE_S:
             lane.away_until_s = trio.current_time() + AWAY_PAUSE_S
         self._announce()
@@ -145,21 +152,21 @@
         match step:
             case ReadHead():
                 stored = await self._api.get(ObjectKind.LEDGER, lane.name)
-                writer.head_read(Shard.from_stored(stored), stored and stored.version)
+                writer.on_head_read(Shard.from_stored(stored), stored and stored.version)
             case ReadSegment(name):
                 stored = await self._api.get(ObjectKind.LEDGER, name)
-                writer.segment_read(name, _segment_rows(stored))
-            case MakeSegment():
+                writer.on_segment_read(name, _segment_rows(stored))
+            case CreateSegment():
                 # A random part: a name that another process could write would let a late write
                 # change a segment that is listed already.
                 name = f"seg-{lane.name}-{secrets.token_hex(8)}"
                 await self._api.create(ObjectKind.LEDGER, name, _segment_spec(step))
-                writer.segment_made(name, step)
-            case DropSegment(name):
+                writer.on_segment_created(name, step)
+            case DeleteSegment(name):
                 stored = await self._api.get(ObjectKind.LEDGER, name)
                 if stored is not None:
                     await self._api.delete(ObjectKind.LEDGER, name, stored.version)
-                writer.segment_dropped()
+                writer.on_segment_deleted()
             case WriteHead(spec, version):
                 lane.next_write_s = trio.current_time() + self._pace_s
                 await self._write(lane, spec, version)
@@ -169,10 +176,10 @@
             stored = await self._api.create(ObjectKind.LEDGER, lane.name, spec)
         else:
             stored = await self._api.replace(ObjectKind.LEDGER, lane.name, spec, version)
-        lane.writer.written(stored.version)
+        lane.writer.on_written(stored.version)
 
 
-def _segment_spec(step: MakeSegment) -> dict[str, object]:
+def _segment_spec(step: CreateSegment) -> dict[str, object]:
     return {"rows": rows_spec(step.row_by_key), "until_s": step.until_s}
 
 
@@ -182,4 +189,4 @@
     try:
         return read_rows(stored.spec)
     except (KeyError, TypeError, ValueError) as error:
-        raise BadShard(f"{stored.name}: {error!r}") from error
+        raise CorruptShard(f"{stored.name}: {error!r}") from error
--- a/egretstack/ledger/_writer.py
+++ b/egretstack/ledger/_writer.py
@@ -21,14 +21,14 @@
     Shard,
 )
 from egretstack.ledger._steps import (
-    DropSegment,
-    MakeSegment,
+    CreateSegment,
+    DeleteSegment,
     Operation,
+    OperationKind,
     Outcome,
     ReadHead,
     ReadSegment,
     Step,
-    Wanted,
     WriteHead,
 )
 
@@ -51,29 +51,29 @@
         self._shared = False
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell whether no operation waits."""
         return not self._pending and not self._batch
 
     def submit(self, operation: Operation) -> None:
         """Take an operation in; its outcome is set on it later."""
-        begins = operation.wanted is Wanted.BEGIN
+        begins = operation.kind is OperationKind.BEGIN
         if begins and len(self._pending) >= MAX_PENDING:
             operation.outcome = Outcome.REFUSED
             return
         self._pending.append(operation)
 
-    def give_up(self, now: float) -> None:
+    def expire_begins(self, now_s: float) -> None:
         """End the beginnings whose time is over; those in doubt are retracted from now on."""
         for operation in [*self._pending, *self._batch]:
-            begins = operation.wanted is Wanted.BEGIN and operation.outcome is None
-            if begins and operation.give_up_s <= now:
+            begins = operation.kind is OperationKind.BEGIN and operation.outcome is None
+            if begins and operation.give_up_at_s <= now_s:
                 self._end_begin(operation)
 
-    def step(self, epoch_s: float) -> Step | None:
+    def next_step(self, epoch_s: float) -> Step | None:
         """Give the next call to make, or None when nothing waits."""
         if self._segments.unlisted is not None:
-            return DropSegment(self._segments.unlisted)
+            return DeleteSegment(self._segments.unlisted)
         if not self._pending:
             if self._shared:
                 # Others write this shard too: a write on an old view would only conflict, and a
@@ -87,33 +87,33 @@
             return ReadSegment(unread)
         return self._plan(epoch_s)
 
-    def head_read(self, shard: Shard, version: str | None) -> None:
+    def on_head_read(self, shard: Shard, version: str | None) -> None:
         """Take in the head as just read."""
         self._shared = version != self._version
         self._shard, self._version = shard, version
         self._segments.head_read(shard, version)
         for operation in self._pending:
-            operation.fresh = True
+            operation.has_fresh_head = True
 
-    def segment_read(self, name: str, row_by_key: dict[KeyId, Row] | None) -> None:
+    def on_segment_read(self, name: str, row_by_key: dict[KeyId, Row] | None) -> None:
         """Take in a segment; None if there is none of that name."""
         if row_by_key is not None:
             self._segments.read(name, row_by_key)
             return
         # The head may list it no more; where it does, nothing can begin here safely.
         if self._segments.missing(name):
-            self.failed(False)
+            self.on_failure(False)
         self._shard = None
 
-    def segment_made(self, name: str, made: MakeSegment) -> None:
+    def on_segment_created(self, name: str, made: CreateSegment) -> None:
         """Take in that the segment exists; the next write of the head lists it."""
         self._segments.make(name, made, self._version)
 
-    def segment_dropped(self) -> None:
+    def on_segment_deleted(self) -> None:
         """Take in that an unlisted segment was deleted, or that this was tried."""
         self._segments.unlisted = None
 
-    def written(self, version: str) -> None:
+    def on_written(self, version: str) -> None:
         """Take in that the write took effect."""
         self._shard, self._version = self._draft, version
         self._segments.clear_made()
@@ -121,23 +121,23 @@
             operation.outcome = operation.outcome or Outcome.WRITTEN
         self._batch = []
 
-    def conflict(self) -> None:
+    def on_conflict(self) -> None:
         """Take in that another write came first, or that one's own landed unnoticed."""
         self._requeue()
 
-    def failed(self, sent: bool) -> None:
+    def on_failure(self, in_doubt: bool) -> None:
         """Take in that a call had no effect, or (`sent`) that a write may have had or have yet.
 
         Beginnings end at once: their callers are told when to come back.
         """
-        for operation in self._batch if sent else ():
+        for operation in self._batch if in_doubt else ():
             left = operation.retraction or operation
-            left.in_doubt, left.doubt = True, self._version
+            left.in_doubt, left.in_doubt_version = True, self._version
         self._requeue()
-        if sent:
+        if in_doubt:
             return
         for operation in list(self._pending):
-            if operation.wanted is Wanted.BEGIN:
+            if operation.kind is OperationKind.BEGIN:
                 self._end_begin(operation)
 
     def _searches(self) -> bool:
@@ -146,15 +146,15 @@
     @staticmethod
     def _needs_segments(operation: Operation) -> bool:
         """Tell whether an operation may add a row, which no older one of the key allows."""
-        retracts = operation.wanted is Wanted.RETRACT and operation.forwarded
-        return operation.wanted is Wanted.BEGIN or retracts
+        retracts = operation.kind is OperationKind.RETRACT and operation.forwarded
+        return operation.kind is OperationKind.BEGIN or retracts
 
     def _requeue(self) -> None:
         self._pending = [one for one in self._batch if one.outcome is None] + self._pending
         self._batch = []
         self._shard = None
         for operation in self._pending:
-            operation.fresh = False
+            operation.has_fresh_head = False
 
     def _end_begin(self, operation: Operation) -> None:
         under_way = operation in self._batch
@@ -171,13 +171,13 @@
         # The caller is answered, so this attempt is never sent. Its intent may be in the store
         # or land later and would block the key for ever: retracting it goes on until settled.
         operation.retraction = Operation(
-            Wanted.RETRACT,
+            OperationKind.RETRACT,
             operation.key,
-            operation.row.ended(CallState.NOT_RUN),
+            operation.row.with_outcome(CallState.NOT_RUN),
             inf,
             forwarded=operation.forwarded,
             in_doubt=operation.in_doubt,
-            doubt=operation.doubt,
+            in_doubt_version=operation.in_doubt_version,
         )
         self._pending.append(operation.retraction)
 
@@ -199,7 +199,7 @@
         segments = self._shard.segments
         if self._segments.made is not None:
             segments = (*segments, self._segments.made)
-        self._draft = Shard(rows, segments, self._shard.turn + 1)
+        self._draft = Shard(rows, segments, self._shard.write_count + 1)
         return WriteHead(self._draft.spec(), self._version)
 
     def _is_full(self, rows: dict[KeyId, Row]) -> bool:
@@ -222,15 +222,19 @@
             if segment is not None and segment != self._segments.loaded:
                 return ReadSegment(segment)
             found = self._segments.row_by_key[operation.key] if segment else None
-        if operation.wanted is not Wanted.BEGIN:
+        if operation.kind is not OperationKind.BEGIN:
             return self._apply_end(operation, found, rows, changed)
         if found is not None and found.attempt == operation.row.attempt:
             # Written by an update whose answer was lost, or by the home that was asked to.
             operation.row = found
-            return self._settle(operation, Outcome.WRITTEN if found.open else Outcome.REFUSED)
+            return self._settle(operation, Outcome.WRITTEN if found.is_open else Outcome.REFUSED)
         if found is not None and not _free(found, operation):
             operation.found = found
-            return self._settle(operation, Outcome.FOUND) if operation.fresh else self._reread()
+            return (
+                self._settle(operation, Outcome.FOUND)
+                if operation.has_fresh_head
+                else self._reread()
+            )
         if self._full:
             return self._settle(operation, Outcome.REFUSED)
         if found is not None:
@@ -260,17 +264,17 @@
             rows[operation.key] = operation.row
             changed.append(operation)
             return None
-        if operation.wanted is Wanted.RETRACT and self._may_land_yet(operation):
+        if operation.kind is OperationKind.RETRACT and self._may_land_yet(operation):
             # Nothing of ours is there, but a write delayed on its way could land until the
             # head's version moves. Writing the head, changed in its turn alone, shuts it out.
             changed.append(operation)
             return None
-        if not operation.fresh:
+        if not operation.has_fresh_head:
             return self._reread()
         return self._settle(operation, Outcome.LOST)
 
     def _may_land_yet(self, operation: Operation) -> bool:
-        return operation.in_doubt and operation.doubt == self._version
+        return operation.in_doubt and operation.in_doubt_version == self._version
 
     def _reread(self) -> ReadHead:
         self._shard = None
@@ -290,11 +294,11 @@
 
 def kept(row: Row, epoch_s: float) -> bool:
     """Tell whether a row is still kept; one without an outcome is kept longer."""
-    extra_s = OPEN_ROWS_KEPT_S if row.open else 0
+    extra_s = OPEN_ROWS_KEPT_S if row.is_open else 0
     return epoch_s < row.until_s + extra_s
 
 
 def _free(found: Row, operation: Operation) -> bool:
     if found.fingerprint != operation.row.fingerprint:
         return False
-    return found.state is CallState.NOT_RUN or found.attempt == operation.over
+    return found.state is CallState.NOT_RUN or found.attempt == operation.replaces
--- a/egretstack/platform/_entry_wire.py
+++ b/egretstack/platform/_entry_wire.py
@@ -51,7 +51,7 @@
         head=head,
         body=body,
         time_left_s=None if deadline_ms is None else deadline_ms / 1000,
-        key=_bearer(_value(head, _AUTHORIZATION)),
+        api_key=_bearer(_value(head, _AUTHORIZATION)),
         generation=_generation(head),
     )
 
--- a/egretstack/platform/_runner_wire.py
+++ b/egretstack/platform/_runner_wire.py
@@ -27,7 +27,7 @@
     RunnerLoad,
     RunnerReport,
     RunReport,
-    SendTerms,
+    SendOptions,
 )
 
 REPORT_PATH = b"/egretstack/report"
@@ -81,33 +81,33 @@
 _DECIMAL = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,12})?")
 
 
-def runner_request(request: ClientRequest, terms: SendTerms) -> RequestHead:
+def runner_request(request: ClientRequest, options: SendOptions) -> RequestHead:
     """Give the head that a runner gets for a client's request."""
     dropped = hop_by_hop_headers(request.head.headers) | _SYSTEM_ONLY
     headers = [one for one in request.head.headers if one[0] not in dropped]
-    headers.append((_DEADLINE_MS, b"%d" % max(1, int(terms.time_left_s * 1000))))
-    headers.append((b"expect-runner", terms.runner_name.encode()))
-    if terms.account is not None:
-        headers.append((b"tenant", terms.account.encode()))
-    if terms.priority is not None:
-        headers.append((b"request-priority", b"%d" % min(_MOST_PRIORITY, max(0, terms.priority))))
-    if terms.backup_address is not None:
-        headers.append((b"kv-backup", terms.backup_address.encode()))
-    headers.extend(_continuation(terms))
+    headers.append((_DEADLINE_MS, b"%d" % max(1, int(options.time_left_s * 1000))))
+    headers.append((b"expect-runner", options.runner_name.encode()))
+    if options.account is not None:
+        headers.append((b"tenant", options.account.encode()))
+    if options.priority is not None:
+        headers.append((b"request-priority", b"%d" % min(_MOST_PRIORITY, max(0, options.priority))))
+    if options.backup_address is not None:
+        headers.append((b"kv-backup", options.backup_address.encode()))
+    headers.extend(_continuation(options))
     if request.body or first_value(request.head.headers, b"content-length") is not None:
         headers.append((b"content-length", b"%d" % len(request.body)))
     return RequestHead(request.head.method, request.head.target, tuple(headers))
 
 
-def _continuation(terms: SendTerms) -> list[Header]:
-    if terms.continue_from is not None:
-        place = f"{terms.continue_from.address}/{terms.continue_from.copy_id}"
+def _continuation(options: SendOptions) -> list[Header]:
+    if options.continue_from is not None:
+        place = f"{options.continue_from.address}/{options.continue_from.copy_id}"
         return [
             (b"kv-from", place.encode()),
-            (_LAST_EVENT_ID, terms.continue_from.last_event_id.encode()),
+            (_LAST_EVENT_ID, options.continue_from.last_event_id.encode()),
         ]
-    if terms.last_event_id is not None:
-        return [(_LAST_EVENT_ID, terms.last_event_id.encode())]
+    if options.last_event_id is not None:
+        return [(_LAST_EVENT_ID, options.last_event_id.encode())]
     return []
 
 
@@ -124,7 +124,7 @@
         load=_load(first_value(head.headers, _LOAD)),
         limit_per_s=_limit(first_value(head.headers, _LIMIT)),
         leaving=first_value(head.headers, _LEAVING) == b"1",
-        rest_s=_rest_s(head),
+        backoff_s=_rest_s(head),
     )
 
 
@@ -177,7 +177,7 @@
         kv_used_tokens=whole(row, "kv-used", 0),
         kv_total_tokens=whole(row, "kv-total", 0),
         runs=_runs(row),
-        born_ms=birth(row),
+        started_ms=birth(row),
     )
 
 
@@ -213,7 +213,7 @@
     200: MoveOutcome.COPIED,
     404: MoveOutcome.NO_SUCH_RUN,
     409: MoveOutcome.BUSY,
-    503: MoveOutcome.NO_ROOM,
+    503: MoveOutcome.NO_CAPACITY,
 }
 
 
--- a/egretstack/relay/_context.py
+++ b/egretstack/relay/_context.py
@@ -22,7 +22,7 @@
 from egretstack.relay._crash_guard import CrashGuard
 from egretstack.relay._runner_signals import RunnerSignals
 from egretstack.routing import ClientAccount, EngineConfig, Route, ServiceConfig
-from egretstack.traffic import ClientRequest, RunnerAnswer, SendTerms
+from egretstack.traffic import ClientRequest, RunnerAnswer, SendOptions
 
 RANKS = 100
 """Number of route ranks that are distinguished within one client account rank."""
@@ -143,7 +143,7 @@
     def _account_rank(self) -> int:
         return self.account.rank or 0 if self.account is not None else 0
 
-    def send_terms(self, runner: Runner, **more: object) -> SendTerms:
+    def send_options(self, runner: Runner, **more: object) -> SendOptions:
         """Return the terms of a send to a runner."""
         account = None if self.account is None else self.account.name
-        return SendTerms(runner.incarnation.name, self.time_left_s(), account, **more)
+        return SendOptions(runner.incarnation.name, self.time_left_s(), account, **more)
--- a/egretstack/relay/_engine_calls.py
+++ b/egretstack/relay/_engine_calls.py
@@ -33,7 +33,7 @@
     Raises UpstreamBroken.
     """
     backup = context.runners.by_id.get(run.backup) if run.backup else None
-    terms = task.send_terms(
+    terms = task.send_options(
         context.runners.by_id[run.runner],
         priority=task.priority,
         backup_address=None if backup is None else backup.address,
--- a/egretstack/relay/_mover.py
+++ b/egretstack/relay/_mover.py
@@ -219,7 +219,7 @@
         if answer.outcome is not MoveOutcome.COPIED or not answer.handle:
             self._handle, self._run.backup = "", None
             self._copied_tokens = 0
-            if answer.outcome is MoveOutcome.NO_ROOM:
+            if answer.outcome is MoveOutcome.NO_CAPACITY:
                 self._refused.append(destination.id)
             return False
         near = source.zone == destination.zone
--- a/egretstack/relay/_plain.py
+++ b/egretstack/relay/_plain.py
@@ -204,7 +204,7 @@
         self, task: RelayTask, runner: Runner, connection: UpstreamConnection, progress: _Progress
     ) -> tuple[_Result, BufferedResponse | None]:
         sent_s = trio.current_time()
-        head = runner_request(task.request, task.send_terms(runner))
+        head = runner_request(task.request, task.send_options(runner))
         try:
             with trio.fail_after(self._send_timeout_s(task, progress)):
                 response, body = await exchange(
@@ -239,7 +239,7 @@
             progress.execution.mark_unknown()
         if result in (_Result.ANSWERED, _Result.FAILED):
             self._context.crash_guard.record_answered(task.content_id)
-        if answer.rest_s is not None:
+        if answer.backoff_s is not None:
             self._context.balancer.record_rejected(runner.id)
             return result, BufferedResponse(client_head(answer), body)
         self._context.balancer.record_ended(
--- a/egretstack/services/calls.py
+++ b/egretstack/services/calls.py
@@ -9,7 +9,7 @@
 from egretstack.errors import EgretError, ErrorKind
 from egretstack.ids import AccountId, ServiceName
 from egretstack.kernel import Kernel, Service
-from egretstack.ledger import ACCOUNT_HEADER, FENCING_HEADER, OnceCall, SendHistory
+from egretstack.ledger import ACCOUNT_HEADER, FENCING_HEADER, AtMostOnceCall, SendHistory
 from egretstack.services.accounts import Accounts
 from egretstack.services.configuration import Configuration
 from egretstack.services.ledger_store import LedgerStore
@@ -79,7 +79,9 @@
     ) -> CallResponse:
         ledger = self.kernel.get(LedgerStore)
         runners = partial(self.kernel.get(Runners).plain, spec.name)
-        return await OnceCall(ledger, self.kernel.epoch, spec, account, request, runners).run()
+        return await AtMostOnceCall(
+            ledger, self.kernel.epoch, spec, account, request, runners
+        ).run()
 
     async def _repeatable(self, service: ServiceName, request: CallRequest) -> CallResponse:
         history = SendHistory()
@@ -91,10 +93,10 @@
             try:
                 return await runner.call(replace(request, timeout_s=left_s))
             except Unsent as error:
-                history.unsent(error.proof)
+                history.record_unsent(error.proof)
             except OutcomeUnknown as error:
-                history.unknown(str(error))
-        raise history.refusal(f"service {service}", ErrorKind.UPSTREAM_FAILED)
+                history.record_unknown(str(error))
+        raise history.final_error(f"service {service}", ErrorKind.UPSTREAM_FAILED)
 
 
 def _for_account(request: CallRequest, account: AccountId) -> CallRequest:
--- a/egretstack/services/engine_reports.py
+++ b/egretstack/services/engine_reports.py
@@ -108,8 +108,8 @@
         if report is None:
             self._unanswered.record_miss(runner.id)
             return
-        if report.born_ms not in (None, runner.incarnation.started_ms):
-            self._port.record_runner_start(runner.id, report.born_ms)
+        if report.started_ms not in (None, runner.incarnation.started_ms):
+            self._port.record_runner_start(runner.id, report.started_ms)
             return
         self._unanswered.record_answer(runner.id)
         for listener in self._listeners:
--- a/egretstack/services/ledger_pruning.py
+++ b/egretstack/services/ledger_pruning.py
@@ -31,5 +31,5 @@
         The lease only saves calls, since each step is harmless when it is late.
         """
         pruner = LedgerPruner(api, before_pair=api.before_pair)
-        pruned = await pruner.round(self.kernel.epoch.now())
+        pruned = await pruner.prune(self.kernel.epoch.now())
         log(Event.LEDGER_PRUNED, segments=pruned.segments, failed_heads=pruned.failed_heads)
--- a/egretstack/services/ledger_store.py
+++ b/egretstack/services/ledger_store.py
@@ -12,28 +12,28 @@
 from egretstack.kernel import Kernel, Service
 from egretstack.ledger import (
     AttemptAsk,
-    AttemptBook,
+    AttemptRegistry,
     AttemptTell,
-    BadAsk,
     CallLedger,
     CallState,
     Intent,
     IntentRequest,
+    InvalidShardRequest,
     KeptAnswer,
     Operation,
+    OperationKind,
     Outcome,
     Row,
     ShardAsk,
     ShardStore,
     ShardTell,
     Stage,
-    Wanted,
-    ask_of,
-    home_of,
-    operation_of,
+    apply_shard_answer,
+    find_ledger_home,
+    make_shard_answer,
+    make_shard_request,
+    parse_shard_request,
     shard_number,
-    take_tell,
-    tell_of,
 )
 from egretstack.objectapi import ENTRY_SERVICE, MemberState
 from egretstack.peers import Message, Nothing, PeerGone, PeerRefused
@@ -70,7 +70,7 @@
         super().__init__(kernel)
         self._boot = secrets.token_hex(8)
         self._owner = InstanceId(kernel.settings.text("instance", "id"))
-        self._attempts = AttemptBook(self._boot, MAX_ATTEMPTS)
+        self._attempts = AttemptRegistry(self._boot, MAX_ATTEMPTS)
         self._nursery: trio.Nursery
         self._store: ShardStore
 
@@ -88,7 +88,7 @@
     async def drain(self) -> None:
         """Write what is left, within a bound: with the platform unavailable it would never end."""
         with trio.move_on_after(DRAIN_TIMEOUT_S):
-            while not self._store.idle:
+            while not self._store.is_idle:
                 await trio.sleep(0.1)
 
     async def begin(self, request: IntentRequest) -> Intent | Row:
@@ -97,12 +97,12 @@
         Raises EgretError PLATFORM_AWAY; the call was then not sent and never will be.
         """
         number = shard_number(request.key)
-        if self._attempts.full or self._store.refuses(number):
+        if self._attempts.is_full or self._store.is_unavailable(number):
             raise _unavailable("the store did not answer a moment ago")
         began_s = trio.current_time()
         row = self._new_row(request)
         operation = Operation(
-            Wanted.BEGIN, request.key, row, began_s + BEGIN_TIMEOUT_S, request.over
+            OperationKind.BEGIN, request.key, row, began_s + BEGIN_TIMEOUT_S, request.replaces
         )
         self._attempts.begin(row.attempt)
         if await self._forward_to_home(number, operation):
@@ -128,7 +128,7 @@
         This catches a process that was paused after it wrote its intent. Its key may have been
         forgotten meanwhile and used again, so what it would send now could run a second time.
         """
-        age_s = trio.current_time() - intent.began_s
+        age_s = trio.current_time() - intent.started_at_s
         if age_s > MAX_SEND_AGE_S or not self._attempts.may_send(intent.row.attempt):
             log(Event.INTENT_TOO_OLD, attempt=intent.row.attempt, age_s=round(age_s, 3))
             proof = NotRunProof(f"the intent was {age_s:.1f} s old, so the call was not sent")
@@ -138,14 +138,14 @@
         """Free the key of an intent that was not sent and, from this moment, never will be."""
         self._attempts.abandon(intent.row.attempt)
         until_s = min(intent.row.until_s, self.kernel.epoch.now() + NOT_RUN_RETENTION_S)
-        row = replace(intent.row.ended(CallState.NOT_RUN), until_s=until_s)
+        row = replace(intent.row.with_outcome(CallState.NOT_RUN), until_s=until_s)
         await self._finish(intent, row)
 
     async def finish(self, intent: Intent, answer: KeptAnswer | None) -> bool:
         """Write the outcome, None if unknown; return False if another attempt took over the key."""
         self._attempts.end(intent.row.attempt, answer is not None)
         state = CallState.UNKNOWN if answer is None else CallState.DONE
-        return await self._finish(intent, intent.row.ended(state, answer))
+        return await self._finish(intent, intent.row.with_outcome(state, answer))
 
     async def stage(self, row: Row) -> Stage:
         """Query the owner of an attempt for the attempt's stage."""
@@ -155,7 +155,7 @@
         owner = next((one for one in members if one.id == row.owner), None)
         if owner is None or _PEER_PORT not in owner.ports:
             # The list lags, and a live instance may be missing from it, so this proves nothing.
-            return Stage.SILENT
+            return Stage.UNRESPONSIVE
         query = AttemptAsk(row.boot, row.attempt)
         try:
             answer = await self.kernel.get(PeerPort).request(
@@ -163,11 +163,11 @@
             )
             return Stage(answer.stage)
         except (PeerGone, PeerRefused, ValueError, AttributeError):
-            return Stage.SILENT
+            return Stage.UNRESPONSIVE
 
     async def _finish(self, intent: Intent, row: Row) -> bool:
         number = shard_number(intent.key)
-        operation = Operation(Wanted.FINISH, intent.key, row, inf)
+        operation = Operation(OperationKind.FINISH, intent.key, row, inf)
         if await self._forward_to_home(number, operation):
             self._attempts.forget(row.attempt)
             return operation.outcome is not Outcome.LOST
@@ -186,12 +186,12 @@
         """
         members = self.kernel.get(Instances).members(ENTRY_SERVICE, MemberState.LIVE)
         member_by_id = {InstanceId(one.id): one for one in members if _PEER_PORT in one.ports}
-        home = home_of(number, list(member_by_id))
+        home = find_ledger_home(number, list(member_by_id))
         if home is None or home == self._owner:
             return False
         operation.forwarded = True
         until_s = self.kernel.epoch.now() + HOME_TIMEOUT_S
-        query = ask_of(number, operation, until_s)
+        query = make_shard_request(number, operation, until_s)
         member = member_by_id[home]
         with trio.move_on_after(HOME_TIMEOUT_S):
             try:
@@ -199,17 +199,17 @@
                 answer = await port.request(home, member.host, member.ports[_PEER_PORT], query)
             except (PeerGone, PeerRefused):
                 return False
-            return isinstance(answer, ShardTell) and take_tell(answer, operation)
+            return isinstance(answer, ShardTell) and apply_shard_answer(answer, operation)
         return False
 
     async def _write_for_peer(self, message: Message) -> Message:
         try:
-            operation = operation_of(message, self.kernel.epoch.now(), trio.current_time())
-        except BadAsk:
+            operation = parse_shard_request(message, self.kernel.epoch.now(), trio.current_time())
+        except InvalidShardRequest:
             return Nothing()
         self._store.submit(message.shard, operation)
         await self._store.wait(message.shard, operation)
-        return tell_of(operation)
+        return make_shard_answer(operation)
 
     async def _forget_after(self, number: int, operation: Operation) -> None:
         await self._store.wait(number, operation)
--- a/egretstack/services/relaying.py
+++ b/egretstack/services/relaying.py
@@ -130,7 +130,7 @@
 
     @staticmethod
     def _account(table: RoutingTable, route: Route, request: ClientRequest) -> ClientAccount | None:
-        account = table.account(request.key)
+        account = table.account(request.api_key)
         if account is None and table.configuration.has_accounts and not route.anonymous:
             raise RequestFailed(ErrorKind.UNAUTHENTICATED, "no account has this key")
         return account
--- a/egretstack/services/runner_words.py
+++ b/egretstack/services/runner_words.py
@@ -47,12 +47,12 @@
             return  # The signal of another runner.
         self._port.record_runner_limit(runner, answer.limit_per_s, sent_s)
         is_new = answer.leaving and not self._port.runners.is_leaving(runner)
-        if is_new or answer.rest_s is not None:
-            log(Event.RUNNER_WORD, runner=runner, leaving=answer.leaving, rest_s=answer.rest_s)
+        if is_new or answer.backoff_s is not None:
+            log(Event.RUNNER_WORD, runner=runner, leaving=answer.leaving, rest_s=answer.backoff_s)
         if answer.leaving:
             self._port.record_leaving(runner)
-        if answer.rest_s is not None:
-            self._backoffs.record_requested(trio.current_time(), runner, answer.rest_s)
+        if answer.backoff_s is not None:
+            self._backoffs.record_requested(trio.current_time(), runner, answer.backoff_s)
 
     def _on_report(self, instance: InstanceId, report: InstanceReport) -> None:
         try:
--- a/egretstack/services/session_host.py
+++ b/egretstack/services/session_host.py
@@ -40,7 +40,7 @@
 from egretstack.upstreams import (
     EngineClient,
     EngineError,
-    GenerationGone,
+    GenerationNotFound,
     GenerationRequest,
     GenerationState,
 )
@@ -152,7 +152,7 @@
         ref = self._ref(contract, session_id)
         try:
             return await self._engine(ref).state(ref.generation)
-        except GenerationGone as error:
+        except GenerationNotFound as error:
             raise EgretError(ErrorKind.GENERATION_LOST, "the engine does not have it") from error
         except EngineError as error:
             raise EgretError(ErrorKind.UPSTREAM_FAILED, "the engine does not answer") from error
--- a/egretstack/sessions/_engine_query.py
+++ b/egretstack/sessions/_engine_query.py
@@ -10,7 +10,7 @@
     EngineRefused,
     EngineSilent,
     EngineUnreachable,
-    GenerationGone,
+    GenerationNotFound,
 )
 
 _FAILURE_BY_ERROR: dict[type[EngineError], Failure] = {
@@ -19,7 +19,7 @@
     EngineRefused: Failure.REFUSED,
     EngineBroken: Failure.BROKEN,
     EngineSilent: Failure.SILENT,
-    GenerationGone: Failure.GONE,
+    GenerationNotFound: Failure.GONE,
 }
 
 
@@ -48,7 +48,7 @@
     """
     try:
         await engine.state(generation)
-    except GenerationGone:
+    except GenerationNotFound:
         return EngineWord.GONE
     except (EngineNoAnswer, EngineSilent):
         return EngineWord.NO_ANSWER
--- a/egretstack/traffic/__init__.py
+++ b/egretstack/traffic/__init__.py
@@ -7,7 +7,7 @@
     RunnerAnswer,
     RunnerHealth,
     RunnerLoad,
-    SendTerms,
+    SendOptions,
 )
 
 __all__ = [
@@ -22,5 +22,5 @@
     "RunnerHealth",
     "RunnerLoad",
     "RunnerReport",
-    "SendTerms",
+    "SendOptions",
 ]
--- a/egretstack/traffic/_report.py
+++ b/egretstack/traffic/_report.py
@@ -26,7 +26,7 @@
     """Memory of runs, pins and holds; what is only cached is not in it."""
     kv_total_tokens: int
     runs: tuple[RunReport, ...]
-    born_ms: int | None = None
+    started_ms: int | None = None
     """When it started, by its own clock, in Unix milliseconds; None if it does not tell."""
 
 
@@ -37,7 +37,7 @@
     NO_SUCH_RUN = "no-such-run"
     BUSY = "busy"
     """Another copy of the same run is under way."""
-    NO_ROOM = "no-room"
+    NO_CAPACITY = "no-room"
     """The destination has no room or is not reached."""
     FAILED = "failed"
 
@@ -48,4 +48,4 @@
 
     outcome: MoveOutcome
     handle: str
-    events_made: int
+    generated_events: int
--- a/egretstack/traffic/_request.py
+++ b/egretstack/traffic/_request.py
@@ -55,7 +55,7 @@
     body: bytes
     time_left_s: float | None
     """How long the client said that it will wait, when its head was read."""
-    key: str | None
+    api_key: str | None
     """Secret of the client account; never logged, never passed on."""
     generation: Generation | None
 
--- a/egretstack/traffic/_send.py
+++ b/egretstack/traffic/_send.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendTerms:
+class SendOptions:
     """What the system adds to a request for one send."""
 
     runner_name: RunnerName
@@ -71,5 +71,5 @@
     None if it names no limit."""
     leaving: bool = False
     """Whether the runner says that it leaves."""
-    rest_s: float | None = None
+    backoff_s: float | None = None
     """How long the runner, which turned the request away, wants nothing from this instance."""
--- a/egretstack/upstreams/_engine.py
+++ b/egretstack/upstreams/_engine.py
@@ -41,7 +41,7 @@
     """Nothing came for the silence allowed; the connection may be dead, or the engine busy."""
 
 
-class GenerationGone(EngineError):
+class GenerationNotFound(EngineError):
     """The engine answers and does not have the generation any more."""
 
 
--- a/egretstack/upstreams/_http_engine.py
+++ b/egretstack/upstreams/_http_engine.py
@@ -23,7 +23,7 @@
     EngineRefused,
     EngineSilent,
     EngineUnreachable,
-    GenerationGone,
+    GenerationNotFound,
     GenerationRequest,
     GenerationState,
     LoadReport,
@@ -49,12 +49,12 @@
     def __init__(
         self,
         client: httpx.AsyncClient,
-        fresh: httpx.AsyncClient,
+        unpooled_client: httpx.AsyncClient,
         base_url: str,
         silence_s: float,
     ) -> None:
         self._client = client
-        self._fresh = fresh
+        self._fresh = unpooled_client
         self._base = base_url
         self._stream_timeout = httpx.Timeout(client.timeout.connect, read=silence_s)
 
@@ -103,7 +103,7 @@
         """Ask after a generation over a new connection. Raises EngineError, GenerationGone."""
         response = await self._ask("GET", f"/v1/responses/{generation}", client=self._fresh)
         if response.status_code == _HTTP_NOT_FOUND:
-            raise GenerationGone(generation)
+            raise GenerationNotFound(generation)
         try:
             return GenerationState(response.json()["status"])
         except (ValueError, KeyError, TypeError) as error:
@@ -186,7 +186,7 @@
     if response.status_code in _BUSY:
         raise EngineRefused(f"status {response.status_code}", _retry_after(response))
     if response.status_code == _HTTP_NOT_FOUND and generation is not None:
-        raise GenerationGone(generation)
+        raise GenerationNotFound(generation)
     if response.is_error and generation is not None:
         # The generation may be there still: an answer such as 500 does not say that it is gone.
         raise EngineBroken(f"status {response.status_code}")
--- a/scripts/slopes_ledger.py
+++ b/scripts/slopes_ledger.py
@@ -24,13 +24,13 @@
     KeptAnswer,
     LedgerEntry,
     Operation,
+    OperationKind,
     Outcome,
     PerCallLedger,
     Row,
     Shard,
     ShardStore,
     ShardWriter,
-    Wanted,
     key_id,
     shard_number,
 )
@@ -91,15 +91,15 @@
         now_s = epoch.now()
         row = _row(number, now_s)
         shard = shard_number(key, self.shards)
-        begin = Operation(Wanted.BEGIN, key, row, began_s + PATIENCE_S)
+        begin = Operation(OperationKind.BEGIN, key, row, began_s + PATIENCE_S)
         ledger.submit(shard, begin)
         if await ledger.wait(shard, begin) is not Outcome.WRITTEN:
             self.refused += 1
             return
         self.waits.append(trio.current_time() - began_s)
         await trio.sleep(CALL_S)
-        ended = row.ended(CallState.DONE, KeptAnswer.of(ANSWER))
-        finish = Operation(Wanted.FINISH, key, ended, inf)
+        ended = row.with_outcome(CallState.DONE, KeptAnswer.from_response(ANSWER))
+        finish = Operation(OperationKind.FINISH, key, ended, inf)
         ledger.submit(shard, finish)
         await ledger.wait(shard, finish)
         self.done += 1
@@ -161,15 +161,15 @@
     held = {}
     for number in range(rows):
         key = key_id(ACCOUNT, SERVICE, IdempotencyKey(f"key-{number}"))
-        held[key] = _row(number, 0.0).ended(CallState.DONE, KeptAnswer.of(ANSWER))
-    writer.head_read(Shard(held), "1")
+        held[key] = _row(number, 0.0).with_outcome(CallState.DONE, KeptAnswer.from_response(ANSWER))
+    writer.on_head_read(Shard(held), "1")
     began_s = time.perf_counter()
     for number in range(COMMITS):
         key = key_id(ACCOUNT, SERVICE, IdempotencyKey(f"more-{number}"))
-        writer.submit(Operation(Wanted.BEGIN, key, _row(number, 0.0), inf))
-        step = writer.step(0.0)
+        writer.submit(Operation(OperationKind.BEGIN, key, _row(number, 0.0), inf))
+        step = writer.next_step(0.0)
         body = json.dumps(step.spec)
-        writer.written(str(number))
+        writer.on_written(str(number))
     spent_ms = (time.perf_counter() - began_s) * 1000 / COMMITS
     line = {"way": "commit", "rows": rows, "bytes": len(body), "commit_ms": round(spent_ms, 3)}
     print(json.dumps(line), flush=True)
--- a/standins/engine_client.py
+++ b/standins/engine_client.py
@@ -15,7 +15,7 @@
     EngineRefused,
     EngineSilent,
     EngineUnreachable,
-    GenerationGone,
+    GenerationNotFound,
     GenerationRequest,
     GenerationState,
     LoadReport,
@@ -111,7 +111,7 @@
 
     def _find(self, generation: GenerationId) -> Generation:
         if generation not in self._live.by_id:
-            raise GenerationGone(generation)
+            raise GenerationNotFound(generation)
         return self._live.by_id[generation]
 
     async def _reach(self) -> None:
--- a/tests/ledger_site.py
+++ b/tests/ledger_site.py
@@ -26,7 +26,7 @@
 
 
 @asynccontextmanager
-async def site(entries=2, fencing="ignored", lookup=""):
+async def deployment(entries=2, fencing="ignored", lookup=""):
     """Give a world with entries and one plain service, its runner and its book."""
     service = {
         "service": {"name": "holds", "kind": "plain", "fencing": fencing},
@@ -78,7 +78,7 @@
     """Give every intent that the store holds."""
     heads = [one for one in world.store.of_kind(ObjectKind.LEDGER) if "turn" in one.spec]
     rows = [row for head in heads for row in Shard.from_stored(head).row_by_key.values()]
-    return [row for row in rows if row.open]
+    return [row for row in rows if row.is_open]
 
 
 async def freeze_before_first_byte(world, process, runner, request=None):
--- a/tests/ledger_support.py
+++ b/tests/ledger_support.py
@@ -7,16 +7,16 @@
 from egretstack.ids import AccountId, AttemptId, IdempotencyKey, InstanceId, ServiceName
 from egretstack.ledger import (
     CallState,
-    DropSegment,
-    MakeSegment,
+    CreateSegment,
+    DeleteSegment,
     Operation,
+    OperationKind,
     ReadHead,
     ReadSegment,
     Row,
     Shard,
     ShardWriter,
     Step,
-    Wanted,
     WriteHead,
     key_id,
     read_rows,
@@ -45,11 +45,11 @@
 
 
 def begin(name, attempt, over=None, give_up_s=inf, **more):
-    return Operation(Wanted.BEGIN, key(name), row(attempt, **more), give_up_s, over)
+    return Operation(OperationKind.BEGIN, key(name), row(attempt, **more), give_up_s, over)
 
 
 def finish(name, attempt, state=CallState.DONE, **more):
-    return Operation(Wanted.FINISH, key(name), row(attempt, state=state, **more), inf)
+    return Operation(OperationKind.FINISH, key(name), row(attempt, state=state, **more), inf)
 
 
 @dataclass
@@ -72,35 +72,35 @@
     def take(self, writer: ShardWriter, step: Step, fault: str = "") -> None:
         """Carry a step out; faults are away, lost-request, lost-answer and late."""
         if fault == "away":
-            writer.failed(False)
+            writer.on_failure(False)
             return
         match step:
             case ReadHead():
                 stored = self.head()
-                writer.head_read(Shard.from_stored(stored), stored and stored.version)
+                writer.on_head_read(Shard.from_stored(stored), stored and stored.version)
             case ReadSegment(name):
                 stored = self.store.by_place.get((ObjectKind.LEDGER, name))
-                writer.segment_read(name, stored and read_rows(stored.spec))
-            case MakeSegment(row_by_key):
+                writer.on_segment_read(name, stored and read_rows(stored.spec))
+            case CreateSegment(row_by_key):
                 self.made += 1
                 name = f"seg-{self.made}"
                 self.store.put(ObjectKind.LEDGER, name, {"rows": rows_spec(row_by_key)}, None)
-                writer.segment_made(name, step)
-            case DropSegment(name):
+                writer.on_segment_created(name, step)
+            case DeleteSegment(name):
                 stored = self.store.by_place[ObjectKind.LEDGER, name]
                 self.store.remove(ObjectKind.LEDGER, name, stored.version)
-                writer.segment_dropped()
+                writer.on_segment_deleted()
             case WriteHead(spec, version):
                 self._write(writer, spec, version, fault)
 
     def run(self, writer: ShardWriter, epoch_s: float = 0.0) -> None:
         """Carry every step out until nothing waits."""
-        while (step := writer.step(epoch_s)) is not None:
+        while (step := writer.next_step(epoch_s)) is not None:
             self.take(writer, step)
 
     def until_write(self, writer: ShardWriter, epoch_s: float = 0.0) -> WriteHead:
         """Carry steps out up to the next write and give that."""
-        while not isinstance(step := writer.step(epoch_s), WriteHead):
+        while not isinstance(step := writer.next_step(epoch_s), WriteHead):
             self.take(writer, step)
         return step
 
@@ -123,17 +123,17 @@
         if fault == "late":
             self.late.append(Late(HEAD, spec, version))
         if fault in ("late", "lost-request"):
-            writer.failed(True)
+            writer.on_failure(True)
             return
         try:
             stored = self.store.put(ObjectKind.LEDGER, HEAD, spec, version)
         except Conflict:
-            writer.conflict()
+            writer.on_conflict()
             return
         if fault == "lost-answer":
-            writer.failed(True)
+            writer.on_failure(True)
         else:
-            writer.written(stored.version)
+            writer.on_written(stored.version)
 
 
 class LateObjectApi(InProcessObjectApi):
--- a/tests/matrix/test_switch_offs.py
+++ b/tests/matrix/test_switch_offs.py
@@ -13,7 +13,7 @@
 from egretstack.delivery import Cursor, Recovery, Step, TokenBox, TokenRefused, Verdict
 from egretstack.errors import ANSWERS, NotRunProof, _table
 from egretstack.ids import InstanceId
-from egretstack.ledger import Intent, NextMove, OnceCall, SendHistory, _once
+from egretstack.ledger import AtMostOnceCall, Intent, NextAction, SendHistory, _once
 from egretstack.membership import _runner_watch
 from egretstack.objectapi import ENTRY_SERVICE
 from egretstack.services.caller_api import CallerApi
@@ -129,7 +129,7 @@
 
 def test_with_a_retry_after_may_have_run_a_call_runs_twice():
     # The runner dies after it ran the call and before it answered; the entry tries the next.
-    send = OnceCall._send
+    send = AtMostOnceCall._send
 
     async def lax(self, runner, intent):
         try:
@@ -137,16 +137,16 @@
         except OutcomeUnknown as error:
             raise Unsent(NotRunProof("assumed")) from error
 
-    with _without(_replace(OnceCall, "_send", lax)):
+    with _without(_replace(AtMostOnceCall, "_send", lax)):
         _turns_red(Point.AT_MOST_ONCE, "test_call_answer__engine_dies")
 
 
 def test_without_the_memory_of_may_have_run_a_caller_is_told_an_untruth():
     # The runner dies after it ran the call; the entry takes no answer for no run.
     def forget(self, cause):
-        self.unsent(NotRunProof("assumed"))
+        self.record_unsent(NotRunProof("assumed"))
 
-    with _without(_replace(SendHistory, "unknown", forget)):
+    with _without(_replace(SendHistory, "record_unknown", forget)):
         _turns_red(Point.NOT_RUN_IS_TRUE, "test_call_answer__engine_dies")
 
 
@@ -163,9 +163,9 @@
     # The entry is killed between intent and answer. The repeats meet the intent of an attempt
     # that nobody carries on; each is told to wait.
     def wait(stage, row, epoch_s, has_lookup):
-        return NextMove.WAIT
+        return NextAction.WAIT
 
-    with _without(_replace(_once, "next_move", wait)):
+    with _without(_replace(_once, "next_action", wait)):
         _turns_red(Point.OWN_WHOLE_ANSWER, "test_call_dispatch__entry_killed")
 
 
@@ -173,9 +173,9 @@
     # The entry is frozen between its last check and the first byte, and a repeat takes its key
     # over at an upstream that does not check fencing numbers. It thaws and sends.
     def replace_it(stage, row, epoch_s, has_lookup):
-        return NextMove.REPLACE
+        return NextAction.REPLACE
 
-    with _without(_replace(_once, "next_move", replace_it)):
+    with _without(_replace(_once, "next_action", replace_it)):
         _turns_red(Point.AT_MOST_ONCE, "test_call_dispatch__lease_lapsed")
 
 
--- a/tests/test_fleet_duties.py
+++ b/tests/test_fleet_duties.py
@@ -6,14 +6,14 @@
 import trio
 
 from egretstack.duties import CALLS_PER_S, DutyEnded, PacedObjectApi
-from egretstack.ledger import SHARDS, CallState, LedgerPruner, Shard, head_name, rows_spec
+from egretstack.ledger import SHARD_COUNT, CallState, LedgerPruner, Shard, head_name, rows_spec
 from egretstack.ledger._shard import Segment
 from egretstack.objectapi import Conflict, ObjectKind
 from egretstack.services.duties import Duties
 from egretstack.services.ledger_pruning import PRUNE_PERIOD_S, LedgerPruning
 from egretstack.settings import Program
 from standins.object_store import InProcessObjectApi, ObjectStore
-from tests.ledger_site import call, post, site
+from tests.ledger_site import call, deployment, post
 from tests.ledger_support import key, row
 from tests.support import check, tests_of
 
@@ -30,7 +30,7 @@
 RAN = 201
 
 
-def put_old(store, epoch_s, shards=SHARDS):
+def put_old(store, epoch_s, shards=SHARD_COUNT):
     """Put segments past their time and one that is not into each shard, as entries left them."""
     for number in range(shards):
         old = [Segment(f"old-{number}-{one}", epoch_s - HOUR_S) for one in range(OLD_IN_SHARD)]
@@ -42,7 +42,7 @@
         name = head_name(number)
         found = store.by_place.get((ObjectKind.LEDGER, name))
         shard = Shard.from_stored(found)
-        spec = Shard(shard.row_by_key, listed, shard.turn + 1).spec()
+        spec = Shard(shard.row_by_key, listed, shard.write_count + 1).spec()
         store.put(ObjectKind.LEDGER, name, spec, found and found.version)
 
 
@@ -85,7 +85,7 @@
 @asynccontextmanager
 async def fleet(stewards=4):
     """Give a site with a steward beside each entry and the calls of each steward."""
-    async with site(entries=stewards) as (world, entries, _):
+    async with deployment(entries=stewards) as (world, entries, _):
         await trio.sleep(LIMITS_SETTLE_S)
         started = [
             await world.start(f"entry-{number}", Program.STEWARD) for number in range(stewards)
@@ -110,7 +110,7 @@
                 answers[await call(entry, post(f"{number}-{answers.total()}"))] += 1
                 await trio.sleep(CALL_EVERY_S)
 
-        total = SHARDS * OLD_IN_SHARD
+        total = SHARD_COUNT * OLD_IN_SHARD
         async with trio.open_nursery() as callers:
             for number in range(CALLERS):
                 callers.start_soon(caller, number)
@@ -123,7 +123,7 @@
         check.assertGreater(answers.total(), 0)
         check.assertEqual(answers.keys(), {RAN})
         stored, listed = segments_left(world.store)
-        kept = {f"kept-{number}" for number in range(SHARDS)}
+        kept = {f"kept-{number}" for number in range(SHARD_COUNT)}
         check.assertLessEqual(kept, stored & listed)
         for one in calls:
             check.assertLessEqual(busiest_second(one), CALLS_PER_S + 2)
@@ -131,7 +131,7 @@
 
 def old_deleted(store):
     stored, _ = segments_left(store)
-    return SHARDS * OLD_IN_SHARD - sum(name.startswith("old") for name in stored)
+    return SHARD_COUNT * OLD_IN_SHARD - sum(name.startswith("old") for name in stored)
 
 
 def busiest_second(calls):
@@ -164,15 +164,15 @@
         put_old(store, 0.0, shards=1)
 
         async def others(store=store):
-            await LedgerPruner(InProcessObjectApi(store), shards=1).round(0.0)
+            await LedgerPruner(InProcessObjectApi(store), shards=1).prune(0.0)
             found = store.by_place[ObjectKind.LEDGER, head_name(0)]
             shard = Shard.from_stored(found)
             store.put(ObjectKind.LEDGER, "new", {"rows": {}}, None)
             listed = (*shard.segments, Segment("new", HOUR_S))
-            spec = Shard({key("k"): row("a")}, listed, shard.turn + 1).spec()
+            spec = Shard({key("k"): row("a")}, listed, shard.write_count + 1).spec()
             store.put(ObjectKind.LEDGER, head_name(0), spec, found.version)
 
-        await LedgerPruner(Paused(store, at, others), shards=1).round(0.0)
+        await LedgerPruner(Paused(store, at, others), shards=1).prune(0.0)
         check.assertEqual(segments_left(store), ({"kept-0", "new"}, {"kept-0", "new"}), at)
         head = Shard.from_stored(store.by_place[ObjectKind.LEDGER, head_name(0)])
         check.assertEqual(set(head.row_by_key), {key("k")}, at)
@@ -212,7 +212,7 @@
     # read before them conflicts in every round: the list grows until the shard takes no call.
     store = ObjectStore()
     put_old(store, 0.0, shards=1)
-    pruned = await LedgerPruner(BusyHead(store), shards=1).round(0.0)
+    pruned = await LedgerPruner(BusyHead(store), shards=1).prune(0.0)
     check.assertEqual((pruned.segments, pruned.failed_heads), (OLD_IN_SHARD, 0))
     check.assertTrue(is_pruned(store))
 
@@ -226,6 +226,6 @@
             self.store.remove(kind, name, version)
             raise Conflict(name)
 
-    pruned = await LedgerPruner(Raced(store), shards=1).round(0.0)
+    pruned = await LedgerPruner(Raced(store), shards=1).prune(0.0)
     check.assertEqual(pruned.failed_heads, 0)
     check.assertTrue(is_pruned(store))
--- a/tests/test_ledger_calls.py
+++ b/tests/test_ledger_calls.py
@@ -13,9 +13,9 @@
 from tests.ledger_site import (
     KEY_ID,
     call,
+    deployment,
     freeze_before_first_byte,
     post,
-    site,
 )
 from tests.support import check, tests_of
 
@@ -25,7 +25,7 @@
 async def test_two_entries_with_one_key_at_once_run_it_once():
     # Two callers send the same key to two entries in the same moment. Both entries want to
     # write its row into the same head, on the same version: one update is refused there.
-    async with site() as (_, entries, runner):
+    async with deployment() as (_, entries, runner):
         found = []
 
         async def caller(process):
@@ -42,7 +42,7 @@
 async def test_a_repeat_an_hour_later_gets_the_first_answer():
     # So many calls follow the first that its row has left the head for a segment. A repeat at
     # an entry that has written nothing yet must find it there.
-    async with site() as (world, entries, runner):
+    async with deployment() as (world, entries, runner):
         await call(entries[0])
         runner.book.padding = 3000
         for number in range(300):
@@ -56,14 +56,14 @@
 
 
 async def test_the_key_of_another_account_is_another_key():
-    async with site() as (_, entries, runner):
+    async with deployment() as (_, entries, runner):
         check.assertEqual(await call(entries[0]), 201)
         check.assertEqual(await call(entries[0], account="other"), 201)
         check.assertEqual(len(runner.book.ran), 2)
 
 
 async def test_a_key_is_needed_and_belongs_to_one_request():
-    async with site() as (_, entries, runner):
+    async with deployment() as (_, entries, runner):
         check.assertIs(await call(entries[0], post(None)), ErrorKind.KEY_REQUIRED)
         check.assertEqual(await call(entries[0]), 201)
         found = await call(entries[1], post(body=b"another"))
@@ -72,7 +72,7 @@
 
 
 async def test_an_answer_too_big_to_keep_is_replayed_as_such():
-    async with site() as (_, entries, runner):
+    async with deployment() as (_, entries, runner):
         big = post(key="k" * 200)
         runner.book.padding = 5000
         await call(entries[0], big)
@@ -84,7 +84,7 @@
 
 
 async def test_a_call_that_reached_no_runner_frees_its_key():
-    async with site() as (_, entries, runner):
+    async with deployment() as (_, entries, runner):
         runner.down = True
         check.assertIs(await call(entries[0]), ErrorKind.NOT_RUN)
         runner.down = False
@@ -93,7 +93,7 @@
 
 
 async def test_a_lost_answer_of_the_upstream_is_unknown_and_never_sent_again():
-    async with site() as (_, entries, runner):
+    async with deployment() as (_, entries, runner):
         runner.book.lose_answers = 1
         check.assertIs(await call(entries[0]), ErrorKind.OUTCOME_UNKNOWN)
         check.assertIs(await call(entries[1]), ErrorKind.OUTCOME_UNKNOWN)
@@ -101,7 +101,7 @@
 
 
 async def test_a_call_in_progress_is_told_when_to_come_back():
-    async with site() as (world, entries, runner):
+    async with deployment() as (world, entries, runner):
         held, answers = await freeze_before_first_byte(world, entries[0], runner)
         for process in entries:
             check.assertIs(await call(process), ErrorKind.IN_PROGRESS)
@@ -114,7 +114,7 @@
 async def test_a_sender_that_stood_still_before_its_dispatch_does_not_send():
     # An entry is frozen after its intent was written. When it thaws its key may have been
     # forgotten, settled or used again; it finds its intent too old and sends nothing.
-    async with site() as (_, entries, runner):
+    async with deployment() as (_, entries, runner):
         runners = entries[0].kernel.get(Runners)
         clock = trio.lowlevel.current_clock()
         listed = runners.plain
@@ -131,7 +131,7 @@
 
 
 async def test_a_sender_that_stood_still_while_connecting_does_not_send():
-    async with site() as (world, entries, runner):
+    async with deployment() as (world, entries, runner):
         runner.connecting = trio.Event()
         found = []
 
@@ -147,7 +147,7 @@
 
 
 async def test_a_caller_that_leaves_cuts_nothing():
-    async with site() as (_, entries, runner):
+    async with deployment() as (_, entries, runner):
         runner.book.delay_s = 1
         with trio.move_on_after(0.5):
             await call(entries[0])
@@ -157,7 +157,7 @@
 
 
 async def test_a_drain_waits_for_calls_under_way():
-    async with site() as (world, entries, runner):
+    async with deployment() as (world, entries, runner):
         held, answers = await freeze_before_first_byte(
             world, entries[0], runner, post(timeout_s=120)
         )
@@ -173,8 +173,8 @@
 
 def test_may_have_run_is_sticky_over_tries():
     history = SendHistory()
-    history.unknown("broken read")
-    history.unsent(NotRunProof("refused"))
-    error = history.refusal("none", ErrorKind.OUTCOME_UNKNOWN)
+    history.record_unknown("broken read")
+    history.record_unsent(NotRunProof("refused"))
+    error = history.final_error("none", ErrorKind.OUTCOME_UNKNOWN)
     check.assertIs(error.kind, ErrorKind.OUTCOME_UNKNOWN)
     check.assertIs(error.run, RunState.MAY_HAVE_RUN)
--- a/tests/test_ledger_faults.py
+++ b/tests/test_ledger_faults.py
@@ -12,11 +12,11 @@
 from tests.ledger_site import (
     call,
     cut_soon,
+    deployment,
     freeze_before_first_byte,
     make_late,
     open_rows,
     post,
-    site,
 )
 from tests.support import check, tests_of
 
@@ -26,7 +26,7 @@
 async def test_with_the_platform_away_nothing_is_sent_and_generations_go_on():
     # The object API refuses every call. A call that needs the ledger is refused at once with
     # when to come back; a generation needs nothing of the platform.
-    async with site() as (world, entries, runner):
+    async with deployment() as (world, entries, runner):
         world.store.faults.down = True
         before_s = trio.current_time()
         check.assertIs(await call(entries[0]), ErrorKind.PLATFORM_AWAY)
@@ -43,7 +43,7 @@
 
 
 async def test_a_slow_store_refuses_within_its_own_bound():
-    async with site() as (world, entries, runner):
+    async with deployment() as (world, entries, runner):
         world.store.faults.delay_s = 60
         before_s = trio.current_time()
         check.assertIs(await call(entries[0]), ErrorKind.PLATFORM_AWAY)
@@ -54,7 +54,7 @@
 async def test_a_lost_answer_to_the_intent_is_settled_by_reading_back():
     # The intent's write takes effect and its answer is lost. The entry reads the head again,
     # finds its own attempt and sends the call.
-    async with site() as (world, entries, runner):
+    async with deployment() as (world, entries, runner):
         world.store.faults.lose_answers = 1
         check.assertEqual(await call(entries[0]), 201)
         check.assertEqual(runner.book.runs_by_key["k"], 1)
@@ -64,7 +64,7 @@
     # The write of the intent stays away, reads fail too, and the caller is told "not run".
     # Later the write arrives after all. A repeat at another entry finds the intent, asks its
     # owner, learns that it was abandoned, and takes the key over; the owner never sends.
-    async with site() as (world, entries, runner):
+    async with deployment() as (world, entries, runner):
         api = make_late(entries[0])
         api.late_writes = 1
         with trio.move_on_after(0.005):
@@ -91,7 +91,7 @@
     # The intent's write is delayed. The read-back finds nothing, and the caller is told "not
     # run". Retracting it writes the head once more, so the version that the delayed write is
     # conditional on is gone when it arrives.
-    async with site() as (world, entries, runner):
+    async with deployment() as (world, entries, runner):
         await call(entries[0], post("before"))
         api = make_late(entries[0])
         api.late_writes = 1
@@ -108,7 +108,7 @@
 async def test_an_abandoned_intent_whose_owner_died_is_unknown():
     # As before, but the owner dies before it could retract. Nobody can tell that it did not
     # send, and the upstream checks nothing: the truthful answer is "unknown", at once final.
-    async with site() as (world, entries, runner):
+    async with deployment() as (world, entries, runner):
         api = make_late(entries[0])
         api.late_writes = 1
         world.nursery.start_soon(cut_soon, api)
@@ -127,7 +127,7 @@
     Gives the repeat's answer while the first call may be under way, its answer after the first
     call's deadline, the sender's own answer after the thaw, and how often the call ran.
     """
-    async with site(fencing=fencing, lookup=lookup) as (world, entries, runner):
+    async with deployment(fencing=fencing, lookup=lookup) as (world, entries, runner):
         request = post(timeout_s=300.0)
         held, answers = await freeze_before_first_byte(world, entries[0], runner, request)
         world.network.cut(entries[0].host, entries[1].host)
@@ -180,7 +180,7 @@
     # A repeat's look-up fenced the sender off, and the repeat's entry died before it took the
     # key over. The upstream's refusal of the old number is no answer to the call: the sender
     # says "come back", and the next repeat runs it.
-    async with site(fencing="checked", lookup="/outcomes") as (world, entries, runner):
+    async with deployment(fencing="checked", lookup="/outcomes") as (world, entries, runner):
         held, answers = await freeze_before_first_byte(world, entries[0], runner)
         runner.book.fencing_by_scope["acme", "k"] = open_rows(world)[0].fence + 1
         held.set()
@@ -193,7 +193,7 @@
 async def test_a_look_up_tells_of_a_call_that_ran_before_its_entry_died():
     # The call ran, and the entry died before it wrote the outcome. The look-up finds that it
     # ran; the repeat says so, without the answer, which nobody has.
-    async with site(lookup="/outcomes") as (world, entries, runner):
+    async with deployment(lookup="/outcomes") as (world, entries, runner):
         await freeze_before_first_byte(world, entries[0], runner)
         entries[0].kill()
         runner.book.ran.add(("acme", "k"))
@@ -206,7 +206,7 @@
 async def test_a_restarted_entry_is_known_to_be_gone():
     # The owner died and another process runs under its name. That one tells that the attempt
     # is not its own, so the repeat gets its final answer before the first call's deadline.
-    async with site() as (world, entries, runner):
+    async with deployment() as (world, entries, runner):
         await freeze_before_first_byte(world, entries[0], runner)
         entries[0].kill()
         await trio.sleep(0.1)
@@ -217,7 +217,7 @@
 
 async def count_of_calls_without_home(spoil):
     """Make calls of many shards at one entry after `spoil` has struck the other."""
-    async with site() as (world, entries, runner):
+    async with deployment() as (world, entries, runner):
         spoil(world, entries[1])
         for number in range(20):
             check.assertEqual(await call(entries[0], post(f"k{number}")), 201)
--- a/tests/test_ledger_machine.py
+++ b/tests/test_ledger_machine.py
@@ -20,15 +20,15 @@
 )
 
 from egretstack.ledger import (
-    AttemptBook,
+    AttemptRegistry,
     CallState,
-    NextMove,
+    NextAction,
     Operation,
+    OperationKind,
     Outcome,
     ShardWriter,
     Stage,
-    Wanted,
-    next_move,
+    next_action,
 )
 from tests.ledger_support import SlowStore, begin
 from tests.support import check, tests_of
@@ -71,7 +71,7 @@
     dead: bool = False
 
     def __post_init__(self):
-        self.book = AttemptBook(self.boot, 1000)
+        self.book = AttemptRegistry(self.boot, 1000)
 
 
 class Upstream:
@@ -130,7 +130,7 @@
         call = self.start(self.entries[number], name)
         call.operation.forwarded = True
         own = call.operation
-        asked = Operation(Wanted.BEGIN, own.key, own.row, inf, for_peer=True)
+        asked = Operation(OperationKind.BEGIN, own.key, own.row, inf, for_peer=True)
         if home != number and not self.entries[home].frozen:
             self.entries[home].writer.submit(asked)
 
@@ -139,7 +139,7 @@
         entry = self.entries[number]
         if entry.frozen:
             return
-        step = entry.writer.step(self.now_s)
+        step = entry.writer.next_step(self.now_s)
         if step is not None:
             self.store.take(entry.writer, step, fault)
         self.look(entry)
@@ -148,7 +148,7 @@
     def give_up(self, number):
         entry = self.entries[number]
         if not entry.frozen:
-            entry.writer.give_up(inf)
+            entry.writer.expire_begins(inf)
             self.look(entry)
 
     @rule(number=entries, connects=st.booleans())
@@ -217,7 +217,7 @@
             ready = [one for one in entry.calls if one.armed or self.may_arm(entry, one)]
             for call in ready:
                 self.fire(entry, call, True)
-            if not ready and entry.writer.idle:
+            if not ready and entry.writer.is_idle:
                 return
 
     def repeat_until_final(self, name):
@@ -227,9 +227,9 @@
             self.settle(entry)
             found = call.operation.found
             over = call.operation.outcome is Outcome.WRITTEN and call.done
-            if over or found is not None and not found.open:
+            if over or found is not None and not found.is_open:
                 return
-            if found is not None and self.move(found, name) is NextMove.UNKNOWN:
+            if found is not None and self.move(found, name) is NextAction.UNKNOWN:
                 return
         raise AssertionError(f"{name}: no final answer in {MAX_TRIES} tries")
 
@@ -257,25 +257,29 @@
                 continue
             entry.book.forget(call.attempt)
             found = call.operation.found
-            if found.open and self.move(found, call.name) is NextMove.REPLACE:
+            if found.is_open and self.move(found, call.name) is NextAction.REPLACE:
                 self.start(entry, call.name, found.attempt)
 
     def move(self, found, name):
-        move = next_move(self.stage(found), found, self.now_s, self.lookup)
-        if move is not NextMove.LOOK_UP:
+        move = next_action(self.stage(found), found, self.now_s, self.lookup)
+        if move is not NextAction.LOOK_UP:
             return move
         ran = self.upstream.look_up(name, found.fence + 1)
         if ran:
-            return NextMove.UNKNOWN
+            return NextAction.UNKNOWN
         if ran is False and self.checks:
-            return NextMove.REPLACE
-        return next_move(self.stage(found), found, self.now_s, False)
+            return NextAction.REPLACE
+        return next_action(self.stage(found), found, self.now_s, False)
 
     def stage(self, found):
         for entry in self.entries:
             if entry.boot == found.boot:
-                return Stage.SILENT if entry.frozen else entry.book.stage(found.boot, found.attempt)
-        return Stage.GONE
+                return (
+                    Stage.UNRESPONSIVE
+                    if entry.frozen
+                    else entry.book.stage(found.boot, found.attempt)
+                )
+        return Stage.OWNER_ENDED
 
     def may_arm(self, entry, call):
         written = call.operation.outcome is Outcome.WRITTEN
@@ -303,8 +307,8 @@
         self.end(entry, call, CallState.DONE if answered else CallState.UNKNOWN)
 
     def end(self, entry, call, state):
-        row = call.operation.row.ended(state)
-        call.finish = Operation(Wanted.FINISH, call.operation.key, row, inf)
+        row = call.operation.row.with_outcome(state)
+        call.finish = Operation(OperationKind.FINISH, call.operation.key, row, inf)
         entry.writer.submit(call.finish)
 
 
--- a/tests/test_ledger_safeguards.py
+++ b/tests/test_ledger_safeguards.py
@@ -8,7 +8,7 @@
 from hypothesis import Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from egretstack.ledger import CallState, NextMove, Outcome, ShardWriter, Stage
+from egretstack.ledger import CallState, NextAction, Outcome, ShardWriter, Stage
 from tests.ledger_support import SlowStore, begin, key
 from tests.support import check, tests_of
 from tests.test_ledger_machine import (
@@ -49,12 +49,12 @@
 class WithoutCondition(ShardWriter):
     """Takes an update for written when its answer was lost."""
 
-    def failed(self, sent):
-        if sent and self._batch:
-            self.written(self._version)
+    def on_failure(self, in_doubt):
+        if in_doubt and self._batch:
+            self.on_written(self._version)
             self._shard = None
         else:
-            super().failed(sent)
+            super().on_failure(in_doubt)
 
 
 class HomeRetracts(ShardWriter):
@@ -89,17 +89,17 @@
 
     def move(self, found, name):
         move = super().move(found, name)
-        unclear = self.stage(found) in (Stage.SILENT, Stage.GONE)
+        unclear = self.stage(found) in (Stage.UNRESPONSIVE, Stage.OWNER_ENDED)
         unrun = name not in self.upstream.ran_by_key
-        return NextMove.REPLACE if unclear and unrun else move
+        return NextAction.REPLACE if unclear and unrun else move
 
 
 class TakesOverFromSilent(LedgerMachine):
     """Takes the key over from a sender that does not answer."""
 
     def move(self, found, name):
-        silent = self.stage(found) is Stage.SILENT
-        return NextMove.REPLACE if silent else super().move(found, name)
+        silent = self.stage(found) is Stage.UNRESPONSIVE
+        return NextAction.REPLACE if silent else super().move(found, name)
 
 
 class LookUpThatDoesNotFence(CheckedMachine):
@@ -156,7 +156,7 @@
     sender.submit(own)
     store.run(sender)
     check.assertIs(own.outcome, Outcome.WRITTEN)
-    home.give_up(inf)
+    home.expire_begins(inf)
     store.run(home)
     return store.rows()[key("k0")].state
 
@@ -178,7 +178,7 @@
     own = begin("k0", "attempt-1")
     own.forwarded = True
     sender.submit(own)
-    sender.give_up(inf)
+    sender.expire_begins(inf)
     store.run(sender)
     asked = begin("k0", "attempt-1")
     asked.for_peer = True
@@ -264,7 +264,7 @@
     machine.start(owner, "k0")
     write = machine.store.until_write(owner.writer)
     machine.store.take(owner.writer, write, "late")
-    owner.writer.give_up(inf)
+    owner.writer.expire_begins(inf)
     machine.look(owner)
     check.assertTrue(machine.store.deliver(machine.store.late[0]))
     machine.repeat_until_final("k0")
@@ -288,10 +288,10 @@
     operation = begin("k0", "attempt-1")
     writer.submit(operation)
     store.take(writer, store.until_write(writer), "late")
-    writer.give_up(inf)
+    writer.expire_begins(inf)
     check.assertIs(operation.outcome, Outcome.ABANDONED)
     store.run(writer)
-    check.assertTrue(writer.idle)
+    check.assertTrue(writer.is_idle)
     return store.deliver(store.late[0])
 
 
--- a/tests/test_ledger_shards.py
+++ b/tests/test_ledger_shards.py
@@ -7,8 +7,8 @@
 from egretstack.clock import EpochClock
 from egretstack.ids import InstanceId
 from egretstack.ledger import (
-    BadAsk,
     CallState,
+    InvalidShardRequest,
     KeptAnswer,
     LedgerPruner,
     Outcome,
@@ -16,9 +16,9 @@
     Shard,
     ShardStore,
     ShardWriter,
-    ask_of,
-    home_of,
-    operation_of,
+    find_ledger_home,
+    make_shard_request,
+    parse_shard_request,
     rows_spec,
     shard_number,
 )
@@ -49,8 +49,8 @@
 
 
 def test_a_row_comes_back_as_it_was_stored():
-    answer = KeptAnswer.of(CallResponse(201, (("a", "b"),), b"\x00body"))
-    ended = row("a", state=CallState.DONE).ended(CallState.DONE, answer)
+    answer = KeptAnswer.from_response(CallResponse(201, (("a", "b"),), b"\x00body"))
+    ended = row("a", state=CallState.DONE).with_outcome(CallState.DONE, answer)
     check.assertEqual(Row.from_spec(ended.spec()), ended)
     check.assertEqual(ended.answer.replay().body, b"\x00body")
 
@@ -137,9 +137,9 @@
     store = ObjectStore()
     put_segments(store, ("seg-1", HOUR_S), ("seg-2", 5 * HOUR_S))
     pruner = LedgerPruner(InProcessObjectApi(store), shards=1)
-    check.assertEqual((await pruner.round(2 * HOUR_S)).segments, 1)
+    check.assertEqual((await pruner.prune(2 * HOUR_S)).segments, 1)
     check.assertEqual(names_of(store), {HEAD, "seg-2"})
-    check.assertEqual((await pruner.round(2 * HOUR_S)).segments, 0)
+    check.assertEqual((await pruner.prune(2 * HOUR_S)).segments, 0)
 
 
 async def test_pruning_that_was_stopped_half_way_is_completed():
@@ -151,8 +151,8 @@
     store.remove(ObjectKind.LEDGER, "seg-1", store.by_place[ObjectKind.LEDGER, "seg-1"].version)
     store.faults.lose_requests = 1
     pruner = LedgerPruner(api, shards=1)
-    check.assertEqual((await pruner.round(2 * HOUR_S)).failed_heads, 1)
-    check.assertEqual((await pruner.round(2 * HOUR_S)).segments, 1)
+    check.assertEqual((await pruner.prune(2 * HOUR_S)).failed_heads, 1)
+    check.assertEqual((await pruner.prune(2 * HOUR_S)).segments, 1)
     check.assertEqual(Shard.from_stored(store.by_place[ObjectKind.LEDGER, HEAD]).segments, ())
 
 
@@ -163,7 +163,7 @@
     operation = begin("k", "a")
     writer.submit(operation)
     write = store.until_write(writer, epoch_s=HOUR_S)
-    await LedgerPruner(InProcessObjectApi(store.store), shards=1).round(2 * HOUR_S)
+    await LedgerPruner(InProcessObjectApi(store.store), shards=1).prune(2 * HOUR_S)
     store.take(writer, write)
     store.run(writer, epoch_s=2 * HOUR_S)
     check.assertIs(operation.outcome, Outcome.WRITTEN)
@@ -173,22 +173,22 @@
 def test_every_entry_names_the_same_home():
     entries = [InstanceId(f"entry-{number}") for number in range(7)]
     for shard in range(8):
-        check.assertEqual(home_of(shard, entries), home_of(shard, entries[::-1]))
-    check.assertIsNone(home_of(0, []))
+        check.assertEqual(find_ledger_home(shard, entries), find_ledger_home(shard, entries[::-1]))
+    check.assertIsNone(find_ledger_home(0, []))
 
 
 def test_a_home_refuses_what_is_too_late_or_malformed():
     operation = begin("k", "a")
     number = shard_number(operation.key)
-    ask = ask_of(number, operation, 10.0)
-    check.assertTrue(operation_of(ask, 9.0, 0.0).for_peer)
+    ask = make_shard_request(number, operation, 10.0)
+    check.assertTrue(parse_shard_request(ask, 9.0, 0.0).for_peer)
     for bad in (
-        (ask_of(number, operation, 8.0), 9.0),
-        (ask_of(99, operation, 10.0), 9.0),
-        (ask_of(number, begin("k", "a", fingerprint="f" * 20_000), 10.0), 9.0),
+        (make_shard_request(number, operation, 8.0), 9.0),
+        (make_shard_request(99, operation, 10.0), 9.0),
+        (make_shard_request(number, begin("k", "a", fingerprint="f" * 20_000), 10.0), 9.0),
     ):
-        with check.assertRaises(BadAsk):
-            operation_of(bad[0], bad[1], 0.0)
+        with check.assertRaises(InvalidShardRequest):
+            parse_shard_request(bad[0], bad[1], 0.0)
 
 
 class AlwaysTooLate(InProcessObjectApi):
@@ -207,17 +207,17 @@
         store.submit(0, operation)
         ended = await store.wait(0, operation)
         check.assertIn(ended, (Outcome.REFUSED, Outcome.ABANDONED))
-        check.assertAlmostEqual(trio.current_time(), operation.give_up_s)
+        check.assertAlmostEqual(trio.current_time(), operation.give_up_at_s)
         await trio.sleep(1)
-        check.assertTrue(store.idle)
+        check.assertTrue(store.is_idle)
         nursery.cancel_scope.cancel()
 
 
 async def test_a_store_that_is_idle_costs_nothing():
     store = ObjectStore()
     writer = ShardWriter()
-    check.assertIsNone(writer.step(0.0))
+    check.assertIsNone(writer.next_step(0.0))
     await trio.lowlevel.checkpoint()
     check.assertEqual(store.calls.total(), 0)
-    writer.give_up(inf)
-    check.assertTrue(writer.idle)
+    writer.expire_begins(inf)
+    check.assertTrue(writer.is_idle)
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -27,7 +27,7 @@
     runner_request,
 )
 from egretstack.routing import RouteKind, RoutingTable
-from egretstack.traffic import ContinueFrom, MoveOutcome, SendTerms
+from egretstack.traffic import ContinueFrom, MoveOutcome, SendOptions
 from standins.platform import KEY, configuration, route, runner_spec
 from tests.support import check, tests_of
 
@@ -171,7 +171,7 @@
     ]
     sent = runner_request(
         request(*forged, (b"connection", b"x-hop"), (b"x-kept", b"yes")),
-        SendTerms(RunnerName("i-1"), 1.5, AccountId("nineras")),
+        SendOptions(RunnerName("i-1"), 1.5, AccountId("nineras")),
     )
     values = dict(sent.headers)
     check.assertNotIn(b"forged", values.values())
@@ -183,7 +183,7 @@
 
 
 def test_a_continued_run_names_its_copy_and_the_last_event():
-    terms = SendTerms(
+    terms = SendOptions(
         RunnerName("i-2"), 3.0, None, 4, "10.1.1.3:80", ContinueFrom("10.1.1.1:80", "h-9", "12")
     )
     values = dict(runner_request(request(), terms).headers)
@@ -295,7 +295,7 @@
 def test_a_rest_is_what_a_runner_that_turns_a_request_away_asks_for():
     # Guards against rests by a slip of a runner, and against ones that last for good.
     def rest(status, value):
-        return runner_answer(ResponseHead(status, b"", ((b"retry-after", value),))).rest_s
+        return runner_answer(ResponseHead(status, b"", ((b"retry-after", value),))).backoff_s
 
     check.assertEqual(rest(503, b"3"), 3.0)
     check.assertEqual(rest(503, b"0.25"), 0.25)
--- a/tests/test_pump.py
+++ b/tests/test_pump.py
@@ -11,7 +11,7 @@
     EngineNoAnswer,
     EngineRefused,
     EngineUnreachable,
-    GenerationGone,
+    GenerationNotFound,
     GenerationState,
 )
 from tests.scripted_engine import (
@@ -33,7 +33,7 @@
 
 REFUSED = EngineUnreachable("connection refused")
 NO_ANSWER = EngineNoAnswer("connection timed out")
-GONE = GenerationGone(ONE)
+GONE = GenerationNotFound(ONE)
 
 
 def check_complete(pumped, last):
