--- a/egretstack/ledger/_attempts.py
+++ b/egretstack/ledger/_attempts.py
@@ -49,9 +49,9 @@
         """Note that an attempt was not sent and never will be."""
         self._stage_by_id[attempt] = Stage.ABANDONED
 
-    def end(self, attempt: AttemptId, known: bool) -> None:
+    def end(self, attempt: AttemptId, has_outcome: bool) -> None:
         """Note that an attempt has ended, with a known outcome or without."""
-        self._stage_by_id[attempt] = Stage.ENDED if known else Stage.UNKNOWN
+        self._stage_by_id[attempt] = Stage.ENDED if has_outcome else Stage.UNKNOWN
 
     def forget(self, attempt: AttemptId) -> None:
         """Forget an attempt whose outcome the ledger has."""
@@ -98,13 +98,13 @@
     """Folds what several tries of one request proved; "may have run" stays once it was so."""
 
     def __init__(self) -> None:
-        self._may_have_run: str | None = None
+        self._may_have_run_cause: str | None = None
         self._proof: NotRunProof | None = None
 
     @property
     def may_have_run(self) -> bool:
         """Tell whether any try so far may have run."""
-        return self._may_have_run is not None
+        return self._may_have_run_cause is not None
 
     def record_unsent(self, proof: NotRunProof) -> None:
         """Take in a try that did not leave; it says nothing of the tries before."""
@@ -112,12 +112,12 @@
 
     def record_unknown(self, cause: str) -> None:
         """Take in a try that may have run."""
-        self._may_have_run = cause
+        self._may_have_run_cause = cause
 
     def final_error(self, no_runner_detail: str, may_have_run_kind: ErrorKind) -> EgretError:
         """Give the final answer; `may_have_run` is the kind for tries that may have."""
-        if self._may_have_run is not None:
-            return EgretError(may_have_run_kind, self._may_have_run)
+        if self._may_have_run_cause is not None:
+            return EgretError(may_have_run_kind, self._may_have_run_cause)
         if self._proof is None:
             return EgretError(ErrorKind.NO_RUNNER, no_runner_detail)
         return EgretError(ErrorKind.NOT_RUN, self._proof.reason, proof=self._proof)
--- a/egretstack/ledger/_homes.py
+++ b/egretstack/ledger/_homes.py
@@ -27,29 +27,33 @@
 
 def make_shard_request(shard: int, operation: Operation, until_s: float) -> ShardAsk:
     """Build the request to a home."""
-    over = operation.replaces or ""
-    wanted, row = operation.kind.value, operation.row.spec()
-    return ShardAsk(shard, wanted, operation.key, row, over, until_s)
+    replaces = operation.replaces or ""
+    kind, row = operation.kind.value, operation.row.spec()
+    return ShardAsk(shard, kind, operation.key, row, replaces, until_s)
 
 
-def parse_shard_request(ask: ShardAsk, epoch_s: float, now_s: float) -> Operation:
+def parse_shard_request(request: ShardAsk, epoch_s: float, now_s: float) -> Operation:
     """Read a request, with the time left as its bound; raise BadAsk.
 
     A home that was frozen finds requests of long ago; their senders have done without it.
     """
-    if not 0 <= ask.shard < SHARD_COUNT or len(ask.key) != KEY_ID_LENGTH or epoch_s > ask.until_s:
+    if (
+        not 0 <= request.shard < SHARD_COUNT
+        or len(request.key) != KEY_ID_LENGTH
+        or epoch_s > request.until_s
+    ):
         raise InvalidShardRequest("no such shard or key, or too late")
     try:
-        int(ask.key, 16)
-        wanted = OperationKind(ask.wanted)
-        row = Row.from_spec(ask.row)
+        int(request.key, 16)
+        kind = OperationKind(request.wanted)
+        row = Row.from_spec(request.row)
     except (ValueError, TypeError) as error:
         raise InvalidShardRequest(repr(error)) from error
-    if row.size > MAX_ROW_FIELD_LENGTH or wanted is OperationKind.RETRACT:
+    if row.size > MAX_ROW_FIELD_LENGTH or kind is OperationKind.RETRACT:
         raise InvalidShardRequest("a row that is too large, or a retraction")
-    give_up_s = now_s + ask.until_s - epoch_s
-    over = AttemptId(ask.over) or None
-    return Operation(wanted, KeyId(ask.key), row, give_up_s, over, for_peer=True)
+    give_up_at_s = now_s + request.until_s - epoch_s
+    replaces = AttemptId(request.over) or None
+    return Operation(kind, KeyId(request.key), row, give_up_at_s, replaces, for_peer=True)
 
 
 def make_shard_answer(operation: Operation) -> ShardTell:
@@ -60,11 +64,11 @@
     return ShardTell(operation.outcome.value, row.spec())
 
 
-def apply_shard_answer(tell: ShardTell, operation: Operation) -> bool:
+def apply_shard_answer(answer: ShardTell, operation: Operation) -> bool:
     """Take a home's answer over; False where it settles nothing and one writes oneself."""
     try:
-        outcome = Outcome(tell.outcome)
-        row = Row.from_spec(tell.row)
+        outcome = Outcome(answer.outcome)
+        row = Row.from_spec(answer.row)
     except (ValueError, TypeError):
         return False
     if outcome is Outcome.FOUND:
--- a/egretstack/ledger/_once.py
+++ b/egretstack/ledger/_once.py
@@ -27,7 +27,7 @@
 MAX_RUNNERS_TRIED = 3
 IN_PROGRESS_RETRY_S = 2.0
 _HTTP_CONFLICT = 409
-RAN = KeptAnswer(0)
+RAN_WITHOUT_ANSWER = KeptAnswer(0)
 
 
 class AtMostOnceCall:
@@ -48,25 +48,25 @@
         self._account = account
         self._request = request
         self._runners = runners
-        self._key = _key(request)
+        self._key = _idempotency_key(request)
         self._deadline_s = trio.current_time() + request.timeout_s
 
     async def run(self) -> CallResponse:
         """Begin and send, or answer from what the ledger has; raise EgretError."""
-        asked = IntentRequest(
+        intent_request = IntentRequest(
             key_id(self._account, self._spec.name, self._key),
             fingerprint(self._request),
             self._request.timeout_s,
             self._spec.retention_s,
         )
-        begun = await self._ledger.begin(asked)
-        if isinstance(begun, Row) and begun.is_open:
-            begun = await self._repeat(asked, begun)
-        if isinstance(begun, Intent):
-            return await self._dispatch(begun)
-        return self._ended(begun)
-
-    def _ended(self, row: Row) -> CallResponse:
+        begin_result = await self._ledger.begin(intent_request)
+        if isinstance(begin_result, Row) and begin_result.is_open:
+            begin_result = await self._resolve_open_row(intent_request, begin_result)
+        if isinstance(begin_result, Intent):
+            return await self._dispatch(begin_result)
+        return self._recorded_response(begin_result)
+
+    def _recorded_response(self, row: Row) -> CallResponse:
         check_same_request(row, fingerprint(self._request))
         if row.state is CallState.DONE:
             return row.answer.replay()
@@ -74,42 +74,42 @@
             raise EgretError(ErrorKind.OUTCOME_UNKNOWN, "the first call's outcome is unknown")
         raise _in_progress("another attempt has just begun")
 
-    async def _repeat(self, asked: IntentRequest, row: Row) -> Intent | Row:
+    async def _resolve_open_row(self, intent_request: IntentRequest, row: Row) -> Intent | Row:
         """Decide about another attempt's open intent; take the key over only if that is safe."""
-        check_same_request(row, asked.fingerprint)
+        check_same_request(row, intent_request.fingerprint)
         stage = await self._ledger.stage(row)
         now_s = self._epoch.now()
-        move = next_action(stage, row, now_s, bool(self._spec.lookup))
-        if move is NextAction.LOOK_UP:
-            move = await self._look_up(row, next_action(stage, row, now_s, has_lookup=False))
-        if move is NextAction.RAN:
-            return row.with_outcome(CallState.DONE, RAN)
-        if move is NextAction.WAIT:
+        action = next_action(stage, row, now_s, bool(self._spec.lookup))
+        if action is NextAction.LOOK_UP:
+            action = await self._look_up(row, next_action(stage, row, now_s, has_lookup=False))
+        if action is NextAction.RAN:
+            return row.with_outcome(CallState.DONE, RAN_WITHOUT_ANSWER)
+        if action is NextAction.WAIT:
             raise _in_progress(f"a call with this key has begun; its sender is {stage.value}")
-        if move is NextAction.UNKNOWN:
+        if action is NextAction.UNKNOWN:
             raise EgretError(ErrorKind.OUTCOME_UNKNOWN, f"the call's sender is {stage.value}")
         log(Event.CALL_TAKEN_OVER, attempt=row.attempt, stage=stage.value)
-        return await self._ledger.begin(replace(asked, replaces=row.attempt))
+        return await self._ledger.begin(replace(intent_request, replaces=row.attempt))
 
-    async def _look_up(self, row: Row, otherwise: NextAction) -> NextAction:
+    async def _look_up(self, row: Row, fallback: NextAction) -> NextAction:
         """Ask the service whether the call ran; `otherwise` is the move if that settles nothing.
 
         "It did not run" settles it only where the look-up fences the attempt off as well: its
         sender may be frozen with the call in its hands, and would send it after the look-up.
         """
-        ask = make_lookup_request(self._spec, self._account, self._key, row.fence + 1)
-        found = LookupResult.NO_ANSWER
+        request = make_lookup_request(self._spec, self._account, self._key, row.fence + 1)
+        result = LookupResult.NO_ANSWER
         for runner in self._runners()[:MAX_RUNNERS_TRIED]:
             try:
-                found = parse_lookup(await runner.call(ask))
+                result = parse_lookup(await runner.call(request))
             except (Unsent, OutcomeUnknown):
                 continue
             break
-        log(Event.CALL_LOOKED_UP, attempt=row.attempt, found=found.value)
-        if found is LookupResult.RAN:
+        log(Event.CALL_LOOKED_UP, attempt=row.attempt, found=result.value)
+        if result is LookupResult.RAN:
             return NextAction.RAN
         fenced = self._spec.fencing is Fencing.CHECKED
-        return NextAction.REPLACE if found is LookupResult.NOT_RAN and fenced else otherwise
+        return NextAction.REPLACE if result is LookupResult.NOT_RAN and fenced else fallback
 
     async def _dispatch(self, intent: Intent) -> CallResponse:
         history = SendHistory()
@@ -130,7 +130,7 @@
                 history.record_unknown(str(error))
                 await self._ledger.finish(intent, None)
                 break
-            return await self._answered(intent, answer)
+            return await self._record_answer(intent, answer)
         if not history.may_have_run:
             await self._ledger.release(intent)
         raise history.final_error(f"service {self._spec.name}", ErrorKind.OUTCOME_UNKNOWN)
@@ -148,8 +148,8 @@
         check()
         return await runner.call(request, check)
 
-    async def _answered(self, intent: Intent, answer: CallResponse) -> CallResponse:
-        if self._spec.fencing is Fencing.CHECKED and _fenced_off(intent, answer):
+    async def _record_answer(self, intent: Intent, answer: CallResponse) -> CallResponse:
+        if self._spec.fencing is Fencing.CHECKED and _is_fenced_off(intent, answer):
             # A repeat fenced this attempt off while it stood still. That it was refused is no
             # answer to the call, and the key is free or in the hands of the repeat.
             await self._ledger.release(intent)
@@ -159,7 +159,7 @@
         return answer
 
 
-def _fenced_off(intent: Intent, answer: CallResponse) -> bool:
+def _is_fenced_off(intent: Intent, answer: CallResponse) -> bool:
     """Tell a refusal of an old number: status 409 that names the higher number it has seen."""
     if answer.status != _HTTP_CONFLICT:
         return False
@@ -171,7 +171,7 @@
     return EgretError(ErrorKind.IN_PROGRESS, detail, retry_after_s=IN_PROGRESS_RETRY_S)
 
 
-def _key(request: CallRequest) -> IdempotencyKey:
+def _idempotency_key(request: CallRequest) -> IdempotencyKey:
     found = [value for name, value in request.headers if name.lower() == KEY_HEADER.lower()]
     if len(found) != 1 or not 0 < len(found[0]) <= MAX_KEY_LENGTH:
         raise EgretError(ErrorKind.KEY_REQUIRED, f"{request.method} {request.path}")
--- a/egretstack/ledger/_per_call.py
+++ b/egretstack/ledger/_per_call.py
@@ -17,7 +17,7 @@
     StoredObject,
 )
 
-SETTLE_ATTEMPTS = 3
+MAX_STORE_ATTEMPTS = 3
 PLATFORM_RETRY_S = 5.0
 
 
@@ -40,16 +40,16 @@
 
         Raises EgretError: KEY_REUSED, IN_PROGRESS, OUTCOME_UNKNOWN, PLATFORM_AWAY.
         """
-        name = _name(account, service, key)
+        name = _object_name(account, service, key)
         entry = LedgerEntry(attempt, fingerprint, CallState.INTENT)
         try:
             stored = await self._api.create(ObjectKind.LEDGER, name, entry.spec())
         except Conflict:
             return await self._existing(name, entry)
         except PlatformAway as error:
-            raise _away(error) from error
+            raise _unavailable(error) from error
         except PlatformOutcomeUnknown:
-            return await self._settle(name, entry)
+            return await self._resolve_in_doubt(name, entry)
         self._stored_by_attempt[attempt] = stored
         return entry
 
@@ -58,7 +58,7 @@
         stored = self._stored_by_attempt.pop(entry.attempt, None)
         if stored is None:
             return
-        for _ in range(SETTLE_ATTEMPTS):
+        for _ in range(MAX_STORE_ATTEMPTS):
             try:
                 await self._api.replace(
                     ObjectKind.LEDGER, stored.name, entry.spec(), stored.version
@@ -69,9 +69,9 @@
             except (PlatformAway, PlatformOutcomeUnknown):
                 continue
 
-    async def _settle(self, name: str, entry: LedgerEntry) -> LedgerEntry:
+    async def _resolve_in_doubt(self, name: str, entry: LedgerEntry) -> LedgerEntry:
         """Find out whether a write whose answer was lost took effect, by the attempt's id."""
-        for _ in range(SETTLE_ATTEMPTS):
+        for _ in range(MAX_STORE_ATTEMPTS):
             try:
                 stored = await self._api.get(ObjectKind.LEDGER, name)
             except PlatformAway:
@@ -80,28 +80,28 @@
                 self._stored_by_attempt[entry.attempt] = stored
                 return entry
             if stored is not None:
-                return self._judge(stored, entry)
-        raise _away("the intent's write could not be settled")
+                return self._check_existing(stored, entry)
+        raise _unavailable("the intent's write could not be settled")
 
     async def _existing(self, name: str, entry: LedgerEntry) -> LedgerEntry:
         try:
             stored = await self._api.get(ObjectKind.LEDGER, name)
         except PlatformAway as error:
-            raise _away(error) from error
+            raise _unavailable(error) from error
         if stored is None:
-            raise _away("an entry that comes and goes")
-        found = self._judge(stored, entry)
+            raise _unavailable("an entry that comes and goes")
+        found = self._check_existing(stored, entry)
         if found.state is not CallState.NOT_RUN:
             return found
         try:
             fresh = await self._api.replace(ObjectKind.LEDGER, name, entry.spec(), stored.version)
         except (Conflict, PlatformAway, PlatformOutcomeUnknown) as error:
-            raise _away(error) from error
+            raise _unavailable(error) from error
         self._stored_by_attempt[entry.attempt] = fresh
         return entry
 
     @staticmethod
-    def _judge(stored: StoredObject, entry: LedgerEntry) -> LedgerEntry:
+    def _check_existing(stored: StoredObject, entry: LedgerEntry) -> LedgerEntry:
         found = LedgerEntry.from_spec(stored.spec)
         if found.fingerprint != entry.fingerprint:
             raise EgretError(ErrorKind.KEY_REUSED, "the key was used for another request")
@@ -112,12 +112,12 @@
         return found
 
 
-def _away(cause: object) -> EgretError:
+def _unavailable(cause: object) -> EgretError:
     proof = NotRunProof("the intent was not written, so the call was not sent")
     return EgretError(
         ErrorKind.PLATFORM_AWAY, str(cause), retry_after_s=PLATFORM_RETRY_S, proof=proof
     )
 
 
-def _name(account: AccountId, service: ServiceName, key: IdempotencyKey) -> str:
+def _object_name(account: AccountId, service: ServiceName, key: IdempotencyKey) -> str:
     return hashlib.sha256(f"{account}\0{service}\0{key}".encode()).hexdigest()[:40]
--- a/egretstack/ledger/_pruning.py
+++ b/egretstack/ledger/_pruning.py
@@ -22,7 +22,7 @@
 refuse every new call of the shard.
 """
 
-UNLIST_ATTEMPTS = 8
+MAX_UNLIST_ATTEMPTS = 8
 
 
 @dataclass(frozen=True)
@@ -63,15 +63,15 @@
 
     async def _prune_head(self, name: str, epoch_s: float) -> int:
         shard = Shard.from_stored(await self._api.get(ObjectKind.LEDGER, name))
-        old = {one.name for one in shard.segments if one.until_s + PRUNE_MARGIN_S <= epoch_s}
-        if not old:
+        expired = {one.name for one in shard.segments if one.until_s + PRUNE_MARGIN_S <= epoch_s}
+        if not expired:
             return 0
         # Deleted before it is taken off the list: after a stop in between, the list still leads
         # the next round to it. The other way round it would stay in the store for ever.
-        for segment in old:
+        for segment in expired:
             await self._delete(segment)
-        await self._unlist(name, old)
-        return len(old)
+        await self._unlist(name, expired)
+        return len(expired)
 
     async def _delete(self, segment: str) -> None:
         stored = await self._api.get(ObjectKind.LEDGER, segment)
@@ -85,14 +85,14 @@
         # The head was read before the deletions, which take seconds, and entries write it many
         # times a second: on the version from then, every update would conflict, and the list
         # would grow until the shard takes no call. So it is read again, just before the update.
-        for _ in range(UNLIST_ATTEMPTS):
+        for _ in range(MAX_UNLIST_ATTEMPTS):
             await self._before_pair()
             stored = await self._api.get(ObjectKind.LEDGER, name)
             shard = Shard.from_stored(stored)
-            left = tuple(one for one in shard.segments if one.name not in dropped)
-            if left == shard.segments:
+            remaining = tuple(one for one in shard.segments if one.name not in dropped)
+            if remaining == shard.segments:
                 return
-            fresh = Shard(shard.row_by_key, left, shard.write_count + 1)
+            fresh = Shard(shard.row_by_key, remaining, shard.write_count + 1)
             with suppress(Conflict):
                 await self._api.replace(ObjectKind.LEDGER, name, fresh.spec(), stored.version)
                 return
--- a/egretstack/ledger/_row.py
+++ b/egretstack/ledger/_row.py
@@ -59,10 +59,15 @@
             return CallResponse(
                 self.status, (*self.headers, (REPLAY_HEADER, REPLAY_KEPT)), self.body
             )
-        what = REPLAY_NOT_KEPT if self.status else REPLAY_RAN
-        told = {"replay": what, "status": self.status, "bytes": self.length, "sha256": self.digest}
-        headers = (("Content-Type", "application/json"), (REPLAY_HEADER, what))
-        return CallResponse(self.status or _HTTP_OK, headers, json.dumps(told).encode())
+        replay_kind = REPLAY_NOT_KEPT if self.status else REPLAY_RAN
+        summary = {
+            "replay": replay_kind,
+            "status": self.status,
+            "bytes": self.length,
+            "sha256": self.digest,
+        }
+        headers = (("Content-Type", "application/json"), (REPLAY_HEADER, replay_kind))
+        return CallResponse(self.status or _HTTP_OK, headers, json.dumps(summary).encode())
 
     def spec(self) -> list[object]:
         """Give the stored form."""
--- a/egretstack/ledger/_segments.py
+++ b/egretstack/ledger/_segments.py
@@ -7,70 +7,70 @@
 from egretstack.ledger._steps import CreateSegment, Operation
 
 
-class SegmentBook:
+class SegmentCache:
     """Indexes of the listed segments, the rows of the one read last, and the one being made."""
 
     def __init__(self, roll_bytes: int) -> None:
         self._roll_bytes = roll_bytes
         self._index_by_name: dict[str, SegmentIndex] = {}
-        self._missing: set[str] = set()
-        self._base: str | None = None
-        self.loaded = ""
+        self._missing_names: set[str] = set()
+        self._base_version: str | None = None
+        self.loaded_name = ""
         self.row_by_key: dict[KeyId, Row] = {}
-        self.made: Segment | None = None
-        self.moved: dict[KeyId, Row] = {}
-        self.unlisted: str | None = None
+        self.created: Segment | None = None
+        self.moved_rows: dict[KeyId, Row] = {}
+        self.unlisted_name: str | None = None
 
-    def head_read(self, shard: Shard, version: str | None) -> None:
+    def on_head_read(self, shard: Shard, version: str | None) -> None:
         """Take in which segments the head lists at a version."""
         names = {segment.name for segment in shard.segments}
         indexes = self._index_by_name.items()
         self._index_by_name = {name: index for name, index in indexes if name in names}
-        self._missing &= names
-        if self.made is None or self.made.name not in names and version == self._base:
+        self._missing_names &= names
+        if self.created is None or self.created.name not in names and version == self._base_version:
             return
-        if self.made.name not in names:
+        if self.created.name not in names:
             # The head moved on without it, so the write that listed it can never land.
-            self.unlisted = self.made.name
-        self.clear_made()
+            self.unlisted_name = self.created.name
+        self.clear_created()
 
-    def read(self, name: str, row_by_key: dict[KeyId, Row]) -> None:
+    def on_segment_read(self, name: str, row_by_key: dict[KeyId, Row]) -> None:
         """Take in the rows of a segment."""
         self._add(name, row_by_key)
-        self.loaded, self.row_by_key = name, row_by_key
+        self.loaded_name, self.row_by_key = name, row_by_key
 
-    def missing(self, name: str) -> bool:
+    def on_segment_missing(self, name: str) -> bool:
         """Take in that a listed segment is not there; True the second time."""
-        again = name in self._missing
-        self._missing.add(name)
+        again = name in self._missing_names
+        self._missing_names.add(name)
         return again
 
-    def make(self, name: str, made: CreateSegment, version: str | None) -> None:
+    def on_segment_created(self, name: str, step: CreateSegment, version: str | None) -> None:
         """Take in that a segment was made of rows of the head at a version."""
-        self.made = Segment(name, made.until_s)
-        self.moved = made.row_by_key
-        self._base = version
-        self._add(name, made.row_by_key)
+        self.created = Segment(name, step.until_s)
+        self.moved_rows = step.row_by_key
+        self._base_version = version
+        self._add(name, step.row_by_key)
 
-    def clear_made(self) -> None:
+    def clear_created(self) -> None:
         """Forget the segment being made: the head lists it, or never will."""
-        self.made, self.moved = None, {}
+        self.created, self.moved_rows = None, {}
 
-    def unread(self, shard: Shard, epoch_s: float) -> str | None:
+    def find_unread(self, shard: Shard, epoch_s: float) -> str | None:
         """Give a listed segment that must be read before any key can begin."""
         for segment in shard.segments:
             if segment.name not in self._index_by_name and segment.until_s > epoch_s:
                 return segment.name
         return None
 
-    def holder(self, operation: Operation, shard: Shard, epoch_s: float) -> str | None:
+    def find_segment(self, operation: Operation, shard: Shard, epoch_s: float) -> str | None:
         """Give the newest segment that holds the key, or that must be read to know."""
         for segment in reversed(shard.segments):
             if segment.until_s <= epoch_s or segment.name in operation.segments_without_key:
                 continue
             if not self._index_by_name[segment.name].may_hold(operation.key):
                 continue
-            if segment.name != self.loaded:
+            if segment.name != self.loaded_name:
                 return segment.name
             row = self.row_by_key.get(operation.key)
             if row is not None and row.until_s > epoch_s:
@@ -78,10 +78,10 @@
             operation.segments_without_key.add(segment.name)
         return None
 
-    def roll(self, rows: dict[KeyId, Row]) -> CreateSegment | None:
+    def roll_over(self, rows: dict[KeyId, Row]) -> CreateSegment | None:
         """Take moved rows out of `rows`, or tell which to move where there are too many."""
-        if self.made is not None:
-            for key, row in self.moved.items():
+        if self.created is not None:
+            for key, row in self.moved_rows.items():
                 if rows.get(key) == row:
                     del rows[key]
             return None
--- a/egretstack/ledger/_shard.py
+++ b/egretstack/ledger/_shard.py
@@ -18,15 +18,15 @@
 """Never change it while rows are kept: a key would move to a shard that has not its row."""
 BUCKET_S = 3_600
 """Rows that may be forgotten in the same hour go into the same segment, which goes whole."""
-ROLL_BYTES = 65_536
+ROLL_THRESHOLD_BYTES = 65_536
 """Size of a head's rows above which the ended ones move into a segment."""
 MAX_HEAD_BYTES = 786_432
 """Size of a head's rows above which no new row is taken: only open rows can add up to it."""
 MAX_SEGMENTS = 4_000
 """Listed segments above which no new row is taken: the list is part of the head's bytes."""
 MAX_SEGMENT_BYTES = 524_288
-_DIGITS = 16
-_FINAL = frozenset({CallState.DONE, CallState.UNKNOWN})
+_INDEX_DIGITS = 16
+_FINAL_STATES = frozenset({CallState.DONE, CallState.UNKNOWN})
 
 
 def head_name(number: int) -> str:
@@ -101,13 +101,13 @@
     """The keys of a segment, 8 bytes each; a hit is checked against the segment itself."""
 
     def __init__(self, keys: list[KeyId]) -> None:
-        self._numbers = array("Q", sorted(int(key[:_DIGITS], 16) for key in keys))
+        self._key_numbers = array("Q", sorted(int(key[:_INDEX_DIGITS], 16) for key in keys))
 
     def may_hold(self, key: KeyId) -> bool:
         """Tell whether the segment may hold a key; a no is certain."""
-        number = int(key[:_DIGITS], 16)
-        place = bisect_left(self._numbers, number)
-        return place < len(self._numbers) and self._numbers[place] == number
+        number = int(key[:_INDEX_DIGITS], 16)
+        position = bisect_left(self._key_numbers, number)
+        return position < len(self._key_numbers) and self._key_numbers[position] == number
 
 
 def largest_bucket(row_by_key: dict[KeyId, Row]) -> dict[KeyId, Row]:
@@ -115,7 +115,7 @@
 
     Rows of calls that did not run stay: their keys are free, and a segment is never rewritten.
     """
-    ended = [(key, row) for key, row in row_by_key.items() if row.state in _FINAL]
+    ended = [(key, row) for key, row in row_by_key.items() if row.state in _FINAL_STATES]
     ended.sort(key=lambda pair: pair[1].until_s)
     groups = [list(group) for _, group in groupby(ended, lambda pair: _bucket(pair[1]))]
     largest = max(groups, key=lambda group: sum(row.size for _, row in group), default=[])
--- a/egretstack/ledger/_store.py
+++ b/egretstack/ledger/_store.py
@@ -38,10 +38,10 @@
 
 STORE_TIMEOUT_S = 1.0
 """Time allowed for one call; a slow store must not hold callers longer than an absent one."""
-AWAY_PAUSE_S = 1.0
+UNAVAILABLE_PAUSE_S = 1.0
 """After a failed call, how long new beginnings of the shard are refused without asking."""
 CONFLICT_PAUSE_S = 0.01
-PACE_S = 0.05
+MIN_WRITE_INTERVAL_S = 0.05
 """Least time between the starts of two commits of a shard; what comes meanwhile shares one.
 
 With 8 shards it bounds the writes to 160 a second however many calls come (docs/design/ledger.md).
@@ -49,14 +49,14 @@
 
 
 @dataclass
-class _Lane:
+class _ShardWorker:
     """One shard's writer with its task."""
 
     writer: ShardWriter
     name: str
-    working: bool = False
+    is_running: bool = False
     next_write_s: float = 0.0
-    away_until_s: float = 0.0
+    unavailable_until_s: float = 0.0
     conflicts: int = 0
 
 
@@ -69,32 +69,32 @@
         epoch: EpochClock,
         nursery: trio.Nursery,
         shards: int = SHARD_COUNT,
-        min_write_interval_s: float = PACE_S,
+        min_write_interval_s: float = MIN_WRITE_INTERVAL_S,
     ) -> None:
         self._api = api
         self._epoch = epoch
         self._nursery = nursery
-        self._pace_s = min_write_interval_s
+        self._min_write_interval_s = min_write_interval_s
         self._rng = random.Random()
-        self._lanes = [_Lane(ShardWriter(), head_name(number)) for number in range(shards)]
+        self._workers = [_ShardWorker(ShardWriter(), head_name(number)) for number in range(shards)]
         self._event_by_operation: dict[Operation, trio.Event] = {}
 
     @property
     def is_idle(self) -> bool:
         """Tell whether nothing waits to be written or settled."""
-        return all(lane.writer.is_idle for lane in self._lanes)
+        return all(lane.writer.is_idle for lane in self._workers)
 
     def submit(self, number: int, operation: Operation) -> None:
         """Start an operation on a shard."""
-        lane = self._lanes[number]
+        lane = self._workers[number]
         lane.writer.submit(operation)
-        if not lane.working:
-            lane.working = True
-            self._nursery.start_soon(self._work, lane)
+        if not lane.is_running:
+            lane.is_running = True
+            self._nursery.start_soon(self._run_worker, lane)
 
     def is_unavailable(self, number: int) -> bool:
         """Tell whether the shard's store was away a moment ago."""
-        return trio.current_time() < self._lanes[number].away_until_s
+        return trio.current_time() < self._workers[number].unavailable_until_s
 
     async def wait(self, number: int, operation: Operation) -> Outcome | None:
         """Wait for an operation's outcome until it gives up; a beginning then has one."""
@@ -104,50 +104,50 @@
                 await event.wait()
         self._event_by_operation.pop(operation, None)
         if operation.outcome is None and operation.kind is OperationKind.BEGIN:
-            self._lanes[number].writer.expire_begins(trio.current_time())
+            self._workers[number].writer.expire_begins(trio.current_time())
         return operation.outcome
 
-    async def _work(self, lane: _Lane) -> None:
+    async def _run_worker(self, lane: _ShardWorker) -> None:
         while True:
             await trio.sleep_until(lane.next_write_s)
             lane.writer.expire_begins(trio.current_time())
             step = lane.writer.next_step(self._epoch.now())
-            self._announce()
+            self._notify_waiters()
             if step is None:
-                lane.working = False
+                lane.is_running = False
                 return
-            await self._take(lane, step)
-            self._announce()
+            await self._execute(lane, step)
+            self._notify_waiters()
 
-    def _announce(self) -> None:
+    def _notify_waiters(self) -> None:
         for operation in [one for one in self._event_by_operation if one.outcome is not None]:
             self._event_by_operation.pop(operation).set()
 
-    async def _take(self, lane: _Lane, step: Step) -> None:
-        sent = isinstance(step, WriteHead)
+    async def _execute(self, lane: _ShardWorker, step: Step) -> None:
+        is_write = isinstance(step, WriteHead)
         try:
             with trio.fail_after(STORE_TIMEOUT_S):
-                await self._perform(lane, step)
+                await self._call_store(lane, step)
             return
         except Conflict:
             lane.conflicts += 1
             lane.writer.on_conflict()
             pause_s = CONFLICT_PAUSE_S
         except (trio.TooSlowError, PlatformOutcomeUnknown):
-            lane.writer.on_failure(sent)
-            pause_s = CONFLICT_PAUSE_S if sent else AWAY_PAUSE_S
+            lane.writer.on_failure(is_write)
+            pause_s = CONFLICT_PAUSE_S if is_write else UNAVAILABLE_PAUSE_S
         except (PlatformError, CorruptShard):
             lane.writer.on_failure(False)
-            pause_s = AWAY_PAUSE_S
+            pause_s = UNAVAILABLE_PAUSE_S
         if isinstance(step, DeleteSegment):
             lane.writer.on_segment_deleted()
-        if pause_s == AWAY_PAUSE_S:
-            lane.away_until_s = trio.current_time() + AWAY_PAUSE_S
-        self._announce()
+        if pause_s == UNAVAILABLE_PAUSE_S:
+            lane.unavailable_until_s = trio.current_time() + UNAVAILABLE_PAUSE_S
+        self._notify_waiters()
         # Entries that wrote at the same moment would do so again after equal pauses.
         await trio.sleep(pause_s * (0.5 + self._rng.random()))
 
-    async def _perform(self, lane: _Lane, step: Step) -> None:
+    async def _call_store(self, lane: _ShardWorker, step: Step) -> None:
         writer = lane.writer
         match step:
             case ReadHead():
@@ -168,10 +168,10 @@
                     await self._api.delete(ObjectKind.LEDGER, name, stored.version)
                 writer.on_segment_deleted()
             case WriteHead(spec, version):
-                lane.next_write_s = trio.current_time() + self._pace_s
+                lane.next_write_s = trio.current_time() + self._min_write_interval_s
                 await self._write(lane, spec, version)
 
-    async def _write(self, lane: _Lane, spec: dict, version: str | None) -> None:
+    async def _write(self, lane: _ShardWorker, spec: dict, version: str | None) -> None:
         if version is None:
             stored = await self._api.create(ObjectKind.LEDGER, lane.name, spec)
         else:
--- a/egretstack/ledger/_writer.py
+++ b/egretstack/ledger/_writer.py
@@ -13,11 +13,11 @@
 
 from egretstack.ledger._entry import CallState
 from egretstack.ledger._row import KeyId, Row
-from egretstack.ledger._segments import SegmentBook
+from egretstack.ledger._segments import SegmentCache
 from egretstack.ledger._shard import (
     MAX_HEAD_BYTES,
     MAX_SEGMENTS,
-    ROLL_BYTES,
+    ROLL_THRESHOLD_BYTES,
     Shard,
 )
 from egretstack.ledger._steps import (
@@ -33,22 +33,22 @@
 )
 
 MAX_PENDING = 2_000
-OPEN_ROWS_KEPT_S = 86_400
+OPEN_ROW_EXTRA_RETENTION_S = 86_400
 """How long past its retention a row without an outcome is kept, in seconds."""
 
 
 class ShardWriter:
     """The state of one shard as one process knows it."""
 
-    def __init__(self, roll_bytes: int = ROLL_BYTES) -> None:
+    def __init__(self, roll_bytes: int = ROLL_THRESHOLD_BYTES) -> None:
         self._pending: list[Operation] = []
         self._batch: list[Operation] = []
         self._shard: Shard | None = None
         self._version: str | None = None
-        self._segments = SegmentBook(roll_bytes)
+        self._segments = SegmentCache(roll_bytes)
         self._draft = Shard()
-        self._full = False
-        self._shared = False
+        self._refuses_new_rows = False
+        self._has_other_writers = False
 
     @property
     def is_idle(self) -> bool:
@@ -57,8 +57,8 @@
 
     def submit(self, operation: Operation) -> None:
         """Take an operation in; its outcome is set on it later."""
-        begins = operation.kind is OperationKind.BEGIN
-        if begins and len(self._pending) >= MAX_PENDING:
+        is_begin = operation.kind is OperationKind.BEGIN
+        if is_begin and len(self._pending) >= MAX_PENDING:
             operation.outcome = Outcome.REFUSED
             return
         self._pending.append(operation)
@@ -66,57 +66,61 @@
     def expire_begins(self, now_s: float) -> None:
         """End the beginnings whose time is over; those in doubt are retracted from now on."""
         for operation in [*self._pending, *self._batch]:
-            begins = operation.kind is OperationKind.BEGIN and operation.outcome is None
-            if begins and operation.give_up_at_s <= now_s:
+            is_waiting_begin = operation.kind is OperationKind.BEGIN and operation.outcome is None
+            if is_waiting_begin and operation.give_up_at_s <= now_s:
                 self._end_begin(operation)
 
     def next_step(self, epoch_s: float) -> Step | None:
         """Give the next call to make, or None when nothing waits."""
-        if self._segments.unlisted is not None:
-            return DeleteSegment(self._segments.unlisted)
+        if self._segments.unlisted_name is not None:
+            return DeleteSegment(self._segments.unlisted_name)
         if not self._pending:
-            if self._shared:
+            if self._has_other_writers:
                 # Others write this shard too: a write on an old view would only conflict, and a
                 # read costs the platform less than a write.
                 self._shard = None
             return None
         if self._shard is None:
             return ReadHead()
-        unread = self._segments.unread(self._shard, epoch_s) if self._searches() else None
+        unread = (
+            self._segments.find_unread(self._shard, epoch_s)
+            if self._must_search_segments()
+            else None
+        )
         if unread is not None:
             return ReadSegment(unread)
-        return self._plan(epoch_s)
+        return self._plan_commit(epoch_s)
 
     def on_head_read(self, shard: Shard, version: str | None) -> None:
         """Take in the head as just read."""
-        self._shared = version != self._version
+        self._has_other_writers = version != self._version
         self._shard, self._version = shard, version
-        self._segments.head_read(shard, version)
+        self._segments.on_head_read(shard, version)
         for operation in self._pending:
             operation.has_fresh_head = True
 
     def on_segment_read(self, name: str, row_by_key: dict[KeyId, Row] | None) -> None:
         """Take in a segment; None if there is none of that name."""
         if row_by_key is not None:
-            self._segments.read(name, row_by_key)
+            self._segments.on_segment_read(name, row_by_key)
             return
         # The head may list it no more; where it does, nothing can begin here safely.
-        if self._segments.missing(name):
+        if self._segments.on_segment_missing(name):
             self.on_failure(False)
         self._shard = None
 
-    def on_segment_created(self, name: str, made: CreateSegment) -> None:
+    def on_segment_created(self, name: str, step: CreateSegment) -> None:
         """Take in that the segment exists; the next write of the head lists it."""
-        self._segments.make(name, made, self._version)
+        self._segments.on_segment_created(name, step, self._version)
 
     def on_segment_deleted(self) -> None:
         """Take in that an unlisted segment was deleted, or that this was tried."""
-        self._segments.unlisted = None
+        self._segments.unlisted_name = None
 
     def on_written(self, version: str) -> None:
         """Take in that the write took effect."""
         self._shard, self._version = self._draft, version
-        self._segments.clear_made()
+        self._segments.clear_created()
         for operation in self._batch:
             operation.outcome = operation.outcome or Outcome.WRITTEN
         self._batch = []
@@ -131,8 +135,8 @@
         Beginnings end at once: their callers are told when to come back.
         """
         for operation in self._batch if in_doubt else ():
-            left = operation.retraction or operation
-            left.in_doubt, left.in_doubt_version = True, self._version
+            target = operation.retraction or operation
+            target.in_doubt, target.in_doubt_version = True, self._version
         self._requeue()
         if in_doubt:
             return
@@ -140,7 +144,7 @@
             if operation.kind is OperationKind.BEGIN:
                 self._end_begin(operation)
 
-    def _searches(self) -> bool:
+    def _must_search_segments(self) -> bool:
         return any(self._needs_segments(operation) for operation in self._pending)
 
     @staticmethod
@@ -157,10 +161,10 @@
             operation.has_fresh_head = False
 
     def _end_begin(self, operation: Operation) -> None:
-        under_way = operation in self._batch
-        if not under_way:
+        is_in_batch = operation in self._batch
+        if not is_in_batch:
             self._pending.remove(operation)
-        if not under_way and not operation.in_doubt and not operation.forwarded:
+        if not is_in_batch and not operation.in_doubt and not operation.forwarded:
             operation.outcome = Outcome.REFUSED
             return
         operation.outcome = Outcome.ABANDONED
@@ -181,13 +185,15 @@
         )
         self._pending.append(operation.retraction)
 
-    def _plan(self, epoch_s: float) -> Step | None:
-        rows = {key: row for key, row in self._shard.row_by_key.items() if kept(row, epoch_s)}
-        rolled = self._segments.roll(rows)
+    def _plan_commit(self, epoch_s: float) -> Step | None:
+        rows = {
+            key: row for key, row in self._shard.row_by_key.items() if is_retained(row, epoch_s)
+        }
+        rolled = self._segments.roll_over(rows)
         if rolled is not None:
             return rolled
         changed: list[Operation] = []
-        self._full = self._is_full(rows)
+        self._refuses_new_rows = self._is_full(rows)
         for operation in list(self._pending):
             step = self._apply(operation, rows, changed, epoch_s)
             if step is not None:
@@ -197,8 +203,8 @@
         self._batch = changed
         self._pending = [one for one in self._pending if one not in changed]
         segments = self._shard.segments
-        if self._segments.made is not None:
-            segments = (*segments, self._segments.made)
+        if self._segments.created is not None:
+            segments = (*segments, self._segments.created)
         self._draft = Shard(rows, segments, self._shard.write_count + 1)
         return WriteHead(self._draft.spec(), self._version)
 
@@ -218,8 +224,8 @@
             return None
         found = rows.get(operation.key) or self._moved_row(operation.key)
         if found is None and self._needs_segments(operation):
-            segment = self._segment_of(operation, epoch_s)
-            if segment is not None and segment != self._segments.loaded:
+            segment = self._find_segment(operation, epoch_s)
+            if segment is not None and segment != self._segments.loaded_name:
                 return ReadSegment(segment)
             found = self._segments.row_by_key[operation.key] if segment else None
         if operation.kind is not OperationKind.BEGIN:
@@ -227,16 +233,16 @@
         if found is not None and found.attempt == operation.row.attempt:
             # Written by an update whose answer was lost, or by the home that was asked to.
             operation.row = found
-            return self._settle(operation, Outcome.WRITTEN if found.is_open else Outcome.REFUSED)
-        if found is not None and not _free(found, operation):
+            return self._complete(operation, Outcome.WRITTEN if found.is_open else Outcome.REFUSED)
+        if found is not None and not _is_key_free(found, operation):
             operation.found = found
             return (
-                self._settle(operation, Outcome.FOUND)
+                self._complete(operation, Outcome.FOUND)
                 if operation.has_fresh_head
                 else self._reread()
             )
-        if self._full:
-            return self._settle(operation, Outcome.REFUSED)
+        if self._refuses_new_rows:
+            return self._complete(operation, Outcome.REFUSED)
         if found is not None:
             number = max(operation.row.fence, found.fence + 1)
             operation.row = replace(operation.row, fence=number)
@@ -253,7 +259,7 @@
     ) -> Step | None:
         own = found is not None and found.attempt == operation.row.attempt
         if own and found == operation.row:
-            return self._settle(operation, Outcome.WRITTEN)
+            return self._complete(operation, Outcome.WRITTEN)
         if own:
             rows[operation.key] = operation.row
             changed.append(operation)
@@ -271,7 +277,7 @@
             return None
         if not operation.has_fresh_head:
             return self._reread()
-        return self._settle(operation, Outcome.LOST)
+        return self._complete(operation, Outcome.LOST)
 
     def _may_land_yet(self, operation: Operation) -> bool:
         return operation.in_doubt and operation.in_doubt_version == self._version
@@ -280,25 +286,25 @@
         self._shard = None
         return ReadHead()
 
-    def _settle(self, operation: Operation, outcome: Outcome) -> None:
+    def _complete(self, operation: Operation, outcome: Outcome) -> None:
         operation.outcome = outcome
         self._pending.remove(operation)
 
-    def _segment_of(self, operation: Operation, epoch_s: float) -> str | None:
-        return self._segments.holder(operation, self._shard, epoch_s)
+    def _find_segment(self, operation: Operation, epoch_s: float) -> str | None:
+        return self._segments.find_segment(operation, self._shard, epoch_s)
 
     def _moved_row(self, key: KeyId) -> Row | None:
         """Give a row that this very write moves into a segment which the head does not list yet."""
-        return self._segments.moved.get(key)
+        return self._segments.moved_rows.get(key)
 
 
-def kept(row: Row, epoch_s: float) -> bool:
+def is_retained(row: Row, epoch_s: float) -> bool:
     """Tell whether a row is still kept; one without an outcome is kept longer."""
-    extra_s = OPEN_ROWS_KEPT_S if row.is_open else 0
+    extra_s = OPEN_ROW_EXTRA_RETENTION_S if row.is_open else 0
     return epoch_s < row.until_s + extra_s
 
 
-def _free(found: Row, operation: Operation) -> bool:
+def _is_key_free(found: Row, operation: Operation) -> bool:
     if found.fingerprint != operation.row.fingerprint:
         return False
     return found.state is CallState.NOT_RUN or found.attempt == operation.replaces
--- a/egretstack/upstreams/_http_engine.py
+++ b/egretstack/upstreams/_http_engine.py
@@ -33,7 +33,7 @@
 
 _HTTP_NOT_FOUND = 404
 _HTTP_CONFLICT = 409
-_BUSY = frozenset({429, 503})
+_BUSY_STATUSES = frozenset({429, 503})
 _KIND_BY_NAME = {kind.value: kind for kind in EngineEventKind}
 MAX_MODELS = 1000
 MAX_CACHE_EVENTS = 10_000
@@ -54,8 +54,8 @@
         silence_s: float,
     ) -> None:
         self._client = client
-        self._fresh = unpooled_client
-        self._base = base_url
+        self._unpooled_client = unpooled_client
+        self._base_url = base_url
         self._stream_timeout = httpx.Timeout(client.timeout.connect, read=silence_s)
 
     @asynccontextmanager
@@ -71,7 +71,7 @@
         }
         opened = self._client.stream(
             "POST",
-            f"{self._base}/v1/responses",
+            f"{self._base_url}/v1/responses",
             content=json.dumps(body),
             timeout=self._stream_timeout,
         )
@@ -84,9 +84,9 @@
         params = {"stream": "true"}
         if after >= 0:
             params["starting_after"] = str(after)
-        opened = self._fresh.stream(
+        opened = self._unpooled_client.stream(
             "GET",
-            f"{self._base}/v1/responses/{generation}",
+            f"{self._base_url}/v1/responses/{generation}",
             params=params,
             timeout=self._stream_timeout,
         )
@@ -95,13 +95,15 @@
 
     async def cancel(self, generation: GenerationId) -> None:
         """End a generation; one that is gone is no error. Raises EngineError."""
-        response = await self._ask("POST", f"/v1/responses/{generation}/cancel")
+        response = await self._request("POST", f"/v1/responses/{generation}/cancel")
         if response.is_error and response.status_code != _HTTP_NOT_FOUND:
             raise EngineBroken(f"status {response.status_code}")
 
     async def state(self, generation: GenerationId) -> GenerationState:
         """Ask after a generation over a new connection. Raises EngineError, GenerationGone."""
-        response = await self._ask("GET", f"/v1/responses/{generation}", client=self._fresh)
+        response = await self._request(
+            "GET", f"/v1/responses/{generation}", client=self._unpooled_client
+        )
         if response.status_code == _HTTP_NOT_FOUND:
             raise GenerationNotFound(generation)
         try:
@@ -111,7 +113,7 @@
 
     async def load(self) -> LoadReport:
         """Read the latest load report. Raises EngineError."""
-        response = await self._ask("GET", "/metrics")
+        response = await self._request("GET", "/metrics")
         try:
             return _load_report(response.text)
         except (ValueError, KeyError) as error:
@@ -119,7 +121,7 @@
 
     async def cache_events(self, after: int) -> list[CacheEvent]:
         """Read cache events numbered above `after`; numbers may be missing."""
-        response = await self._ask("GET", "/cache-events", params={"after": str(after)})
+        response = await self._request("GET", "/cache-events", params={"after": str(after)})
         try:
             rows = response.json()["events"][:MAX_CACHE_EVENTS]
             return [CacheEvent(int(r["number"]), r["prefix"], bool(r["stored"])) for r in rows]
@@ -128,7 +130,7 @@
 
     async def models(self) -> tuple[ModelName, ...]:
         """Read which models the engine serves now. Raises EngineError."""
-        response = await self._ask("GET", "/v1/models")
+        response = await self._request("GET", "/v1/models")
         try:
             rows = response.json()["data"][:MAX_MODELS]
             return tuple(ModelName(str(row["id"])) for row in rows)
@@ -138,13 +140,13 @@
     async def order(self, order: Order) -> None:
         """Give an order. Raises OrderRefused, EngineError."""
         body = {"id": order.id, "fencing": order.fencing, "models": list(order.models)}
-        response = await self._ask("PUT", "/orders", content=json.dumps(body))
+        response = await self._request("PUT", "/orders", content=json.dumps(body))
         if response.status_code == _HTTP_CONFLICT:
             raise OrderRefused(order.id)
         if response.is_error:
             raise EngineBroken(f"status {response.status_code}")
 
-    async def _ask(
+    async def _request(
         self,
         method: str,
         path: str,
@@ -153,7 +155,7 @@
         **options: object,
     ) -> httpx.Response:
         try:
-            return await (client or self._client).request(method, self._base + path, **options)
+            return await (client or self._client).request(method, self._base_url + path, **options)
         except (httpx.ConnectTimeout, httpx.PoolTimeout) as error:
             raise EngineNoAnswer(repr(error)) from error
         except httpx.ConnectError as error:
@@ -183,7 +185,7 @@
 
 
 def _check_stream(response: httpx.Response, generation: GenerationId | None) -> None:
-    if response.status_code in _BUSY:
+    if response.status_code in _BUSY_STATUSES:
         raise EngineRefused(f"status {response.status_code}", _retry_after(response))
     if response.status_code == _HTTP_NOT_FOUND and generation is not None:
         raise GenerationNotFound(generation)
@@ -210,9 +212,9 @@
             if kind is None:
                 continue
             data = json.loads(message.data)
-            generation = _generation_of(data, generation)
+            generation = _generation_id(data, generation)
             sequence = int(data["sequence_number"])
-            yield EngineEvent(generation, sequence, kind, _delta(data))
+            yield EngineEvent(generation, sequence, kind, _text_delta(data))
             ended = kind not in (EngineEventKind.CREATED, EngineEventKind.TOKEN)
     except httpx.TimeoutException as error:
         raise EngineSilent(repr(error)) from error
@@ -224,14 +226,14 @@
         raise EngineBroken("the stream ended before the generation did")
 
 
-def _delta(data: dict) -> str:
+def _text_delta(data: dict) -> str:
     delta = data.get("delta", "")
     if not isinstance(delta, str):
         raise TypeError("a delta that is not text")
     return delta
 
 
-def _generation_of(data: dict, known: GenerationId | None) -> GenerationId:
+def _generation_id(data: dict, known: GenerationId | None) -> GenerationId:
     """Find the generation an event belongs to.
 
     A token event carries its item's id, which the engine makes from the generation's; were the
--- a/egretstack/upstreams/_http_plain.py
+++ b/egretstack/upstreams/_http_plain.py
@@ -23,7 +23,7 @@
 
     def __init__(self, client: httpx.AsyncClient, base_url: str) -> None:
         self._client = client
-        self._base = base_url
+        self._base_url = base_url
 
     async def call(
         self, request: CallRequest, check: Callable[[], None] | None = None
@@ -42,7 +42,7 @@
             raise OutcomeUnknown(repr(error)) from error
 
     async def _call(self, request: CallRequest, check: Callable[[], None] | None) -> CallResponse:
-        url = self._base + request.path + (f"?{request.query}" if request.query else "")
+        url = self._base_url + request.path + (f"?{request.query}" if request.query else "")
         timeout = httpx.Timeout(request.timeout_s, connect=self._client.timeout.connect)
         async with self._client.stream(
             request.method,
--- a/tests/ledger_site.py
+++ b/tests/ledger_site.py
@@ -17,12 +17,12 @@
 from standins.gate import ProcessKilled
 from standins.plain_service import Book
 from standins.world import open_world
-from tests.ledger_support import LateObjectApi, outcome_of
+from tests.ledger_support import DelayingObjectApi, outcome_of
 
 KEY_ID = key_id(AccountId("acme"), ServiceName("holds"), IdempotencyKey("k"))
 CONTRACT = {"contract": {"account": "acme", "key_sha256": "f" * 64}}
-OTHER = {"contract": {"account": "other", "key_sha256": "e" * 64}}
-LLM = {"service": {"name": "llm", "kind": "engine"}, "engine": {"models": "story"}}
+OTHER_CONTRACT = {"contract": {"account": "other", "key_sha256": "e" * 64}}
+LLM_SERVICE = {"service": {"name": "llm", "kind": "engine"}, "engine": {"models": "story"}}
 
 
 @asynccontextmanager
@@ -34,7 +34,10 @@
     }
     async with open_world() as world:
         await world.configure(
-            contract__acme=CONTRACT, contract__other=OTHER, service__holds=service, service__llm=LLM
+            contract__acme=CONTRACT,
+            contract__other=OTHER_CONTRACT,
+            service__holds=service,
+            service__llm=LLM_SERVICE,
         )
         world.add_engine("engine-0", "llm", ("story",), EngineParameters())
         book = Book(offers_lookup=bool(lookup), checks_fencing=fencing == "checked")
@@ -65,9 +68,9 @@
     return found if isinstance(found, ErrorKind) else found.status
 
 
-def make_late(process):
+def make_writes_delayable(process):
     """Give the process an object API whose writes can be held back."""
-    api = LateObjectApi(process.access.store_client.store)
+    api = DelayingObjectApi(process.access.store_client.store)
     process.access.store_client = api
     process.access.object_api = process.access.budgeted(api)
     process.kernel.get(LedgerStore)._store._api = process.access.object_api
@@ -81,7 +84,7 @@
     return [row for row in rows if row.is_open]
 
 
-async def freeze_before_first_byte(world, process, runner, request=None):
+async def pause_before_first_byte(world, process, runner, request=None):
     """Start a call and stop it between the sender's last check and its first byte."""
     runner.sending = trio.Event()
     answers = []
@@ -97,8 +100,8 @@
     return held, answers
 
 
-async def cut_soon(api):
+async def cut_after_delayed_write(api):
     """Cut the store off once a write is on its way."""
-    while not api.late:
+    while not api.delayed_writes:
         await trio.sleep(0.001)
     api.cut = True
--- a/tests/ledger_support.py
+++ b/tests/ledger_support.py
@@ -44,8 +44,8 @@
     )
 
 
-def begin(name, attempt, over=None, give_up_s=inf, **more):
-    return Operation(OperationKind.BEGIN, key(name), row(attempt, **more), give_up_s, over)
+def begin(name, attempt, replaces=None, give_up_at_s=inf, **more):
+    return Operation(OperationKind.BEGIN, key(name), row(attempt, **more), give_up_at_s, replaces)
 
 
 def finish(name, attempt, state=CallState.DONE, **more):
@@ -53,7 +53,7 @@
 
 
 @dataclass
-class Late:
+class DelayedWrite:
     """A write that is on its way still."""
 
     name: str
@@ -62,14 +62,14 @@
 
 
 @dataclass
-class SlowStore:
+class FaultyStore:
     """The head and segments of one shard; each step is carried out with a chosen fault."""
 
     store: ObjectStore = field(default_factory=ObjectStore)
-    late: list[Late] = field(default_factory=list)
-    made: int = 0
+    delayed_writes: list[DelayedWrite] = field(default_factory=list)
+    created_segments: int = 0
 
-    def take(self, writer: ShardWriter, step: Step, fault: str = "") -> None:
+    def execute(self, writer: ShardWriter, step: Step, fault: str = "") -> None:
         """Carry a step out; faults are away, lost-request, lost-answer and late."""
         if fault == "away":
             writer.on_failure(False)
@@ -82,8 +82,8 @@
                 stored = self.store.by_place.get((ObjectKind.LEDGER, name))
                 writer.on_segment_read(name, stored and read_rows(stored.spec))
             case CreateSegment(row_by_key):
-                self.made += 1
-                name = f"seg-{self.made}"
+                self.created_segments += 1
+                name = f"seg-{self.created_segments}"
                 self.store.put(ObjectKind.LEDGER, name, {"rows": rows_spec(row_by_key)}, None)
                 writer.on_segment_created(name, step)
             case DeleteSegment(name):
@@ -93,20 +93,20 @@
             case WriteHead(spec, version):
                 self._write(writer, spec, version, fault)
 
-    def run(self, writer: ShardWriter, epoch_s: float = 0.0) -> None:
+    def run_until_idle(self, writer: ShardWriter, epoch_s: float = 0.0) -> None:
         """Carry every step out until nothing waits."""
         while (step := writer.next_step(epoch_s)) is not None:
-            self.take(writer, step)
+            self.execute(writer, step)
 
-    def until_write(self, writer: ShardWriter, epoch_s: float = 0.0) -> WriteHead:
+    def run_until_write(self, writer: ShardWriter, epoch_s: float = 0.0) -> WriteHead:
         """Carry steps out up to the next write and give that."""
         while not isinstance(step := writer.next_step(epoch_s), WriteHead):
-            self.take(writer, step)
+            self.execute(writer, step)
         return step
 
-    def deliver(self, late: Late) -> bool:
+    def deliver(self, late: DelayedWrite) -> bool:
         """Let a late write arrive; True if it takes effect."""
-        self.late.remove(late)
+        self.delayed_writes.remove(late)
         try:
             self.store.put(ObjectKind.LEDGER, late.name, late.spec, late.version)
         except Conflict:
@@ -121,7 +121,7 @@
 
     def _write(self, writer, spec, version, fault):
         if fault == "late":
-            self.late.append(Late(HEAD, spec, version))
+            self.delayed_writes.append(DelayedWrite(HEAD, spec, version))
         if fault in ("late", "lost-request"):
             writer.on_failure(True)
             return
@@ -136,38 +136,38 @@
             writer.on_written(stored.version)
 
 
-class LateObjectApi(InProcessObjectApi):
+class DelayingObjectApi(InProcessObjectApi):
     """An object API on which the next `late_writes` writes are held back until `arrive`."""
 
     def __init__(self, store: ObjectStore) -> None:
         super().__init__(store)
-        self.late_writes = 0
-        self.late: list[Late] = []
+        self.writes_to_delay = 0
+        self.delayed_writes: list[DelayedWrite] = []
 
     async def create(self, kind, name, spec):
-        self._hold(name, spec, None)
+        self._delay(name, spec, None)
         return await super().create(kind, name, spec)
 
     async def replace(self, kind, name, spec, version):
-        self._hold(name, spec, version)
+        self._delay(name, spec, version)
         return await super().replace(kind, name, spec, version)
 
-    def arrive(self) -> int:
+    def deliver_all(self) -> int:
         """Let the late writes arrive; give how many took effect."""
         landed = 0
-        for one in self.late:
+        for one in self.delayed_writes:
             try:
                 self.store.put(ObjectKind.LEDGER, one.name, one.spec, one.version)
                 landed += 1
             except Conflict:
                 continue
-        self.late.clear()
+        self.delayed_writes.clear()
         return landed
 
-    def _hold(self, name, spec, version):
-        if self.late_writes:
-            self.late_writes -= 1
-            self.late.append(Late(name, spec, version))
+    def _delay(self, name, spec, version):
+        if self.writes_to_delay:
+            self.writes_to_delay -= 1
+            self.delayed_writes.append(DelayedWrite(name, spec, version))
             raise PlatformOutcomeUnknown("no answer in time")
 
 
--- a/tests/test_ledger_calls.py
+++ b/tests/test_ledger_calls.py
@@ -14,7 +14,7 @@
     KEY_ID,
     call,
     deployment,
-    freeze_before_first_byte,
+    pause_before_first_byte,
     post,
 )
 from tests.support import check, tests_of
@@ -102,7 +102,7 @@
 
 async def test_a_call_in_progress_is_told_when_to_come_back():
     async with deployment() as (world, entries, runner):
-        held, answers = await freeze_before_first_byte(world, entries[0], runner)
+        held, answers = await pause_before_first_byte(world, entries[0], runner)
         for process in entries:
             check.assertIs(await call(process), ErrorKind.IN_PROGRESS)
         held.set()
@@ -158,7 +158,7 @@
 
 async def test_a_drain_waits_for_calls_under_way():
     async with deployment() as (world, entries, runner):
-        held, answers = await freeze_before_first_byte(
+        held, answers = await pause_before_first_byte(
             world, entries[0], runner, post(timeout_s=120)
         )
         entries[0].kernel.begin_drain()
--- a/tests/test_ledger_faults.py
+++ b/tests/test_ledger_faults.py
@@ -11,11 +11,11 @@
 from egretstack.settings import Program
 from tests.ledger_site import (
     call,
-    cut_soon,
+    cut_after_delayed_write,
     deployment,
-    freeze_before_first_byte,
-    make_late,
+    make_writes_delayable,
     open_rows,
+    pause_before_first_byte,
     post,
 )
 from tests.support import check, tests_of
@@ -65,14 +65,14 @@
     # Later the write arrives after all. A repeat at another entry finds the intent, asks its
     # owner, learns that it was abandoned, and takes the key over; the owner never sends.
     async with deployment() as (world, entries, runner):
-        api = make_late(entries[0])
-        api.late_writes = 1
+        api = make_writes_delayable(entries[0])
+        api.writes_to_delay = 1
         with trio.move_on_after(0.005):
             await trio.sleep_forever()
-        world.nursery.start_soon(cut_soon, api)
+        world.nursery.start_soon(cut_after_delayed_write, api)
         found = await call(entries[0])
         check.assertIs(found, ErrorKind.PLATFORM_AWAY)
-        check.assertEqual(api.arrive(), 1)
+        check.assertEqual(api.deliver_all(), 1)
         check.assertEqual(len(open_rows(world)), 1)
         check.assertEqual(await call(entries[1]), 201)
         api.cut = False
@@ -93,13 +93,13 @@
     # conditional on is gone when it arrives.
     async with deployment() as (world, entries, runner):
         await call(entries[0], post("before"))
-        api = make_late(entries[0])
-        api.late_writes = 1
-        world.nursery.start_soon(cut_soon, api)
+        api = make_writes_delayable(entries[0])
+        api.writes_to_delay = 1
+        world.nursery.start_soon(cut_after_delayed_write, api)
         check.assertIs(await call(entries[0]), ErrorKind.PLATFORM_AWAY)
         api.cut = False
         await trio.sleep(10)
-        check.assertEqual(api.arrive(), 0)
+        check.assertEqual(api.deliver_all(), 0)
         check.assertEqual(open_rows(world), [])
         check.assertEqual(runner.book.runs_by_key["k"], 0)
         check.assertEqual(await call(entries[1]), 201)
@@ -109,11 +109,11 @@
     # As before, but the owner dies before it could retract. Nobody can tell that it did not
     # send, and the upstream checks nothing: the truthful answer is "unknown", at once final.
     async with deployment() as (world, entries, runner):
-        api = make_late(entries[0])
-        api.late_writes = 1
-        world.nursery.start_soon(cut_soon, api)
+        api = make_writes_delayable(entries[0])
+        api.writes_to_delay = 1
+        world.nursery.start_soon(cut_after_delayed_write, api)
         await call(entries[0])
-        api.arrive()
+        api.deliver_all()
         entries[0].kill()
         check.assertIs(await call(entries[1]), ErrorKind.IN_PROGRESS)
         await trio.sleep(60)
@@ -129,7 +129,7 @@
     """
     async with deployment(fencing=fencing, lookup=lookup) as (world, entries, runner):
         request = post(timeout_s=300.0)
-        held, answers = await freeze_before_first_byte(world, entries[0], runner, request)
+        held, answers = await pause_before_first_byte(world, entries[0], runner, request)
         world.network.cut(entries[0].host, entries[1].host)
         early = await call(entries[1], request)
         await trio.sleep(330)
@@ -181,7 +181,7 @@
     # key over. The upstream's refusal of the old number is no answer to the call: the sender
     # says "come back", and the next repeat runs it.
     async with deployment(fencing="checked", lookup="/outcomes") as (world, entries, runner):
-        held, answers = await freeze_before_first_byte(world, entries[0], runner)
+        held, answers = await pause_before_first_byte(world, entries[0], runner)
         runner.book.fencing_by_scope["acme", "k"] = open_rows(world)[0].fence + 1
         held.set()
         await trio.sleep(1)
@@ -194,7 +194,7 @@
     # The call ran, and the entry died before it wrote the outcome. The look-up finds that it
     # ran; the repeat says so, without the answer, which nobody has.
     async with deployment(lookup="/outcomes") as (world, entries, runner):
-        await freeze_before_first_byte(world, entries[0], runner)
+        await pause_before_first_byte(world, entries[0], runner)
         entries[0].kill()
         runner.book.ran.add(("acme", "k"))
         contract = entries[1].kernel.get(Configuration).state.contract_by_account["acme"]
@@ -207,7 +207,7 @@
     # The owner died and another process runs under its name. That one tells that the attempt
     # is not its own, so the repeat gets its final answer before the first call's deadline.
     async with deployment() as (world, entries, runner):
-        await freeze_before_first_byte(world, entries[0], runner)
+        await pause_before_first_byte(world, entries[0], runner)
         entries[0].kill()
         await trio.sleep(0.1)
         await world.start("entry-0", Program.ENTRY)
--- a/tests/test_ledger_machine.py
+++ b/tests/test_ledger_machine.py
@@ -30,18 +30,18 @@
     Stage,
     next_action,
 )
-from tests.ledger_support import SlowStore, begin
+from tests.ledger_support import FaultyStore, begin
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
 
 KEYS = ("k0", "k1", "k2", "k3")
-SMALL_ROLL_BYTES = 250
+SMALL_ROLL_THRESHOLD_BYTES = 250
 """So small that ended rows move into segments all the time."""
-SEND_WITHIN_S = 5.0
+MAX_SEND_AGE_S = 5.0
 MAX_TRIES = 12
-entries = st.integers(0, 2)
-faults = st.sampled_from(["", "", "", "", "away", "lost-request", "lost-answer", "late"])
+entry_numbers = st.integers(0, 2)
+fault_names = st.sampled_from(["", "", "", "", "away", "lost-request", "lost-answer", "late"])
 
 
 @dataclass
@@ -50,9 +50,9 @@
 
     name: str
     operation: Operation
-    began_s: float
-    armed: bool = False
-    done: bool = False
+    started_at_s: float
+    is_sending: bool = False
+    has_ended: bool = False
     finish: Operation | None = None
 
     @property
@@ -65,27 +65,27 @@
     """One process."""
 
     boot: str
-    writer: ShardWriter = field(default_factory=lambda: ShardWriter(SMALL_ROLL_BYTES))
+    writer: ShardWriter = field(default_factory=lambda: ShardWriter(SMALL_ROLL_THRESHOLD_BYTES))
     calls: list[Call] = field(default_factory=list)
-    frozen: bool = False
-    dead: bool = False
+    is_paused: bool = False
+    is_dead: bool = False
 
     def __post_init__(self):
-        self.book = AttemptRegistry(self.boot, 1000)
+        self.attempts = AttemptRegistry(self.boot, 1000)
 
 
 class Upstream:
     """Runs calls; `checks` refuses old fencing numbers, and a look-up fences too."""
 
-    def __init__(self, checks):
-        self.checks = checks
+    def __init__(self, checks_fencing):
+        self.checks_fencing = checks_fencing
         self.ran_by_key = {}
         self.fence_by_key = {}
 
     def run(self, call):
         """Run a call; False where it is fenced off."""
         number = call.operation.row.fence
-        if self.checks and number < self.fence_by_key.get(call.name, 0):
+        if self.checks_fencing and number < self.fence_by_key.get(call.name, 0):
             return False
         self.fence_by_key[call.name] = max(number, self.fence_by_key.get(call.name, 0))
         self.ran_by_key.setdefault(call.name, []).append(call.attempt)
@@ -93,7 +93,7 @@
 
     def look_up(self, name, number):
         """Tell whether a key ran; None where the number is old."""
-        if self.checks:
+        if self.checks_fencing:
             if number < self.fence_by_key.get(name, 0):
                 return None
             self.fence_by_key[name] = number
@@ -103,87 +103,87 @@
 class LedgerMachine(RuleBasedStateMachine):
     """The rules; `checks` and `lookup` say what the upstream offers."""
 
-    checks = False
-    lookup = False
+    checks_fencing = False
+    has_lookup = False
     writer_class = ShardWriter
 
     def __init__(self):
         super().__init__()
-        self.store = SlowStore()
-        self.upstream = Upstream(self.checks)
+        self.store = FaultyStore()
+        self.upstream = Upstream(self.checks_fencing)
         self.entries = [self.new_entry(f"boot-{number}") for number in range(3)]
-        self.graves = []
-        self.attempts = 0
+        self.dead_entries = []
+        self.attempt_count = 0
         self.now_s = 0.0
-        self.told_not_run = set()
+        self.reported_not_run = set()
 
     def new_entry(self, boot):
-        return Entry(boot, self.writer_class(SMALL_ROLL_BYTES))
+        return Entry(boot, self.writer_class(SMALL_ROLL_THRESHOLD_BYTES))
 
-    @rule(number=entries, name=st.sampled_from(KEYS))
+    @rule(number=entry_numbers, name=st.sampled_from(KEYS))
     def call(self, number, name):
         self.start(self.entries[number], name)
 
-    @rule(number=entries, home=entries, name=st.sampled_from(KEYS))
+    @rule(number=entry_numbers, home=entry_numbers, name=st.sampled_from(KEYS))
     def call_through_home(self, number, home, name):
         """Ask another entry to write the intent; it does not answer, so write it here too."""
         call = self.start(self.entries[number], name)
         call.operation.forwarded = True
         own = call.operation
-        asked = Operation(OperationKind.BEGIN, own.key, own.row, inf, for_peer=True)
-        if home != number and not self.entries[home].frozen:
-            self.entries[home].writer.submit(asked)
+        peer_operation = Operation(OperationKind.BEGIN, own.key, own.row, inf, for_peer=True)
+        if home != number and not self.entries[home].is_paused:
+            self.entries[home].writer.submit(peer_operation)
 
-    @rule(number=entries, fault=faults)
+    @rule(number=entry_numbers, fault=fault_names)
     def step(self, number, fault):
         entry = self.entries[number]
-        if entry.frozen:
+        if entry.is_paused:
             return
         step = entry.writer.next_step(self.now_s)
         if step is not None:
-            self.store.take(entry.writer, step, fault)
-        self.look(entry)
+            self.store.execute(entry.writer, step, fault)
+        self.process_outcomes(entry)
 
-    @rule(number=entries)
+    @rule(number=entry_numbers)
     def give_up(self, number):
         entry = self.entries[number]
-        if not entry.frozen:
+        if not entry.is_paused:
             entry.writer.expire_begins(inf)
-            self.look(entry)
+            self.process_outcomes(entry)
 
-    @rule(number=entries, connects=st.booleans())
+    @rule(number=entry_numbers, connects=st.booleans())
     def send(self, number, connects):
         entry = self.entries[number]
         for call in entry.calls:
-            if not entry.frozen and self.may_arm(entry, call):
+            if not entry.is_paused and self.may_begin_sending(entry, call):
                 if connects:
-                    call.armed = True
+                    call.is_sending = True
                 else:
                     self.release(entry, call)
                 return
 
-    @rule(number=entries, answered=st.booleans())
-    def first_byte(self, number, answered):
+    @rule(number=entry_numbers, answered=st.booleans())
+    def first_byte_leaves(self, number, answered):
         entry = self.entries[number]
         for call in entry.calls:
-            if not entry.frozen and call.armed:
-                self.fire(entry, call, answered)
+            if not entry.is_paused and call.is_sending:
+                self.send_first_byte(entry, call, answered)
                 return
 
-    @rule(number=entries, frozen=st.booleans())
-    def freeze_or_thaw(self, number, frozen):
-        self.entries[number].frozen = frozen
+    @rule(number=entry_numbers, paused=st.booleans())
+    def pause_or_resume(self, number, paused):
+        self.entries[number].is_paused = paused
 
-    @rule(number=entries)
+    @rule(number=entry_numbers)
     def kill(self, number):
-        self.graves.append(self.entries[number])
-        self.entries[number].dead = True
-        self.entries[number] = self.new_entry(f"boot-{len(self.graves) + 10}")
+        self.dead_entries.append(self.entries[number])
+        self.entries[number].is_dead = True
+        self.entries[number] = self.new_entry(f"boot-{len(self.dead_entries) + 10}")
 
-    @precondition(lambda self: self.store.late)
+    @precondition(lambda self: self.store.delayed_writes)
     @rule(data=st.data())
     def late_write_arrives(self, data):
-        self.store.deliver(data.draw(st.sampled_from(self.store.late)))
+        self.store.deliver(data.draw(st.sampled_from(self.store.delayed_writes)))
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 10.0, 60.0]))
     def time_passes(self, seconds):
@@ -195,29 +195,33 @@
             check.assertEqual(len(attempts), 1, name)
 
     @invariant()
-    def what_was_told_not_to_run_did_not(self):
+    def nothing_reported_as_not_run_ran(self):
         ran = {one for attempts in self.upstream.ran_by_key.values() for one in attempts}
-        check.assertEqual(ran & self.told_not_run, set())
+        check.assertEqual(ran & self.reported_not_run, set())
 
     def teardown(self):
-        self.store.late.clear()
+        self.store.delayed_writes.clear()
         for entry in self.entries:
-            entry.frozen = False
+            entry.is_paused = False
             self.settle(entry)
         self.now_s += 600
         for name in KEYS:
             self.repeat_until_final(name)
         self.each_key_ran_at_most_once()
-        self.what_was_told_not_to_run_did_not()
+        self.nothing_reported_as_not_run_ran()
 
     def settle(self, entry):
         while True:
-            self.store.run(entry.writer, self.now_s)
-            self.look(entry)
-            ready = [one for one in entry.calls if one.armed or self.may_arm(entry, one)]
-            for call in ready:
-                self.fire(entry, call, True)
-            if not ready and entry.writer.is_idle:
+            self.store.run_until_idle(entry.writer, self.now_s)
+            self.process_outcomes(entry)
+            sendable = [
+                call
+                for call in entry.calls
+                if call.is_sending or self.may_begin_sending(entry, call)
+            ]
+            for call in sendable:
+                self.send_first_byte(entry, call, True)
+            if not sendable and entry.writer.is_idle:
                 return
 
     def repeat_until_final(self, name):
@@ -226,25 +230,25 @@
             call = self.start(entry, name)
             self.settle(entry)
             found = call.operation.found
-            over = call.operation.outcome is Outcome.WRITTEN and call.done
-            if over or found is not None and not found.is_open:
+            is_final = call.operation.outcome is Outcome.WRITTEN and call.has_ended
+            if is_final or found is not None and not found.is_open:
                 return
-            if found is not None and self.move(found, name) is NextAction.UNKNOWN:
+            if found is not None and self.choose_action(found, name) is NextAction.UNKNOWN:
                 return
         raise AssertionError(f"{name}: no final answer in {MAX_TRIES} tries")
 
-    def start(self, entry, name, over=None):
-        self.attempts += 1
-        operation = begin(name, f"attempt-{self.attempts}", over, owner=entry.boot)
+    def start(self, entry, name, replaces=None):
+        self.attempt_count += 1
+        operation = begin(name, f"attempt-{self.attempt_count}", replaces, owner=entry.boot)
         call = Call(name, operation, self.now_s)
-        if entry.frozen:
+        if entry.is_paused:
             return call
-        entry.book.begin(call.attempt)
+        entry.attempts.begin(call.attempt)
         entry.calls.append(call)
         entry.writer.submit(operation)
         return call
 
-    def look(self, entry):
+    def process_outcomes(self, entry):
         """Take in the outcomes that the writer has set."""
         for call in list(entry.calls):
             outcome = call.operation.outcome
@@ -252,22 +256,22 @@
                 continue
             entry.calls.remove(call)
             if outcome in (Outcome.REFUSED, Outcome.ABANDONED):
-                self.told_not_run.add(call.attempt)
-                entry.book.abandon(call.attempt)
+                self.reported_not_run.add(call.attempt)
+                entry.attempts.abandon(call.attempt)
                 continue
-            entry.book.forget(call.attempt)
+            entry.attempts.forget(call.attempt)
             found = call.operation.found
-            if found.is_open and self.move(found, call.name) is NextAction.REPLACE:
+            if found.is_open and self.choose_action(found, call.name) is NextAction.REPLACE:
                 self.start(entry, call.name, found.attempt)
 
-    def move(self, found, name):
-        move = next_action(self.stage(found), found, self.now_s, self.lookup)
-        if move is not NextAction.LOOK_UP:
-            return move
+    def choose_action(self, found, name):
+        action = next_action(self.stage(found), found, self.now_s, self.has_lookup)
+        if action is not NextAction.LOOK_UP:
+            return action
         ran = self.upstream.look_up(name, found.fence + 1)
         if ran:
             return NextAction.UNKNOWN
-        if ran is False and self.checks:
+        if ran is False and self.checks_fencing:
             return NextAction.REPLACE
         return next_action(self.stage(found), found, self.now_s, False)
 
@@ -276,34 +280,36 @@
             if entry.boot == found.boot:
                 return (
                     Stage.UNRESPONSIVE
-                    if entry.frozen
-                    else entry.book.stage(found.boot, found.attempt)
+                    if entry.is_paused
+                    else entry.attempts.stage(found.boot, found.attempt)
                 )
         return Stage.OWNER_ENDED
 
-    def may_arm(self, entry, call):
+    def may_begin_sending(self, entry, call):
         written = call.operation.outcome is Outcome.WRITTEN
-        if not written or call.armed or call.done:
+        if not written or call.is_sending or call.has_ended:
             return False
-        if self.now_s - call.began_s <= SEND_WITHIN_S and entry.book.may_send(call.attempt):
+        if self.now_s - call.started_at_s <= MAX_SEND_AGE_S and entry.attempts.may_send(
+            call.attempt
+        ):
             return True
         self.release(entry, call)
         return False
 
     def release(self, entry, call):
         """End a call that did not leave."""
-        call.done = True
-        entry.book.abandon(call.attempt)
-        self.told_not_run.add(call.attempt)
+        call.has_ended = True
+        entry.attempts.abandon(call.attempt)
+        self.reported_not_run.add(call.attempt)
         self.end(entry, call, CallState.NOT_RUN)
 
-    def fire(self, entry, call, answered):
-        call.armed, call.done = False, True
+    def send_first_byte(self, entry, call, answered):
+        call.is_sending, call.has_ended = False, True
         if not self.upstream.run(call):
-            entry.book.abandon(call.attempt)
+            entry.attempts.abandon(call.attempt)
             self.end(entry, call, CallState.NOT_RUN)
             return
-        entry.book.end(call.attempt, answered)
+        entry.attempts.end(call.attempt, answered)
         self.end(entry, call, CallState.DONE if answered else CallState.UNKNOWN)
 
     def end(self, entry, call, state):
@@ -315,14 +321,14 @@
 class CheckedMachine(LedgerMachine):
     """The upstream checks fencing numbers and offers a look-up."""
 
-    checks = True
-    lookup = True
+    checks_fencing = True
+    has_lookup = True
 
 
 class LookupMachine(LedgerMachine):
     """The upstream offers a look-up and checks nothing."""
 
-    lookup = True
+    has_lookup = True
 
 
 MACHINE_SETTINGS = settings(
--- a/tests/test_ledger_safeguards.py
+++ b/tests/test_ledger_safeguards.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import run_state_machine_as_test
 
 from egretstack.ledger import CallState, NextAction, Outcome, ShardWriter, Stage
-from tests.ledger_support import SlowStore, begin, key
+from tests.ledger_support import FaultyStore, begin, key
 from tests.support import check, tests_of
 from tests.test_ledger_machine import (
     MACHINE_SETTINGS,
@@ -23,7 +23,7 @@
 _SEARCH = settings(MACHINE_SETTINGS, max_examples=3000, phases=[Phase.generate])
 
 
-def finds_harm(machine):
+def assert_finds_violation(machine):
     with check.assertRaises(AssertionError):
         run_state_machine_as_test(machine, settings=_SEARCH)
 
@@ -35,7 +35,7 @@
 class WithoutSegments(ShardWriter):
     """Looks for a key in the head alone."""
 
-    def _segment_of(self, operation, epoch_s):
+    def _find_segment(self, operation, epoch_s):
         return None
 
 
@@ -46,7 +46,7 @@
         return None
 
 
-class WithoutCondition(ShardWriter):
+class WithoutReadBack(ShardWriter):
     """Takes an update for written when its answer was lost."""
 
     def on_failure(self, in_doubt):
@@ -75,49 +75,49 @@
 class SentAfterAbandoning(LedgerMachine):
     """Sends an intent that turns out to be written after its caller was told "not run"."""
 
-    def look(self, entry):
+    def process_outcomes(self, entry):
         before = list(entry.calls)
-        super().look(entry)
+        super().process_outcomes(entry)
         for call in before:
-            if call.operation.outcome is Outcome.ABANDONED and not call.done:
-                call.done = True
+            if call.operation.outcome is Outcome.ABANDONED and not call.has_ended:
+                call.has_ended = True
                 self.upstream.run(call)
 
 
 class TakesOverUnfenced(LookupMachine):
     """Takes a look-up's "it did not run" for the end of an attempt that nothing fences off."""
 
-    def move(self, found, name):
-        move = super().move(found, name)
-        unclear = self.stage(found) in (Stage.UNRESPONSIVE, Stage.OWNER_ENDED)
-        unrun = name not in self.upstream.ran_by_key
-        return NextAction.REPLACE if unclear and unrun else move
+    def choose_action(self, found, name):
+        action = super().choose_action(found, name)
+        is_unresolved = self.stage(found) in (Stage.UNRESPONSIVE, Stage.OWNER_ENDED)
+        has_not_run = name not in self.upstream.ran_by_key
+        return NextAction.REPLACE if is_unresolved and has_not_run else action
 
 
-class TakesOverFromSilent(LedgerMachine):
+class TakesOverFromUnresponsive(LedgerMachine):
     """Takes the key over from a sender that does not answer."""
 
-    def move(self, found, name):
-        silent = self.stage(found) is Stage.UNRESPONSIVE
-        return NextAction.REPLACE if silent else super().move(found, name)
+    def choose_action(self, found, name):
+        is_unresponsive = self.stage(found) is Stage.UNRESPONSIVE
+        return NextAction.REPLACE if is_unresponsive else super().choose_action(found, name)
 
 
 class LookUpThatDoesNotFence(CheckedMachine):
     """Looks up with the old number, which shuts nothing out."""
 
-    def move(self, found, name):
+    def choose_action(self, found, name):
         fence = self.upstream.fence_by_key.get(name, 0)
-        move = super().move(found, name)
+        action = super().choose_action(found, name)
         self.upstream.fence_by_key[name] = fence
-        return move
+        return action
 
 
 class SendsTakenOverWithOldNumber(CheckedMachine):
     """Sends every attempt with the same number."""
 
-    def fire(self, entry, call, answered):
+    def send_first_byte(self, entry, call, answered):
         self.upstream.fence_by_key.pop(call.name, None)
-        super().fire(entry, call, answered)
+        super().send_first_byte(entry, call, answered)
 
 
 class OwnerForgets(LedgerMachine):
@@ -129,35 +129,35 @@
 
 
 def test_without_the_look_into_segments_a_late_repeat_runs_again():
-    finds_harm(with_writer(LedgerMachine, WithoutSegments))
+    assert_finds_violation(with_writer(LedgerMachine, WithoutSegments))
 
 
 def test_without_the_rows_being_moved_a_repeat_in_that_write_runs_again():
-    finds_harm(with_writer(LedgerMachine, WithoutMovedRows))
+    assert_finds_violation(with_writer(LedgerMachine, WithoutMovedRows))
 
 
 def test_without_reading_a_lost_answer_back_a_key_runs_twice():
-    finds_harm(with_writer(LedgerMachine, WithoutCondition))
+    assert_finds_violation(with_writer(LedgerMachine, WithoutReadBack))
 
 
 def test_sending_after_the_refusal_breaks_not_run():
-    finds_harm(SentAfterAbandoning)
+    assert_finds_violation(SentAfterAbandoning)
 
 
 def intent_given_up_by_its_home(writer_class):
     """Let a home give up an intent that its sender wrote meanwhile; give the row's state."""
-    store, home, sender = SlowStore(), writer_class(), ShardWriter()
-    asked = begin("k0", "attempt-1")
-    asked.for_peer = True
-    home.submit(asked)
-    store.take(home, store.until_write(home), "lost-request")
+    store, home, sender = FaultyStore(), writer_class(), ShardWriter()
+    peer_operation = begin("k0", "attempt-1")
+    peer_operation.for_peer = True
+    home.submit(peer_operation)
+    store.execute(home, store.run_until_write(home), "lost-request")
     own = begin("k0", "attempt-1")
     own.forwarded = True
     sender.submit(own)
-    store.run(sender)
+    store.run_until_idle(sender)
     check.assertIs(own.outcome, Outcome.WRITTEN)
     home.expire_begins(inf)
-    store.run(home)
+    store.run_until_idle(home)
     return store.rows()[key("k0")].state
 
 
@@ -174,33 +174,33 @@
 def test_an_intent_that_its_home_writes_after_the_retraction_finds_it_ended():
     # The sender gave up before the home began. What it retracted leaves a row, so the home
     # finds the attempt ended and does not put an intent there that nobody would ever end.
-    store, home, sender = SlowStore(), ShardWriter(), ShardWriter()
+    store, home, sender = FaultyStore(), ShardWriter(), ShardWriter()
     own = begin("k0", "attempt-1")
     own.forwarded = True
     sender.submit(own)
     sender.expire_begins(inf)
-    store.run(sender)
-    asked = begin("k0", "attempt-1")
-    asked.for_peer = True
-    home.submit(asked)
-    store.run(home)
+    store.run_until_idle(sender)
+    peer_operation = begin("k0", "attempt-1")
+    peer_operation.for_peer = True
+    home.submit(peer_operation)
+    store.run_until_idle(home)
     check.assertIs(store.rows()[key("k0")].state, CallState.NOT_RUN)
 
 
-def thaw_after_a_repeat(machine_class):
+def resume_after_a_repeat(machine_class):
     """Freeze a sender between its last check and its first byte; repeat elsewhere; thaw it."""
     machine = machine_class()
-    frozen, other = machine.entries[:2]
-    call = machine.start(frozen, "k0")
-    machine.store.run(frozen.writer)
-    check.assertTrue(machine.may_arm(frozen, call))
-    call.armed = True
-    frozen.frozen = True
+    paused, other = machine.entries[:2]
+    call = machine.start(paused, "k0")
+    machine.store.run_until_idle(paused.writer)
+    check.assertTrue(machine.may_begin_sending(paused, call))
+    call.is_sending = True
+    paused.is_paused = True
     machine.now_s += 600
     machine.start(other, "k0")
     machine.settle(other)
-    frozen.frozen = False
-    machine.settle(frozen)
+    paused.is_paused = False
+    machine.settle(paused)
     machine.each_key_ran_at_most_once()
     return machine
 
@@ -210,38 +210,38 @@
     # told nothing by the sender. Nothing is taken over where the upstream checks nothing; where
     # it does, the look-up shuts the frozen sender out before the repeat runs.
     for machine in (LedgerMachine, LookupMachine, CheckedMachine):
-        check.assertEqual(len(thaw_after_a_repeat(machine).upstream.ran_by_key["k0"]), 1)
+        check.assertEqual(len(resume_after_a_repeat(machine).upstream.ran_by_key["k0"]), 1)
 
 
 def test_a_take_over_on_an_unfenced_look_up_runs_twice():
     with check.assertRaises(AssertionError):
-        thaw_after_a_repeat(TakesOverUnfenced)
+        resume_after_a_repeat(TakesOverUnfenced)
 
 
 def test_a_take_over_from_a_silent_sender_runs_twice():
     with check.assertRaises(AssertionError):
-        thaw_after_a_repeat(TakesOverFromSilent)
+        resume_after_a_repeat(TakesOverFromUnresponsive)
 
 
 def test_a_take_over_with_the_old_number_runs_twice():
     with check.assertRaises(AssertionError):
-        thaw_after_a_repeat(SendsTakenOverWithOldNumber)
+        resume_after_a_repeat(SendsTakenOverWithOldNumber)
 
 
-def thaw_between_look_up_and_take_over(machine_class):
+def resume_between_look_up_and_takeover(machine_class):
     """The frozen sender wakes up after the look-up and before the repeat has sent its own."""
     machine = machine_class()
-    frozen, other = machine.entries[:2]
-    call = machine.start(frozen, "k0")
-    machine.store.run(frozen.writer)
-    call.armed = True
-    frozen.frozen = True
+    paused, other = machine.entries[:2]
+    call = machine.start(paused, "k0")
+    machine.store.run_until_idle(paused.writer)
+    call.is_sending = True
+    paused.is_paused = True
     machine.start(other, "k0")
-    machine.store.run(other.writer)
-    machine.look(other)
-    machine.store.run(other.writer)
-    frozen.frozen = False
-    machine.settle(frozen)
+    machine.store.run_until_idle(other.writer)
+    machine.process_outcomes(other)
+    machine.store.run_until_idle(other.writer)
+    paused.is_paused = False
+    machine.settle(paused)
     machine.settle(other)
     machine.each_key_ran_at_most_once()
 
@@ -249,12 +249,12 @@
 def test_a_sender_thawed_between_look_up_and_take_over_is_shut_out():
     # The look-up carries the next fencing number. The sender that wakes up right after it is
     # refused by the upstream, although the repeat has not sent anything yet.
-    thaw_between_look_up_and_take_over(CheckedMachine)
+    resume_between_look_up_and_takeover(CheckedMachine)
 
 
 def test_a_look_up_that_does_not_fence_runs_twice():
     with check.assertRaises(AssertionError):
-        thaw_between_look_up_and_take_over(LookUpThatDoesNotFence)
+        resume_between_look_up_and_takeover(LookUpThatDoesNotFence)
 
 
 def repeat_of_an_abandoned_intent(machine_class):
@@ -262,11 +262,11 @@
     machine = machine_class()
     owner = machine.entries[1]
     machine.start(owner, "k0")
-    write = machine.store.until_write(owner.writer)
-    machine.store.take(owner.writer, write, "late")
+    write = machine.store.run_until_write(owner.writer)
+    machine.store.execute(owner.writer, write, "late")
     owner.writer.expire_begins(inf)
-    machine.look(owner)
-    check.assertTrue(machine.store.deliver(machine.store.late[0]))
+    machine.process_outcomes(owner)
+    check.assertTrue(machine.store.deliver(machine.store.delayed_writes[0]))
     machine.repeat_until_final("k0")
     check.assertEqual(len(machine.upstream.ran_by_key["k0"]), 1)
 
@@ -284,15 +284,15 @@
 
 def late_write_after_retraction(writer_class):
     """Give whether a delayed intent still lands once its refusal has been settled."""
-    store, writer = SlowStore(), writer_class()
+    store, writer = FaultyStore(), writer_class()
     operation = begin("k0", "attempt-1")
     writer.submit(operation)
-    store.take(writer, store.until_write(writer), "late")
+    store.execute(writer, store.run_until_write(writer), "late")
     writer.expire_begins(inf)
     check.assertIs(operation.outcome, Outcome.ABANDONED)
-    store.run(writer)
+    store.run_until_idle(writer)
     check.assertTrue(writer.is_idle)
-    return store.deliver(store.late[0])
+    return store.deliver(store.delayed_writes[0])
 
 
 def test_a_retracted_intent_cannot_land_any_more():
--- a/tests/test_ledger_shards.py
+++ b/tests/test_ledger_shards.py
@@ -26,7 +26,7 @@
 from egretstack.objectapi import Conflict, ObjectKind
 from egretstack.upstreams import CallResponse
 from standins.object_store import InProcessObjectApi, ObjectStore
-from tests.ledger_support import HEAD, SlowStore, begin, finish, key, row
+from tests.ledger_support import HEAD, FaultyStore, begin, finish, key, row
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
@@ -56,55 +56,55 @@
 
 
 def test_many_operations_share_one_write():
-    store, writer = SlowStore(), ShardWriter()
+    store, writer = FaultyStore(), ShardWriter()
     operations = [begin(f"k{number}", f"a{number}") for number in range(100)]
     for operation in operations:
         writer.submit(operation)
-    store.run(writer)
+    store.run_until_idle(writer)
     check.assertEqual({one.outcome for one in operations}, {Outcome.WRITTEN})
     check.assertEqual(store.store.version, 1)
 
 
 def test_a_forgotten_key_can_be_used_again():
-    store, writer = SlowStore(), ShardWriter()
+    store, writer = FaultyStore(), ShardWriter()
     writer.submit(begin("k", "a", until_s=HOUR_S))
-    store.run(writer)
+    store.run_until_idle(writer)
     writer.submit(finish("k", "a", until_s=HOUR_S))
-    store.run(writer)
+    store.run_until_idle(writer)
     again = begin("k", "b", until_s=3 * HOUR_S)
     writer.submit(again)
-    store.run(writer, epoch_s=HOUR_S - 1)
+    store.run_until_idle(writer, epoch_s=HOUR_S - 1)
     check.assertIs(again.outcome, Outcome.FOUND)
     again = begin("k", "c", until_s=3 * HOUR_S)
     writer.submit(again)
-    store.run(writer, epoch_s=HOUR_S + 1)
+    store.run_until_idle(writer, epoch_s=HOUR_S + 1)
     check.assertIs(again.outcome, Outcome.WRITTEN)
 
 
 def test_an_intent_without_outcome_outlives_its_retention():
     # The sender of an open intent may be frozen and send it yet; its key is kept a day longer.
-    store, writer = SlowStore(), ShardWriter()
+    store, writer = FaultyStore(), ShardWriter()
     writer.submit(begin("k", "a", until_s=60.0))
-    store.run(writer)
+    store.run_until_idle(writer)
     again = begin("k", "b")
     writer.submit(again)
-    store.run(writer, epoch_s=10 * HOUR_S)
+    store.run_until_idle(writer, epoch_s=10 * HOUR_S)
     check.assertIs(again.outcome, Outcome.FOUND)
 
 
 def test_a_listed_segment_that_is_missing_lets_nothing_begin():
     # Someone deleted a segment by hand. Whether a key was used before cannot be known any
     # more, so no new call begins on this shard until the segment's time is over.
-    store, writer = SlowStore(), ShardWriter()
+    store, writer = FaultyStore(), ShardWriter()
     put_segments(store.store, ("seg-1", HOUR_S))
     del store.store.by_place[ObjectKind.LEDGER, "seg-1"]
     operation = begin("seg-1", "b")
     writer.submit(operation)
-    store.run(writer)
+    store.run_until_idle(writer)
     check.assertIs(operation.outcome, Outcome.REFUSED)
     operation = begin("seg-1", "c")
     writer.submit(operation)
-    store.run(writer, epoch_s=HOUR_S)
+    store.run_until_idle(writer, epoch_s=HOUR_S)
     check.assertIs(operation.outcome, Outcome.WRITTEN)
 
 
@@ -112,24 +112,24 @@
     big = "f" * 1000
     count = MAX_HEAD_BYTES // 1000
     held = {key(f"k{number}"): row(f"a{number}", fingerprint=big) for number in range(count)}
-    store, writer = SlowStore(), ShardWriter()
+    store, writer = FaultyStore(), ShardWriter()
     store.store.put(ObjectKind.LEDGER, HEAD, Shard(held).spec(), None)
     refused = begin("new", "b")
     ended = finish("k0", "a0", fingerprint=big)
     writer.submit(refused)
     writer.submit(ended)
-    store.run(writer)
+    store.run_until_idle(writer)
     check.assertIs(refused.outcome, Outcome.REFUSED)
     check.assertIs(ended.outcome, Outcome.WRITTEN)
 
 
 def test_a_head_that_lists_too_many_segments_takes_no_new_row():
     listed = tuple(Segment(f"seg-{number}", -1.0) for number in range(MAX_SEGMENTS))
-    store, writer = SlowStore(), ShardWriter()
+    store, writer = FaultyStore(), ShardWriter()
     store.store.put(ObjectKind.LEDGER, HEAD, Shard({}, listed).spec(), None)
     operation = begin("k", "a")
     writer.submit(operation)
-    store.run(writer)
+    store.run_until_idle(writer)
     check.assertIs(operation.outcome, Outcome.REFUSED)
 
 
@@ -157,15 +157,15 @@
 
 
 async def test_an_entry_that_read_the_head_before_a_pruning_writes_on_the_new_one():
-    store = SlowStore()
+    store = FaultyStore()
     put_segments(store.store, ("seg-1", HOUR_S))
     writer = ShardWriter()
     operation = begin("k", "a")
     writer.submit(operation)
-    write = store.until_write(writer, epoch_s=HOUR_S)
+    write = store.run_until_write(writer, epoch_s=HOUR_S)
     await LedgerPruner(InProcessObjectApi(store.store), shards=1).prune(2 * HOUR_S)
-    store.take(writer, write)
-    store.run(writer, epoch_s=2 * HOUR_S)
+    store.execute(writer, write)
+    store.run_until_idle(writer, epoch_s=2 * HOUR_S)
     check.assertIs(operation.outcome, Outcome.WRITTEN)
     check.assertEqual(Shard.from_stored(store.head()).segments, ())
 
@@ -203,7 +203,7 @@
     # Other entries win every race for the head. The call is refused at its bound, as not run.
     async with trio.open_nursery() as nursery:
         store = ShardStore(AlwaysTooLate(ObjectStore()), EpochClock.start(), nursery, shards=1)
-        operation = begin("k", "a", give_up_s=trio.current_time() + 2.5)
+        operation = begin("k", "a", give_up_at_s=trio.current_time() + 2.5)
         store.submit(0, operation)
         ended = await store.wait(0, operation)
         check.assertIn(ended, (Outcome.REFUSED, Outcome.ABANDONED))
