--- a/egretstack/ledger/__init__.py
+++ b/egretstack/ledger/__init__.py
@@ -1,4 +1,4 @@
-"""The record of calls that run at most once."""
+"""The ledger: a durable record of calls that must run at most once."""
 
 from egretstack.ledger._attempts import (
     AttemptRegistry,
@@ -8,7 +8,8 @@
     next_action,
 )
 from egretstack.ledger._entry import CallState, LedgerEntry, fingerprint
-from egretstack.ledger._homes import (
+from egretstack.ledger._intents import CallLedger, Intent, IntentRequest
+from egretstack.ledger._ledger_home import (
     InvalidShardRequest,
     apply_shard_answer,
     find_ledger_home,
@@ -16,7 +17,6 @@
     make_shard_request,
     parse_shard_request,
 )
-from egretstack.ledger._intents import CallLedger, Intent, IntentRequest
 from egretstack.ledger._lookup import (
     ACCOUNT_HEADER,
     FENCING_HEADER,
--- a/egretstack/ledger/_entry.py
+++ b/egretstack/ledger/_entry.py
@@ -1,4 +1,4 @@
-"""One call in the ledger."""
+"""A call's state, and its entry in the ledger that keeps one object for each call."""
 
 import base64
 import hashlib
@@ -10,19 +10,19 @@
 
 
 class CallState(Enum):
-    """How far a call is known to have come."""
+    """The recorded state of a call."""
 
     INTENT = "intent"
-    """Written before the first byte leaves; the call may run from now on."""
+    """Written before the first byte is sent; the call may run from now on."""
     NOT_RUN = "not-run"
-    """No byte left; the key may be used again for the same request."""
+    """No byte was sent; the key may be used again for the same request."""
     DONE = "done"
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True)
 class LedgerEntry:
-    """What the ledger holds of one call."""
+    """One call's attempt, request fingerprint and state, and its answer once it is done."""
 
     attempt: AttemptId
     fingerprint: str
@@ -30,7 +30,7 @@
     answer: CallResponse | None = None
 
     def spec(self) -> dict[str, object]:
-        """Give the stored form."""
+        """Return the stored form."""
         spec: dict[str, object] = {
             "attempt": self.attempt,
             "fingerprint": self.fingerprint,
@@ -44,7 +44,7 @@
 
     @classmethod
     def from_spec(cls, spec: dict) -> "LedgerEntry":
-        """Read the stored form."""
+        """Parse the stored form."""
         answer = None
         if "status" in spec:
             headers = tuple((name, value) for name, value in spec["headers"])
@@ -54,7 +54,7 @@
 
 
 def fingerprint(request: CallRequest) -> str:
-    """Give the digest that tells one request from another under the same key."""
+    """Return a digest that distinguishes different requests with the same key."""
     digest = hashlib.sha256()
     for part in (request.method, request.path, request.query):
         digest.update(part.encode() + b"\0")
--- a/egretstack/ledger/_intents.py
+++ b/egretstack/ledger/_intents.py
@@ -1,4 +1,4 @@
-"""What the sender of a call asks of the ledger."""
+"""The ledger's interface for the sender of a call."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -10,9 +10,10 @@
 
 @dataclass(frozen=True)
 class IntentRequest:
-    """A call that wants to run: `timeout_s` bounds the call, `retention_s` its key's life.
+    """A request to write a call's intent.
 
-    `over` is an earlier attempt whose open row may be replaced.
+    `timeout_s` bounds the call, and `retention_s` is how long its key is kept. `replaces` is an
+    earlier attempt whose open row may be replaced.
     """
 
     key: KeyId
@@ -24,7 +25,10 @@
 
 @dataclass(frozen=True)
 class Intent:
-    """A written intent, which only this process may send; `began_s` is of the runtime's clock."""
+    """A written intent, whose call only this process may send.
+
+    `started_at_s` is a time of the runtime's clock.
+    """
 
     key: KeyId
     row: Row
@@ -32,18 +36,18 @@
 
 
 class CallLedger(ABC):
-    """Keeps intents and outcomes; what it refuses raises EgretError."""
+    """Stores intents and outcomes; raises EgretError for what it refuses."""
 
     @abstractmethod
     async def begin(self, request: IntentRequest) -> Intent | Row:
-        """Write an intent, or give the row that the key has already.
+        """Write an intent, or return the row that the key has already.
 
         Raises EgretError PLATFORM_AWAY; the call was then not sent and never will be.
         """
 
     @abstractmethod
     def check_send(self, intent: Intent) -> None:
-        """Raise EgretError NOT_RUN if the intent may not be sent any more."""
+        """Raise EgretError NOT_RUN if the intent may no longer be sent."""
 
     @abstractmethod
     async def release(self, intent: Intent) -> None:
@@ -51,8 +55,8 @@
 
     @abstractmethod
     async def finish(self, intent: Intent, answer: KeptAnswer | None) -> bool:
-        """Write the outcome, None for unknown; False if another attempt has taken the key over."""
+        """Write the outcome, None if unknown; return False if another attempt took over the key."""
 
     @abstractmethod
     async def stage(self, row: Row) -> Stage:
-        """Ask the owner of an attempt how far it has come."""
+        """Query the owner of an attempt for the attempt's stage."""
--- a/egretstack/ledger/_homes.py
+++ b/egretstack/ledger/_ledger_home.py
@@ -1,8 +1,8 @@
-"""Which entry writes a shard, and the form in which another asks it to.
+"""Choice of a shard's ledger home, and the requests by which other entries write through it.
 
-One writer for each shard puts the operations of every entry into the same commits, and meets no
-conflicts. That is all a home is for: any entry may write any shard at any time, since safety
-rests on the conditional update alone.
+A single writer for each shard combines the operations of all entries into the same commits and
+causes no write conflicts. This is only an optimization: any entry may write any shard at any
+time, since safety depends on the conditional update alone.
 """
 
 import hashlib
@@ -17,25 +17,29 @@
 
 
 class InvalidShardRequest(Exception):
-    """A peer asks for what no entry of this version would."""
+    """A peer's request is malformed, too late, or one that no entry of this version makes."""
 
 
 def find_ledger_home(shard: int, entries: list[InstanceId]) -> InstanceId | None:
-    """Pick the shard's home by rendezvous hashing; entries with different lists may differ."""
+    """Return the shard's ledger home, chosen by rendezvous hashing.
+
+    Entries with different lists may choose different ones.
+    """
     return max(entries, key=lambda entry: _weight(shard, entry), default=None)
 
 
 def make_shard_request(shard: int, operation: Operation, until_s: float) -> ShardAsk:
-    """Build the request to a home."""
+    """Build the request to the ledger home that carries out `operation`."""
     replaces = operation.replaces or ""
     kind, row = operation.kind.value, operation.row.spec()
     return ShardAsk(shard, kind, operation.key, row, replaces, until_s)
 
 
 def parse_shard_request(request: ShardAsk, epoch_s: float, now_s: float) -> Operation:
-    """Read a request, with the time left as its bound; raise BadAsk.
+    """Parse a request, bounded by the time it has left. Raises InvalidShardRequest.
 
-    A home that was frozen finds requests of long ago; their senders have done without it.
+    A ledger home that was paused may receive requests that are long out of date; their senders
+    have written the rows themselves meanwhile.
     """
     if (
         not 0 <= request.shard < SHARD_COUNT
@@ -57,7 +61,7 @@
 
 
 def make_shard_answer(operation: Operation) -> ShardTell:
-    """Build the home's answer."""
+    """Build the ledger home's answer; its outcome is empty if there is none yet."""
     if operation.outcome is None:
         return ShardTell("", [])
     row = operation.found if operation.outcome is Outcome.FOUND else operation.row
@@ -65,7 +69,10 @@
 
 
 def apply_shard_answer(answer: ShardTell, operation: Operation) -> bool:
-    """Take a home's answer over; False where it settles nothing and one writes oneself."""
+    """Apply a ledger home's answer to the operation.
+
+    Returns False if the answer settles nothing; the caller then writes the row itself.
+    """
     try:
         outcome = Outcome(answer.outcome)
         row = Row.from_spec(answer.row)
--- a/egretstack/ledger/_lookup.py
+++ b/egretstack/ledger/_lookup.py
@@ -1,4 +1,4 @@
-"""The look-up of a call's outcome at a service that offers one."""
+"""Look-up of a call's outcome at a service that offers look-ups."""
 
 import json
 from enum import Enum
@@ -16,7 +16,7 @@
 
 
 class LookupResult(Enum):
-    """What a look-up told."""
+    """The result of a look-up."""
 
     RAN = "ran"
     NOT_RAN = "not-ran"
@@ -26,7 +26,10 @@
 def make_lookup_request(
     spec: ServiceSpec, account: AccountId, key: IdempotencyKey, fence: int
 ) -> CallRequest:
-    """Build the look-up; at a service that checks fencing numbers it also fences older ones off."""
+    """Build the look-up request.
+
+    At a service that checks fencing numbers it also makes the service refuse older numbers.
+    """
     headers = [(KEY_HEADER, key), (ACCOUNT_HEADER, account)]
     if spec.fencing is Fencing.CHECKED:
         headers.append((FENCING_HEADER, str(fence)))
@@ -35,7 +38,7 @@
 
 
 def parse_lookup(answer: CallResponse) -> LookupResult:
-    """Read the answer: status 200 and a JSON object whose member `ran` is true or false."""
+    """Parse the answer: status 200 and a JSON object whose member `ran` is true or false."""
     if answer.status != _HTTP_OK:
         return LookupResult.NO_ANSWER
     try:
--- a/egretstack/ledger/_messages.py
+++ b/egretstack/ledger/_messages.py
@@ -1,4 +1,7 @@
-"""What entries ask each other: about attempts, and to write rows in one commit with others'."""
+"""Messages between entries: queries about attempts, and requests to the ledger home of a shard.
+
+The ledger home writes the rows of several entries in one commit.
+"""
 
 from dataclasses import dataclass
 from typing import ClassVar
@@ -8,7 +11,7 @@
 
 @dataclass(frozen=True)
 class AttemptAsk(Message):
-    """Asks an attempt's owner, in the process `boot`, how far the attempt has come."""
+    """Queries an attempt's owner, the process `boot`, for the attempt's stage."""
 
     number: ClassVar[int] = 40
     boot: str
@@ -17,7 +20,7 @@
 
 @dataclass(frozen=True)
 class AttemptTell(Message):
-    """Tells it; `stage` is the value of a Stage."""
+    """Answers an AttemptAsk; `stage` is the value of a Stage."""
 
     number: ClassVar[int] = 41
     stage: str
@@ -25,10 +28,11 @@
 
 @dataclass(frozen=True)
 class ShardAsk(Message):
-    """Asks the home of a shard to carry an operation out.
+    """Requests that the ledger home of a shard carry out an operation.
 
-    `wanted` is the value of a Wanted, `row` the row's stored form, `over` an attempt or empty.
-    After `until_s`, in seconds since the epoch, it is not carried out any more.
+    `wanted` is the value of an OperationKind, and `row` the row's stored form. `over` is the
+    attempt whose open row may be replaced, or empty. After `until_s`, in seconds since the epoch,
+    the operation is no longer carried out.
     """
 
     number: ClassVar[int] = 42
@@ -42,7 +46,10 @@
 
 @dataclass(frozen=True)
 class ShardTell(Message):
-    """Tells the outcome, empty where there is none yet, and the row written or found."""
+    """Answers a ShardAsk with the outcome, empty if there is none yet, and the row.
+
+    The row is the one that was written or found.
+    """
 
     number: ClassVar[int] = 43
     outcome: str
--- a/egretstack/ledger/_once.py
+++ b/egretstack/ledger/_once.py
@@ -1,4 +1,4 @@
-"""One call that runs at most once, from its key to its final answer."""
+"""A call that runs at most once, from its idempotency key to its final answer."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -31,7 +31,7 @@
 
 
 class AtMostOnceCall:
-    """A call with its key; `runners` gives the live runners of its service."""
+    """One call with an idempotency key; `runners` returns the live runners of its service."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._deadline_s = trio.current_time() + request.timeout_s
 
     async def run(self) -> CallResponse:
-        """Begin and send, or answer from what the ledger has; raise EgretError."""
+        """Write the intent and send the call, or answer from the ledger. Raises EgretError."""
         intent_request = IntentRequest(
             key_id(self._account, self._spec.name, self._key),
             fingerprint(self._request),
@@ -75,7 +75,7 @@
         raise _in_progress("another attempt has just begun")
 
     async def _resolve_open_row(self, intent_request: IntentRequest, row: Row) -> Intent | Row:
-        """Decide about another attempt's open intent; take the key over only if that is safe."""
+        """Handle another attempt's open intent; take over the key only if that is safe."""
         check_same_request(row, intent_request.fingerprint)
         stage = await self._ledger.stage(row)
         now_s = self._epoch.now()
@@ -92,10 +92,11 @@
         return await self._ledger.begin(replace(intent_request, replaces=row.attempt))
 
     async def _look_up(self, row: Row, fallback: NextAction) -> NextAction:
-        """Ask the service whether the call ran; `otherwise` is the move if that settles nothing.
+        """Query the service for whether the call ran; return `fallback` if that settles nothing.
 
-        "It did not run" settles it only where the look-up fences the attempt off as well: its
-        sender may be frozen with the call in its hands, and would send it after the look-up.
+        "It did not run" settles it only if the look-up also fences the attempt off. Otherwise a
+        sender that is paused just before its first byte could still send the call after the
+        look-up.
         """
         request = make_lookup_request(self._spec, self._account, self._key, row.fence + 1)
         result = LookupResult.NO_ANSWER
@@ -122,7 +123,7 @@
                 history.record_unsent(error.proof)
                 continue
             except EgretError as error:
-                # The check before the first byte found the intent too old to be sent.
+                # The check before the first byte found that the intent is too old to be sent.
                 history.record_unsent(error.proof)
                 break
             except OutcomeUnknown as error:
@@ -150,8 +151,8 @@
 
     async def _record_answer(self, intent: Intent, answer: CallResponse) -> CallResponse:
         if self._spec.fencing is Fencing.CHECKED and _is_fenced_off(intent, answer):
-            # A repeat fenced this attempt off while it stood still. That it was refused is no
-            # answer to the call, and the key is free or in the hands of the repeat.
+            # A repeat fenced this attempt off while this process was paused. The refusal is not
+            # an answer to the call, and the key is free or belongs to the repeat.
             await self._ledger.release(intent)
             raise _in_progress("a later attempt took this one's place")
         if not await self._ledger.finish(intent, KeptAnswer.from_response(answer)):
@@ -160,7 +161,10 @@
 
 
 def _is_fenced_off(intent: Intent, answer: CallResponse) -> bool:
-    """Tell a refusal of an old number: status 409 that names the higher number it has seen."""
+    """Return whether the upstream refused an old fencing number.
+
+    Such an answer has status 409 and names the higher number that the upstream has seen.
+    """
     if answer.status != _HTTP_CONFLICT:
         return False
     seen = [value for name, value in answer.headers if name.lower() == FENCING_HEADER.lower()]
--- a/egretstack/ledger/_per_call.py
+++ b/egretstack/ledger/_per_call.py
@@ -1,6 +1,6 @@
-"""The first ledger: one object for each call.
+"""A ledger that stores one object for each call.
 
-Kept as the baseline that the sharded ledger is measured against.
+It is the baseline against which the sharded ledger is measured.
 """
 
 import hashlib
@@ -22,7 +22,7 @@
 
 
 class PerCallLedger:
-    """Writes the intent of each call before dispatch and its outcome after."""
+    """Writes the intent of each call before dispatch and its outcome afterwards."""
 
     def __init__(self, api: ObjectApi) -> None:
         self._api = api
@@ -36,7 +36,7 @@
         attempt: AttemptId,
         fingerprint: str,
     ) -> LedgerEntry:
-        """Write the intent and give it back, or give the finished entry of an earlier call.
+        """Write the intent and return it, or return the finished entry of an earlier call.
 
         Raises EgretError: KEY_REUSED, IN_PROGRESS, OUTCOME_UNKNOWN, PLATFORM_AWAY.
         """
@@ -54,7 +54,7 @@
         return entry
 
     async def finish(self, entry: LedgerEntry) -> None:
-        """Write the outcome; where that fails the intent stands and repeats are refused."""
+        """Write the outcome; if that fails the intent remains and repeats are refused."""
         stored = self._stored_by_attempt.pop(entry.attempt, None)
         if stored is None:
             return
@@ -70,7 +70,7 @@
                 continue
 
     async def _resolve_in_doubt(self, name: str, entry: LedgerEntry) -> LedgerEntry:
-        """Find out whether a write whose answer was lost took effect, by the attempt's id."""
+        """Read back, by the attempt's id, whether a write whose answer was lost took effect."""
         for _ in range(MAX_STORE_ATTEMPTS):
             try:
                 stored = await self._api.get(ObjectKind.LEDGER, name)
--- a/egretstack/ledger/_pruning.py
+++ b/egretstack/ledger/_pruning.py
@@ -1,4 +1,4 @@
-"""Drops segments of the ledger whose rows may all be forgotten."""
+"""Deletion of ledger segments whose rows have all expired."""
 
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
@@ -16,10 +16,10 @@
 )
 
 PRUNE_MARGIN_S = 300.0
-"""How long after a segment's time it is dropped; above any difference between two clocks.
+"""How long after its expiry a segment is deleted; more than any difference between two clocks.
 
-An entry whose clock is behind still reads the segment until then; were it gone, that entry would
-refuse every new call of the shard.
+An entry whose clock is behind still reads the segment until then. If it were missing, that entry
+would refuse every new call of the shard.
 """
 
 MAX_UNLIST_ATTEMPTS = 8
@@ -27,17 +27,18 @@
 
 @dataclass(frozen=True)
 class PruneResult:
-    """What one round did: segments dropped, and heads that could not be done."""
+    """The result of one round: segments deleted, and heads that could not be pruned."""
 
     segments: int
     failed_heads: int
 
 
 class LedgerPruner:
-    """One round over every head; `before_pair` is awaited before a read with a write on it.
+    """Prunes every head; `before_pair` is awaited before a read and the write that depends on it.
 
-    Two at once do no harm, nor does one that goes on late: a segment whose time was over stays
-    so, its name is never used again, and each update of a head is conditional on its version.
+    Concurrent rounds do no harm, nor does one that resumes late: an expired segment stays
+    expired, its name is never used again, and each update of a head is conditional on its
+    version.
     """
 
     def __init__(
@@ -51,13 +52,13 @@
         self._shards = shards
 
     async def prune(self, epoch_s: float) -> PruneResult:
-        """Drop what may be forgotten at `epoch_s`, in seconds since the epoch."""
+        """Delete the segments that have expired at `epoch_s`, in seconds since the epoch."""
         dropped = failed = 0
         for number in range(self._shards):
             try:
                 dropped += await self._prune_head(head_name(number), epoch_s)
             except (PlatformAway, PlatformOutcomeUnknown, Conflict, CorruptShard):
-                # Another writer came first or the store is away: the next round does it.
+                # Another writer was first or the store is unavailable: the next round retries.
                 failed += 1
         return PruneResult(dropped, failed)
 
@@ -66,8 +67,9 @@
         expired = {one.name for one in shard.segments if one.until_s + PRUNE_MARGIN_S <= epoch_s}
         if not expired:
             return 0
-        # Deleted before it is taken off the list: after a stop in between, the list still leads
-        # the next round to it. The other way round it would stay in the store for ever.
+        # Each segment is deleted before it is removed from the list, so that after a stop in
+        # between the next round still finds it. In the other order it would stay in the store
+        # forever.
         for segment in expired:
             await self._delete(segment)
         await self._unlist(name, expired)
@@ -77,14 +79,15 @@
         stored = await self._api.get(ObjectKind.LEDGER, segment)
         if stored is None:
             return
-        # A segment never changes: a conflict says that another round has deleted it.
+        # A segment never changes, so a conflict means that another round has deleted it.
         with suppress(Conflict):
             await self._api.delete(ObjectKind.LEDGER, segment, stored.version)
 
     async def _unlist(self, name: str, dropped: set[str]) -> None:
-        # The head was read before the deletions, which take seconds, and entries write it many
-        # times a second: on the version from then, every update would conflict, and the list
-        # would grow until the shard takes no call. So it is read again, just before the update.
+        # Entries write the head many times a second, and the deletions since it was read took
+        # seconds. An update conditional on that version would always conflict, and the list
+        # would grow until the shard accepts no call. So the head is read again just before the
+        # update.
         for _ in range(MAX_UNLIST_ATTEMPTS):
             await self._before_pair()
             stored = await self._api.get(ObjectKind.LEDGER, name)
--- a/egretstack/ledger/_row.py
+++ b/egretstack/ledger/_row.py
@@ -1,4 +1,4 @@
-"""One call's row in a shard of the ledger, and its stored form."""
+"""A call's row in a shard of the ledger, and its stored form."""
 
 import base64
 import hashlib
@@ -13,7 +13,7 @@
 from egretstack.upstreams import CallResponse
 
 KeyId = NewType("KeyId", str)
-"""Digest of account, service and idempotency key: the scope in which a call runs once."""
+"""Digest of account, service and idempotency key: the scope in which a call runs at most once."""
 
 KEY_ID_LENGTH = 32
 MAX_KEPT_BODY_BYTES = 4_096
@@ -26,16 +26,16 @@
 
 
 def key_id(account: AccountId, service: ServiceName, key: IdempotencyKey) -> KeyId:
-    """Give the id under which a key's row is kept; accounts never share one."""
+    """Return the id under which a key's row is stored; accounts never share one."""
     text = f"{account}\0{service}\0{key}"
     return KeyId(hashlib.sha256(text.encode()).hexdigest()[:KEY_ID_LENGTH])
 
 
 @dataclass(frozen=True)
 class KeptAnswer:
-    """What is kept of an upstream's answer; `body` is None where it was too big to keep.
+    """The stored part of an upstream's answer; `body` is None if the answer was too big.
 
-    `status` is 0 where the call is known to have run but its answer never came.
+    `status` is 0 if the call is known to have run but its answer never arrived.
     """
 
     status: int
@@ -46,7 +46,7 @@
 
     @classmethod
     def from_response(cls, answer: CallResponse) -> "KeptAnswer":
-        """Bound an answer: a big one leaves its status, length and digest."""
+        """Build from an answer; of a big one only the status, length and digest are stored."""
         digest = hashlib.sha256(answer.body).hexdigest()
         header_bytes = sum(len(name) + len(value) for name, value in answer.headers)
         if len(answer.body) > MAX_KEPT_BODY_BYTES or header_bytes > MAX_KEPT_HEADER_BYTES:
@@ -54,7 +54,7 @@
         return cls(answer.status, answer.headers, answer.body, digest, len(answer.body))
 
     def replay(self) -> CallResponse:
-        """Give the answer of a repeat; a header says whether it is the upstream's own."""
+        """Return the answer to a repeat; a header says whether it is the upstream's own answer."""
         if self.body is not None:
             return CallResponse(
                 self.status, (*self.headers, (REPLAY_HEADER, REPLAY_KEPT)), self.body
@@ -70,13 +70,13 @@
         return CallResponse(self.status or _HTTP_OK, headers, json.dumps(summary).encode())
 
     def spec(self) -> list[object]:
-        """Give the stored form."""
+        """Return the stored form."""
         body = None if self.body is None else base64.b64encode(self.body).decode()
         return [self.status, [list(pair) for pair in self.headers], body, self.digest, self.length]
 
     @classmethod
     def from_spec(cls, spec: list) -> "KeptAnswer":
-        """Read the stored form."""
+        """Parse the stored form."""
         status, headers, body, digest, length = spec
         kept = tuple((name, value) for name, value in headers)
         return cls(status, kept, None if body is None else base64.b64decode(body), digest, length)
@@ -84,10 +84,11 @@
 
 @dataclass(frozen=True)
 class Row:
-    """What the ledger holds of one call; times are in seconds since the epoch.
+    """The ledger's record of one call; times are in seconds since the epoch.
 
-    `owner` and `boot` name the process that may send the attempt, `fence` is the number it
-    sends, `deadline_s` is when it has long ended, `until_s` when the key may be forgotten.
+    `owner` and `boot` identify the process that may send the attempt, and `fence` is the fencing
+    number that it sends. By `deadline_s` the attempt has certainly ended, and after `until_s` the
+    key may be forgotten.
     """
 
     attempt: AttemptId
@@ -102,20 +103,20 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the attempt may still be under way."""
+        """Return whether the attempt may still be in progress."""
         return self.state is CallState.INTENT
 
     @cached_property
     def size(self) -> int:
-        """Give the bytes of the stored form, with its key."""
+        """Return the size of the stored form with its key, in bytes."""
         return len(json.dumps(self.spec())) + KEY_ID_LENGTH + len('"": , ')
 
     def with_outcome(self, state: CallState, answer: KeptAnswer | None = None) -> "Row":
-        """Give the row with its outcome."""
+        """Return a copy of the row with its outcome."""
         return replace(self, state=state, answer=answer)
 
     def spec(self) -> list[object]:
-        """Give the stored form, made once: each commit of a shard encodes all its rows."""
+        """Return the stored form, which is cached: each commit of a shard encodes all its rows."""
         return self._spec
 
     @cached_property
@@ -134,7 +135,7 @@
 
     @classmethod
     def from_spec(cls, spec: list) -> "Row":
-        """Read the stored form; raise ValueError or TypeError."""
+        """Parse the stored form. Raises ValueError, TypeError."""
         attempt, owner, boot, fingerprint, state, fence, deadline_s, until_s, answer = spec
         kept = None if answer is None else KeptAnswer.from_spec(answer)
         return cls(
@@ -151,6 +152,6 @@
 
 
 def check_same_request(found: Row, fingerprint: str) -> None:
-    """Refuse a key that was used for another request; raise EgretError."""
+    """Raise EgretError KEY_REUSED if the row's key was used for another request."""
     if found.fingerprint != fingerprint:
         raise EgretError(ErrorKind.KEY_REUSED, "the key was used for another request")
--- a/egretstack/ledger/_shard.py
+++ b/egretstack/ledger/_shard.py
@@ -1,8 +1,8 @@
 """A shard of the ledger: its head object, and the segments that hold its older rows.
 
-Every key belongs to one shard for ever, and a shard has one head. Each new row is a conditional
-update of the head, whatever entry writes it and however old an earlier row of the key is: so
-the head's version alone decides which of two uses of a key came first.
+Every key always belongs to the same shard, and a shard has one head. Each new row is a conditional
+update of the head, regardless of the entry that writes it and of the age of an earlier row with
+the same key. So the head's version alone decides which of two uses of a key came first.
 """
 
 from array import array
@@ -15,37 +15,37 @@
 from egretstack.objectapi import StoredObject
 
 SHARD_COUNT = 8
-"""Never change it while rows are kept: a key would move to a shard that has not its row."""
+"""Must not change while rows are stored: a key would move to a shard that lacks its row."""
 BUCKET_S = 3_600
-"""Rows that may be forgotten in the same hour go into the same segment, which goes whole."""
+"""Rows that expire in the same hour go into the same segment, which is deleted as a whole."""
 ROLL_THRESHOLD_BYTES = 65_536
-"""Size of a head's rows above which the ended ones move into a segment."""
+"""Size of a head's rows above which the rows of ended calls move into a segment."""
 MAX_HEAD_BYTES = 786_432
-"""Size of a head's rows above which no new row is taken: only open rows can add up to it."""
+"""Size of a head's rows above which no new row is accepted; only open rows can add up to it."""
 MAX_SEGMENTS = 4_000
-"""Listed segments above which no new row is taken: the list is part of the head's bytes."""
+"""Number of listed segments above which no new row is accepted: the list is part of the head."""
 MAX_SEGMENT_BYTES = 524_288
 _INDEX_DIGITS = 16
 _FINAL_STATES = frozenset({CallState.DONE, CallState.UNKNOWN})
 
 
 def head_name(number: int) -> str:
-    """Give the name of a shard's head object."""
+    """Return the name of a shard's head object."""
     return f"head-{number}"
 
 
 def shard_number(key: KeyId, shards: int = SHARD_COUNT) -> int:
-    """Give the shard of a key."""
+    """Return the number of a key's shard."""
     return int(key[:8], 16) % shards
 
 
 class CorruptShard(Exception):
-    """A ledger object cannot be read; nothing may be sent on the strength of it."""
+    """A ledger object cannot be parsed; no call may be sent on its basis."""
 
 
 @dataclass(frozen=True)
 class Segment:
-    """A listed segment; its rows may all be forgotten after `until_s`."""
+    """A listed segment, whose rows have all expired after `until_s`."""
 
     name: str
     until_s: float
@@ -55,7 +55,7 @@
 class Shard:
     """The content of a head: rows by key, and the segments from oldest to newest.
 
-    `turn` grows with each write, so that a write is never the same as the one before.
+    `write_count` grows with each write, so that a write never equals the one before it.
     """
 
     row_by_key: dict[KeyId, Row] = field(default_factory=dict)
@@ -64,11 +64,11 @@
 
     @property
     def size(self) -> int:
-        """Give about the bytes of the rows."""
+        """Return the approximate size of the rows in bytes."""
         return sum(row.size for row in self.row_by_key.values())
 
     def spec(self) -> dict[str, object]:
-        """Give the stored form."""
+        """Return the stored form."""
         return {
             "turn": self.write_count,
             "segments": [[one.name, one.until_s] for one in self.segments],
@@ -77,7 +77,7 @@
 
     @classmethod
     def from_stored(cls, stored: StoredObject | None) -> "Shard":
-        """Read a head; a missing one is empty. Raises BadShard."""
+        """Parse a head; a missing one is empty. Raises CorruptShard."""
         if stored is None:
             return cls()
         try:
@@ -88,32 +88,33 @@
 
 
 def rows_spec(row_by_key: dict[KeyId, Row]) -> dict[str, object]:
-    """Give the stored form of rows."""
+    """Return the stored form of rows."""
     return {key: row.spec() for key, row in row_by_key.items()}
 
 
 def read_rows(spec: dict) -> dict[KeyId, Row]:
-    """Read rows of a head or segment; raise KeyError, TypeError or ValueError."""
+    """Parse the rows of a head or segment. Raises KeyError, TypeError, ValueError."""
     return {KeyId(key): Row.from_spec(row) for key, row in spec["rows"].items()}
 
 
 class SegmentIndex:
-    """The keys of a segment, 8 bytes each; a hit is checked against the segment itself."""
+    """An index of a segment's keys, 8 bytes each; a hit is checked against the segment itself."""
 
     def __init__(self, keys: list[KeyId]) -> None:
         self._key_numbers = array("Q", sorted(int(key[:_INDEX_DIGITS], 16) for key in keys))
 
     def may_hold(self, key: KeyId) -> bool:
-        """Tell whether the segment may hold a key; a no is certain."""
+        """Return whether the segment may hold a key; False is certain."""
         number = int(key[:_INDEX_DIGITS], 16)
         position = bisect_left(self._key_numbers, number)
         return position < len(self._key_numbers) and self._key_numbers[position] == number
 
 
 def largest_bucket(row_by_key: dict[KeyId, Row]) -> dict[KeyId, Row]:
-    """Pick the rows of the largest bucket that never change again, for a segment of their own.
+    """Return the rows of the largest bucket that never change again, to move into a segment.
 
-    Rows of calls that did not run stay: their keys are free, and a segment is never rewritten.
+    Rows of calls that did not run stay in the head: their keys may be used again, and a segment
+    is never rewritten.
     """
     ended = [(key, row) for key, row in row_by_key.items() if row.state in _FINAL_STATES]
     ended.sort(key=lambda pair: pair[1].until_s)
--- a/egretstack/ledger/_steps.py
+++ b/egretstack/ledger/_steps.py
@@ -1,4 +1,4 @@
-"""What a shard's writer is asked, what it asks of the platform, and what it answers."""
+"""Operations on a shard and their outcomes, and the steps that its writer requests of the store."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -8,14 +8,14 @@
 
 
 class OperationKind(Enum):
-    """What an operation wants of the shard."""
+    """What an operation does to the shard."""
 
     BEGIN = "begin"
     """Write an intent, unless the key has a row."""
     FINISH = "finish"
-    """Write the outcome over one's own intent."""
+    """Replace the attempt's own intent by its outcome."""
     RETRACT = "retract"
-    """Make sure that one's own intent, which may land yet, does not block the key."""
+    """Make sure that the attempt's own intent, which may still land, does not block the key."""
 
 
 class Outcome(Enum):
@@ -23,24 +23,26 @@
 
     WRITTEN = "written"
     FOUND = "found"
-    """The key has another row, given with the outcome."""
+    """The key has another row, which is returned with the outcome."""
     LOST = "lost"
-    """One's own row is not there any more: another attempt took the key over."""
+    """The attempt's own row has been replaced: another attempt took over the key."""
     REFUSED = "refused"
-    """The store is away; the intent was never sent to it."""
+    """The store is unavailable; the intent was never written."""
     ABANDONED = "abandoned"
-    """The intent may be in the store or land later; it is being retracted and never sent."""
+    """The intent may be in the store or land later; it is retracted, and its call is never sent."""
 
 
 @dataclass(eq=False)
 class Operation:
-    """One request to a shard's writer; `give_up_s` is a time of the runtime's clock.
-
-    `over` names an attempt whose intent may be replaced. `doubt` is the head's version that the
-    last unanswered write with this operation was conditional on. `fresh` tells that the head was
-    read since it came, `cleared` names segments that were read and do not hold the key, and
-    `retraction` is what an abandoned beginning left to do. `forwarded` tells that another process
-    was asked to write the same intent and may do so late; `for_peer` that this process was asked.
+    """One request to a shard's writer; `give_up_at_s` is a time of the runtime's clock.
+
+    `replaces` names an attempt whose intent may be replaced. `in_doubt` is set after a write with
+    this operation got no answer, and `in_doubt_version` is the head's version on which the last
+    such write was conditional. `has_fresh_head` says that the head was read since the operation
+    was submitted. `segments_without_key` names segments that were read and do not hold the key.
+    `retraction` is the operation that an abandoned BEGIN leaves to be done. `forwarded` says that
+    another process was requested to write the same intent and may do so late, and `for_peer` that
+    this process writes it for another.
     """
 
     kind: OperationKind
@@ -73,7 +75,7 @@
 
 @dataclass(frozen=True)
 class CreateSegment:
-    """Create a segment under a name that nobody used."""
+    """Create a segment under a name that was never used."""
 
     row_by_key: dict[KeyId, Row]
     until_s: float
--- a/egretstack/ledger/_store.py
+++ b/egretstack/ledger/_store.py
@@ -1,4 +1,4 @@
-"""Carries a shard's steps out at the object API, one at a time, for each shard by itself."""
+"""Executes the steps of each shard's writer at the object API, one at a time for each shard."""
 
 import random
 import secrets
@@ -37,20 +37,21 @@
 )
 
 STORE_TIMEOUT_S = 1.0
-"""Time allowed for one call; a slow store must not hold callers longer than an absent one."""
+"""Time limit of one store call; a slow store must not delay callers longer than a missing one."""
 UNAVAILABLE_PAUSE_S = 1.0
-"""After a failed call, how long new beginnings of the shard are refused without asking."""
+"""How long after a failed call new intents of the shard are refused without a store call."""
 CONFLICT_PAUSE_S = 0.01
 MIN_WRITE_INTERVAL_S = 0.05
-"""Least time between the starts of two commits of a shard; what comes meanwhile shares one.
+"""Minimum time between the starts of two commits of a shard; operations that wait share one.
 
-With 8 shards it bounds the writes to 160 a second however many calls come (docs/design/ledger.md).
+With 8 shards it limits the writes to 160 a second, regardless of the number of calls
+(docs/design/ledger.md).
 """
 
 
 @dataclass
 class _ShardWorker:
-    """One shard's writer with its task."""
+    """One shard's writer, and the state of the task that executes its steps."""
 
     writer: ShardWriter
     name: str
@@ -61,7 +62,7 @@
 
 
 class ShardStore:
-    """Runs operations on every shard; `nursery` holds the tasks."""
+    """Runs operations on all shards, in one task of `nursery` for each shard."""
 
     def __init__(
         self,
@@ -81,7 +82,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing waits to be written or settled."""
+        """Return whether no operation is waiting on any shard."""
         return all(lane.writer.is_idle for lane in self._workers)
 
     def submit(self, number: int, operation: Operation) -> None:
@@ -93,11 +94,11 @@
             self._nursery.start_soon(self._run_worker, lane)
 
     def is_unavailable(self, number: int) -> bool:
-        """Tell whether the shard's store was away a moment ago."""
+        """Return whether the shard's store was unavailable a moment ago."""
         return trio.current_time() < self._workers[number].unavailable_until_s
 
     async def wait(self, number: int, operation: Operation) -> Outcome | None:
-        """Wait for an operation's outcome until it gives up; a beginning then has one."""
+        """Wait for an operation's outcome until `give_up_at_s`; a BEGIN always has one by then."""
         event = self._event_by_operation.setdefault(operation, trio.Event())
         if operation.outcome is None:
             with trio.move_on_at(operation.give_up_at_s):
@@ -144,7 +145,8 @@
         if pause_s == UNAVAILABLE_PAUSE_S:
             lane.unavailable_until_s = trio.current_time() + UNAVAILABLE_PAUSE_S
         self._notify_waiters()
-        # Entries that wrote at the same moment would do so again after equal pauses.
+        # The pause is random: entries that wrote at the same moment would collide again after
+        # equal pauses.
         await trio.sleep(pause_s * (0.5 + self._rng.random()))
 
     async def _call_store(self, lane: _ShardWorker, step: Step) -> None:
@@ -157,8 +159,8 @@
                 stored = await self._api.get(ObjectKind.LEDGER, name)
                 writer.on_segment_read(name, _segment_rows(stored))
             case CreateSegment():
-                # A random part: a name that another process could write would let a late write
-                # change a segment that is listed already.
+                # The name has a random part. Under a name that another process could use too, a
+                # delayed write could change a segment that is already listed.
                 name = f"seg-{lane.name}-{secrets.token_hex(8)}"
                 await self._api.create(ObjectKind.LEDGER, name, _segment_spec(step))
                 writer.on_segment_created(name, step)
--- a/egretstack/ledger/_writer.py
+++ b/egretstack/ledger/_writer.py
@@ -1,11 +1,11 @@
-"""Decides what one process reads and writes of one shard. Pure: no I/O, times passed in.
-
-All operations that wait go into one conditional update (group commit). After an update without
-an answer the head is read again and the operations are applied again to what is found. That
-settles every case: a row with one's own attempt landed; where it is missing and the version has
-moved on, the lost update can never land; where the version has not moved, the next update is
-conditional on the same version as the lost one, so at most one of the two takes effect, and
-both carry the same attempt.
+"""Decides what one process reads and writes of one shard, without I/O and with times passed in.
+
+All waiting operations go into one conditional update (group commit). After an update without an
+answer the head is read again, and the operations are applied again to its content. That settles
+every case. If the row of the attempt is there, the update landed. If it is missing and the version
+has changed, the lost update can never land. If the version has not changed, the next update is
+conditional on the same version as the lost one, so at most one of the two takes effect, and both
+carry the same attempt.
 """
 
 from dataclasses import replace
@@ -34,11 +34,11 @@
 
 MAX_PENDING = 2_000
 OPEN_ROW_EXTRA_RETENTION_S = 86_400
-"""How long past its retention a row without an outcome is kept, in seconds."""
+"""How long past its retention a row without an outcome is still kept, in seconds."""
 
 
 class ShardWriter:
-    """The state of one shard as one process knows it."""
+    """One process's view of a shard, its waiting operations and the update in progress."""
 
     def __init__(self, roll_bytes: int = ROLL_THRESHOLD_BYTES) -> None:
         self._pending: list[Operation] = []
@@ -52,11 +52,11 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no operation waits."""
+        """Return whether no operation is waiting or being written."""
         return not self._pending and not self._batch
 
     def submit(self, operation: Operation) -> None:
-        """Take an operation in; its outcome is set on it later."""
+        """Queue an operation; its outcome is set on it later."""
         is_begin = operation.kind is OperationKind.BEGIN
         if is_begin and len(self._pending) >= MAX_PENDING:
             operation.outcome = Outcome.REFUSED
@@ -64,20 +64,20 @@
         self._pending.append(operation)
 
     def expire_begins(self, now_s: float) -> None:
-        """End the beginnings whose time is over; those in doubt are retracted from now on."""
+        """End each BEGIN whose time is over; those that may have been written are retracted."""
         for operation in [*self._pending, *self._batch]:
             is_waiting_begin = operation.kind is OperationKind.BEGIN and operation.outcome is None
             if is_waiting_begin and operation.give_up_at_s <= now_s:
                 self._end_begin(operation)
 
     def next_step(self, epoch_s: float) -> Step | None:
-        """Give the next call to make, or None when nothing waits."""
+        """Return the next store call to make, or None if nothing is waiting."""
         if self._segments.unlisted_name is not None:
             return DeleteSegment(self._segments.unlisted_name)
         if not self._pending:
             if self._has_other_writers:
-                # Others write this shard too: a write on an old view would only conflict, and a
-                # read costs the platform less than a write.
+                # Other processes write this shard too. A write based on an old view would only
+                # conflict, and a read costs the platform less than a write.
                 self._shard = None
             return None
         if self._shard is None:
@@ -92,7 +92,7 @@
         return self._plan_commit(epoch_s)
 
     def on_head_read(self, shard: Shard, version: str | None) -> None:
-        """Take in the head as just read."""
+        """Update from the head as it was just read."""
         self._has_other_writers = version != self._version
         self._shard, self._version = shard, version
         self._segments.on_head_read(shard, version)
@@ -100,25 +100,25 @@
             operation.has_fresh_head = True
 
     def on_segment_read(self, name: str, row_by_key: dict[KeyId, Row] | None) -> None:
-        """Take in a segment; None if there is none of that name."""
+        """Update from a segment that was just read; its rows are None if it does not exist."""
         if row_by_key is not None:
             self._segments.on_segment_read(name, row_by_key)
             return
-        # The head may list it no more; where it does, nothing can begin here safely.
+        # The head may no longer list it. If it still does, no intent can be written safely.
         if self._segments.on_segment_missing(name):
             self.on_failure(False)
         self._shard = None
 
     def on_segment_created(self, name: str, step: CreateSegment) -> None:
-        """Take in that the segment exists; the next write of the head lists it."""
+        """Record that the segment exists; the next write of the head lists it."""
         self._segments.on_segment_created(name, step, self._version)
 
     def on_segment_deleted(self) -> None:
-        """Take in that an unlisted segment was deleted, or that this was tried."""
+        """Record that the deletion of an unlisted segment was attempted."""
         self._segments.unlisted_name = None
 
     def on_written(self, version: str) -> None:
-        """Take in that the write took effect."""
+        """Record that the write took effect."""
         self._shard, self._version = self._draft, version
         self._segments.clear_created()
         for operation in self._batch:
@@ -126,13 +126,14 @@
         self._batch = []
 
     def on_conflict(self) -> None:
-        """Take in that another write came first, or that one's own landed unnoticed."""
+        """Handle a conflict: another write was first, or an unanswered write of this one landed."""
         self._requeue()
 
     def on_failure(self, in_doubt: bool) -> None:
-        """Take in that a call had no effect, or (`sent`) that a write may have had or have yet.
+        """Handle a failed call; `in_doubt` says that a write may have landed or may still land.
 
-        Beginnings end at once: their callers are told when to come back.
+        After a call that had no effect each BEGIN ends at once, so that its caller learns when to
+        retry.
         """
         for operation in self._batch if in_doubt else ():
             target = operation.retraction or operation
@@ -149,7 +150,7 @@
 
     @staticmethod
     def _needs_segments(operation: Operation) -> bool:
-        """Tell whether an operation may add a row, which no older one of the key allows."""
+        """Return whether an operation may add a row, which requires that the key has none yet."""
         retracts = operation.kind is OperationKind.RETRACT and operation.forwarded
         return operation.kind is OperationKind.BEGIN or retracts
 
@@ -169,11 +170,11 @@
             return
         operation.outcome = Outcome.ABANDONED
         if operation.for_peer:
-            # Its sender may have written the intent itself meanwhile, and be sending the call:
-            # retracted here, the key would be free for a second run. The sender retracts.
+            # Its sender may have written the intent itself meanwhile and be sending the call. A
+            # retraction here would free the key for a second run, so the sender retracts.
             return
-        # The caller is answered, so this attempt is never sent. Its intent may be in the store
-        # or land later and would block the key for ever: retracting it goes on until settled.
+        # The caller has its answer, so this attempt is never sent. Its intent may be in the store
+        # or land later, and would block the key forever, so it is retracted until that is settled.
         operation.retraction = Operation(
             OperationKind.RETRACT,
             operation.key,
@@ -209,8 +210,8 @@
         return WriteHead(self._draft.spec(), self._version)
 
     def _is_full(self, rows: dict[KeyId, Row]) -> bool:
-        many = len(self._shard.segments) >= MAX_SEGMENTS
-        return many or sum(row.size for row in rows.values()) > MAX_HEAD_BYTES
+        has_max_segments = len(self._shard.segments) >= MAX_SEGMENTS
+        return has_max_segments or sum(row.size for row in rows.values()) > MAX_HEAD_BYTES
 
     def _apply(
         self,
@@ -219,7 +220,7 @@
         changed: list[Operation],
         epoch_s: float,
     ) -> Step | None:
-        """Apply one operation to the draft; give a call to make first, if one is needed."""
+        """Apply one operation to `rows`; return a step that must come first, if there is one."""
         if any(one.key == operation.key for one in changed):
             return None
         found = rows.get(operation.key) or self._moved_row(operation.key)
@@ -231,7 +232,7 @@
         if operation.kind is not OperationKind.BEGIN:
             return self._apply_end(operation, found, rows, changed)
         if found is not None and found.attempt == operation.row.attempt:
-            # Written by an update whose answer was lost, or by the home that was asked to.
+            # Written by an update whose answer was lost, or by the shard's ledger home.
             operation.row = found
             return self._complete(operation, Outcome.WRITTEN if found.is_open else Outcome.REFUSED)
         if found is not None and not _is_key_free(found, operation):
@@ -244,8 +245,8 @@
         if self._refuses_new_rows:
             return self._complete(operation, Outcome.REFUSED)
         if found is not None:
-            number = max(operation.row.fence, found.fence + 1)
-            operation.row = replace(operation.row, fence=number)
+            fence = max(operation.row.fence, found.fence + 1)
+            operation.row = replace(operation.row, fence=fence)
         rows[operation.key] = operation.row
         changed.append(operation)
         return None
@@ -257,22 +258,22 @@
         rows: dict[KeyId, Row],
         changed: list[Operation],
     ) -> Step | None:
-        own = found is not None and found.attempt == operation.row.attempt
-        if own and found == operation.row:
+        is_own = found is not None and found.attempt == operation.row.attempt
+        if is_own and found == operation.row:
             return self._complete(operation, Outcome.WRITTEN)
-        if own:
+        if is_own:
             rows[operation.key] = operation.row
             changed.append(operation)
             return None
         if found is None and self._needs_segments(operation):
-            # The process that was asked to write the intent may do so late: it then finds the
-            # attempt ended, and writes nothing.
+            # The ledger home may write the intent late. It then finds the attempt ended, and
+            # writes nothing.
             rows[operation.key] = operation.row
             changed.append(operation)
             return None
         if operation.kind is OperationKind.RETRACT and self._may_land_yet(operation):
-            # Nothing of ours is there, but a write delayed on its way could land until the
-            # head's version moves. Writing the head, changed in its turn alone, shuts it out.
+            # The attempt has no row, but a delayed write of it could still land until the head's
+            # version changes. A write of the head that changes only its write count prevents that.
             changed.append(operation)
             return None
         if not operation.has_fresh_head:
@@ -294,12 +295,12 @@
         return self._segments.find_segment(operation, self._shard, epoch_s)
 
     def _moved_row(self, key: KeyId) -> Row | None:
-        """Give a row that this very write moves into a segment which the head does not list yet."""
+        """Return a row that this write moves into a segment that the head does not list yet."""
         return self._segments.moved_rows.get(key)
 
 
 def is_retained(row: Row, epoch_s: float) -> bool:
-    """Tell whether a row is still kept; one without an outcome is kept longer."""
+    """Return whether a row is still kept; one without an outcome is kept longer."""
     extra_s = OPEN_ROW_EXTRA_RETENTION_S if row.is_open else 0
     return epoch_s < row.until_s + extra_s
 
--- a/egretstack/traffic/__init__.py
+++ b/egretstack/traffic/__init__.py
@@ -1,4 +1,4 @@
-"""Requests, answers and reports as typed values, whatever the wire calls their parts."""
+"""Requests, answers and reports as typed values, independent of their names on the wire."""
 
 from egretstack.traffic._report import MoveAnswer, MoveOutcome, RunnerReport, RunReport
 from egretstack.traffic._request import ClientRequest, Generation, PromptPart
--- a/egretstack/traffic/_report.py
+++ b/egretstack/traffic/_report.py
@@ -1,4 +1,4 @@
-"""What an engine tells of itself, and how a copy of a run's memory went."""
+"""An engine's report of its own load, and the result of copying a run's memory."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunReport:
-    """One run as its engine sees it."""
+    """One run as its engine reports it."""
 
     attempt_id: str
     held_tokens: int
@@ -16,35 +16,35 @@
 
 @dataclass(frozen=True)
 class RunnerReport:
-    """An engine's own account of its load, some hundred milliseconds old."""
+    """An engine's report of its own load, some hundred milliseconds old."""
 
     leaving: bool
     leaves_in_s: float | None
     running: int
     waiting: int
     kv_used_tokens: int
-    """Memory of runs, pins and holds; what is only cached is not in it."""
+    """Memory of runs, pins and holds, without what is only cached."""
     kv_total_tokens: int
     runs: tuple[RunReport, ...]
     started_ms: int | None = None
-    """When it started, by its own clock, in Unix milliseconds; None if it does not tell."""
+    """When the engine started, by its own clock, in Unix milliseconds; None if not reported."""
 
 
 class MoveOutcome(Enum):
-    """How a copy of a run's memory went."""
+    """The result of copying a run's memory."""
 
     COPIED = "copied"
     NO_SUCH_RUN = "no-such-run"
     BUSY = "busy"
-    """Another copy of the same run is under way."""
+    """Another copy of the same run is in progress."""
     NO_CAPACITY = "no-room"
-    """The destination has no room or is not reached."""
+    """The destination has no free memory or cannot be reached."""
     FAILED = "failed"
 
 
 @dataclass(frozen=True, slots=True)
 class MoveAnswer:
-    """The answer to a copy."""
+    """The answer to a request to copy a run's memory."""
 
     outcome: MoveOutcome
     handle: str
--- a/egretstack/traffic/_request.py
+++ b/egretstack/traffic/_request.py
@@ -1,4 +1,4 @@
-"""A client's request as the system sees it, whatever the wire calls its parts."""
+"""A client's request as typed values, independent of their names on the wire."""
 
 from dataclasses import dataclass
 from hashlib import blake2s
@@ -7,14 +7,14 @@
 from egretstack.ids import ContentId, ModelName
 
 PROMPT_ID_BYTES = 8
-"""Enough to tell apart the thousands of prompts of a minute."""
+"""Enough to distinguish the thousands of prompts of a minute."""
 CONTENT_ID_BYTES = 16
-"""Enough that no caller can make a request whose id is that of another one."""
+"""Enough that no caller can construct a request with the same id as another one."""
 
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that other requests may share; the last one is the request's own."""
+    """A part of a prompt that other requests may share; only the last part is the request's own."""
 
     id: str
     tokens: int
@@ -22,19 +22,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Generation:
-    """What a request for a generation says of its size."""
+    """The parameters of a generation that determine its size."""
 
     model: ModelName
     prompt_tokens: int
     max_output_tokens: int
     length_hint: int | None
-    """The client's own estimate of the output; right at the median, often far off."""
+    """The client's own estimate of the output tokens; right at the median, often far off."""
     prompt_parts: tuple[PromptPart, ...]
 
     def prompt_id(self, account: str) -> str:
-        """Give what tells an account's prompt from others; empty if the client named no parts.
+        """Return an id of an account's prompt; empty if the client named no prompt parts.
 
-        A client's retry has an attempt id of its own, and the same prompt.
+        A client's retry has a different attempt id, but the same prompt id.
         """
         if not self.prompt_parts:
             return ""
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class ClientRequest:
-    """One attempt of a client, read whole."""
+    """One attempt of a client, whose body has been read completely."""
 
     attempt_id: str
     """Unique for each attempt, a client's retry included; empty if the client gave none."""
@@ -54,13 +54,16 @@
     head: RequestHead
     body: bytes
     time_left_s: float | None
-    """How long the client said that it will wait, when its head was read."""
+    """How long the client was willing to wait when its head was read."""
     api_key: str | None
     """Secret of the client account; never logged, never passed on."""
     generation: Generation | None
 
     def content_id(self, account: str) -> ContentId:
-        """Give what all attempts with the same target, account and body have in common."""
+        """Return the request's fingerprint.
+
+        All attempts with the same method, host, target, account and body have the same one.
+        """
         digest = blake2s(digest_size=CONTENT_ID_BYTES)
         parts = (self.head.method, self.host.lower().encode(), self.head.target, account.encode())
         for part in parts:
--- a/egretstack/traffic/_send.py
+++ b/egretstack/traffic/_send.py
@@ -1,4 +1,4 @@
-"""One send of a request to a runner, and the head of what comes back."""
+"""Options for one send of a request to a runner, and the head of the runner's answer."""
 
 from dataclasses import dataclass
 
@@ -8,34 +8,34 @@
 
 @dataclass(frozen=True, slots=True)
 class ContinueFrom:
-    """Where a run's memory lies, and the last event that its caller has."""
+    """Where a run's memory is stored, and the last event that its caller has received."""
 
     address: str
-    """The runner that holds the copy, or the source that stopped."""
+    """The runner that holds the copy, or the stopped source."""
     copy_id: str
-    """Handle of a moved copy, or the attempt's id for a backup copy."""
+    """Handle of a moved copy, or the attempt id for a backup copy."""
     last_event_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SendOptions:
-    """What the system adds to a request for one send."""
+    """What is added to a client's request for one send to a runner."""
 
     runner_name: RunnerName
     time_left_s: float
     account: AccountId | None
     priority: int | None = None
-    """0 is the most urgent."""
+    """0 is the highest priority."""
     backup_address: str | None = None
-    """Runner to which the run's memory is copied while it grows."""
+    """The runner to which the run's memory is copied while it grows."""
     continue_from: ContinueFrom | None = None
     last_event_id: str | None = None
-    """From where a client itself wants a stream to go on."""
+    """The event after which the client itself wants its stream to continue."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunnerLoad:
-    """What a runner tells of its load beside an answer."""
+    """The load that a runner reports in the headers of an answer."""
 
     running: int
     waiting: int
@@ -44,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerHealth:
-    """What a healthy runner says of itself."""
+    """A healthy runner's answer to a health check."""
 
     name: RunnerName
     cold_s: float
-    """How much longer it is cold."""
+    """How much longer the runner is cold."""
 
 
 @dataclass(frozen=True)
@@ -58,18 +58,20 @@
     head: ResponseHead
     attempt_id: str
     sealed: bool
-    """Whether the runner vouches for it; only then does it count as an answer at all."""
+    """Whether the runner marked the answer as its own; an unmarked one is not a valid answer."""
     rejected: bool
     """The runner states that it did not run the request, and never will."""
     misdirected: bool
     """Another runner answered, at the address of the one that was meant."""
     encoded: bool
-    """The body is not the runner's own bytes."""
+    """The body has a content encoding, so it is not the runner's own bytes."""
     load: RunnerLoad | None
     limit_per_s: float | None = None
-    """Requests a second that the runner takes from the whole fleet, as long as its answers say so;
-    None if it names no limit."""
+    """Requests a second that the runner accepts from the whole fleet; None if it states no limit.
+
+    The limit holds as long as the runner's answers state it.
+    """
     leaving: bool = False
-    """Whether the runner says that it leaves."""
+    """Whether the runner states that it is leaving."""
     backoff_s: float | None = None
-    """How long the runner, which turned the request away, wants nothing from this instance."""
+    """How long the runner, which rejected the request, wants no requests from this instance."""
--- a/egretstack/upstreams/__init__.py
+++ b/egretstack/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""What runners are to the system: model engines and plain services, each behind one class."""
+"""Clients for the two kinds of upstream: model engines and plain services."""
 
 from egretstack.upstreams._engine import (
     CacheEvent,
--- a/egretstack/upstreams/_engine.py
+++ b/egretstack/upstreams/_engine.py
@@ -1,7 +1,7 @@
-"""What a model engine does for the system.
+"""The interface of a client for a model engine.
 
-Generations follow the OpenAI Responses API: created with a streamed answer, resumed after a
-sequence number, cancelled by id.
+Generations follow the OpenAI Responses API: they are created with a streamed answer, resumed
+after a sequence number, and cancelled by id.
 """
 
 from abc import ABC, abstractmethod
@@ -14,7 +14,7 @@
 
 
 class EngineError(Exception):
-    """An engine did not do what was asked."""
+    """A request to an engine failed."""
 
 
 class EngineUnreachable(EngineError):
@@ -22,11 +22,11 @@
 
 
 class EngineNoAnswer(EngineUnreachable):
-    """No connection was made in time; the engine may be stalled, or gone without a sign."""
+    """No connection was made in time; the engine may be stalled, or have ended unnoticed."""
 
 
 class EngineRefused(EngineError):
-    """The engine answered that it takes no new generation now."""
+    """The engine answered that it accepts no new generation now."""
 
     def __init__(self, detail: str, retry_after_s: float | None) -> None:
         super().__init__(detail)
@@ -34,20 +34,20 @@
 
 
 class EngineBroken(EngineError):
-    """The connection broke; the generation may go on."""
+    """The connection broke; the generation may still be in progress."""
 
 
 class EngineSilent(EngineError):
-    """Nothing came for the silence allowed; the connection may be dead, or the engine busy."""
+    """Nothing arrived before the read timeout; the connection may be dead, or the engine busy."""
 
 
 class GenerationNotFound(EngineError):
-    """The engine answers and does not have the generation any more."""
+    """The engine answered that it no longer has the generation."""
 
 
 @dataclass(frozen=True)
 class GenerationRequest:
-    """What is asked of an engine. `priority` is higher for more valuable work."""
+    """A request for a generation. `priority` is higher for more valuable requests."""
 
     model: ModelName
     prompt: str
@@ -56,7 +56,7 @@
 
 
 class EngineEventKind(Enum):
-    """What an event of a stream says."""
+    """The kind of a stream's event, by its name in the Responses API."""
 
     CREATED = "response.created"
     TOKEN = "response.output_text.delta"
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineEvent:
-    """One event: its generation, its place in the order, and the text it adds."""
+    """One event: its generation, its sequence number, and the text that it adds."""
 
     generation: GenerationId
     sequence: int
@@ -76,7 +76,7 @@
 
 
 class GenerationState(Enum):
-    """What an engine says of a generation."""
+    """The state of a generation, as its engine reports it."""
 
     QUEUED = "queued"
     RUNNING = "in_progress"
@@ -87,9 +87,9 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """An engine's load at `reported_s`, seconds on the engine's clock before it was read.
+    """An engine's report of its load.
 
-    `age_s` is how old the report was when it was read, in seconds.
+    `age_s` is how old the report was when it was read, in seconds on the engine's clock.
     """
 
     age_s: float
@@ -99,12 +99,12 @@
     kv_capacity_tokens: int
     preemptions: int
     leaving: bool = False
-    """The engine says that it is to get no new work."""
+    """The engine reports that it must get no new requests."""
 
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """A prompt prefix entered or left an engine's cache. Events come late and with gaps."""
+    """A prompt prefix entered or left an engine's cache. Events arrive late and with gaps."""
 
     number: int
     prefix: str
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True)
 class Order:
-    """An order to an engine: the desired end, with an id and a fencing number."""
+    """An order to an engine: the models to serve, with an id and a fencing number."""
 
     id: str
     fencing: int
@@ -128,7 +128,7 @@
 
 
 class EngineClient(ABC):
-    """One engine. Streams raise EngineBroken or EngineSilent where they end early."""
+    """A client of one engine. Streams that end early raise EngineBroken or EngineSilent."""
 
     @abstractmethod
     def generate(self, request: GenerationRequest) -> EngineStream:
@@ -136,31 +136,34 @@
 
     @abstractmethod
     def resume(self, generation: GenerationId, after: int) -> EngineStream:
-        """Follow a generation from the event after sequence number `after`.
+        """Resume a generation's stream with the event after sequence number `after`.
 
-        Raises EngineUnreachable, EngineBroken, GenerationGone.
+        Raises EngineUnreachable, EngineBroken, GenerationNotFound.
         """
 
     @abstractmethod
     async def cancel(self, generation: GenerationId) -> None:
-        """End a generation; one that is gone is no error. Raises EngineError."""
+        """Cancel a generation; a missing one is no error. Raises EngineError."""
 
     @abstractmethod
     async def state(self, generation: GenerationId) -> GenerationState:
-        """Ask after a generation over a new connection. Raises EngineError, GenerationGone."""
+        """Query a generation's state over a new connection.
+
+        Raises EngineError, GenerationNotFound.
+        """
 
     @abstractmethod
     async def load(self) -> LoadReport:
-        """Read the latest load report. Raises EngineError."""
+        """Fetch the latest load report. Raises EngineError."""
 
     @abstractmethod
     async def cache_events(self, after: int) -> list[CacheEvent]:
-        """Read cache events numbered above `after`; numbers may be missing."""
+        """Fetch the cache events numbered above `after`; numbers may be missing."""
 
     @abstractmethod
     async def models(self) -> tuple[ModelName, ...]:
-        """Read which models the engine serves now. Raises EngineError."""
+        """Fetch the models that the engine serves now. Raises EngineError."""
 
     @abstractmethod
     async def order(self, order: Order) -> None:
-        """Give an order. Raises OrderRefused, EngineError."""
+        """Send an order. Raises OrderRefused, EngineError."""
--- a/egretstack/upstreams/_http_engine.py
+++ b/egretstack/upstreams/_http_engine.py
@@ -1,6 +1,7 @@
-"""A model engine over HTTP: a subset of the OpenAI Responses API, and Prometheus load reports.
+"""A client for a model engine over HTTP.
 
-Load reports use the metric names that vLLM publishes. Orders are a PUT of the desired models.
+It uses a subset of the OpenAI Responses API, and load reports in the Prometheus text format with
+the metric names that vLLM publishes. Orders are a PUT of the desired models.
 """
 
 import json
@@ -40,10 +41,10 @@
 
 
 class HttpEngine(EngineClient):
-    """One engine at a base URL. `silence_s` is the longest wait for the next bytes, in seconds.
+    """A client of the engine at a base URL. `silence_s` is the read timeout of streams, in seconds.
 
-    `fresh` keeps no idle connections. What asks after a generation whose stream failed goes
-    through it: an idle connection may have gone silent in the same way as the stream.
+    `unpooled_client` keeps no idle connections. Requests about a generation whose stream failed
+    use it, because an idle connection may have stopped responding just as the stream did.
     """
 
     def __init__(
@@ -80,7 +81,7 @@
 
     @asynccontextmanager
     async def resume(self, generation: GenerationId, after: int) -> AsyncIterator[AsyncIterator]:
-        """Follow a generation from the event after sequence number `after`."""
+        """Resume a generation's stream with the event after sequence number `after`."""
         params = {"stream": "true"}
         if after >= 0:
             params["starting_after"] = str(after)
@@ -94,13 +95,16 @@
             yield events
 
     async def cancel(self, generation: GenerationId) -> None:
-        """End a generation; one that is gone is no error. Raises EngineError."""
+        """Cancel a generation; a missing one is no error. Raises EngineError."""
         response = await self._request("POST", f"/v1/responses/{generation}/cancel")
         if response.is_error and response.status_code != _HTTP_NOT_FOUND:
             raise EngineBroken(f"status {response.status_code}")
 
     async def state(self, generation: GenerationId) -> GenerationState:
-        """Ask after a generation over a new connection. Raises EngineError, GenerationGone."""
+        """Query a generation's state over a new connection.
+
+        Raises EngineError, GenerationNotFound.
+        """
         response = await self._request(
             "GET", f"/v1/responses/{generation}", client=self._unpooled_client
         )
@@ -112,7 +116,7 @@
             raise EngineBroken("an answer that cannot be read") from error
 
     async def load(self) -> LoadReport:
-        """Read the latest load report. Raises EngineError."""
+        """Fetch the latest load report. Raises EngineError."""
         response = await self._request("GET", "/metrics")
         try:
             return _load_report(response.text)
@@ -120,7 +124,7 @@
             raise EngineBroken("a load report that cannot be read") from error
 
     async def cache_events(self, after: int) -> list[CacheEvent]:
-        """Read cache events numbered above `after`; numbers may be missing."""
+        """Fetch the cache events numbered above `after`; numbers may be missing."""
         response = await self._request("GET", "/cache-events", params={"after": str(after)})
         try:
             rows = response.json()["events"][:MAX_CACHE_EVENTS]
@@ -129,7 +133,7 @@
             raise EngineBroken("cache events that cannot be read") from error
 
     async def models(self) -> tuple[ModelName, ...]:
-        """Read which models the engine serves now. Raises EngineError."""
+        """Fetch the models that the engine serves now. Raises EngineError."""
         response = await self._request("GET", "/v1/models")
         try:
             rows = response.json()["data"][:MAX_MODELS]
@@ -138,7 +142,7 @@
             raise EngineBroken("models that cannot be read") from error
 
     async def order(self, order: Order) -> None:
-        """Give an order. Raises OrderRefused, EngineError."""
+        """Send an order. Raises OrderRefused, EngineError."""
         body = {"id": order.id, "fencing": order.fencing, "models": list(order.models)}
         response = await self._request("PUT", "/orders", content=json.dumps(body))
         if response.status_code == _HTTP_CONFLICT:
@@ -190,7 +194,7 @@
     if response.status_code == _HTTP_NOT_FOUND and generation is not None:
         raise GenerationNotFound(generation)
     if response.is_error and generation is not None:
-        # The generation may be there still: an answer such as 500 does not say that it is gone.
+        # The generation may still exist: an answer such as 500 does not say that it is missing.
         raise EngineBroken(f"status {response.status_code}")
     if response.is_error:
         raise EngineError(f"status {response.status_code}")
@@ -204,7 +208,7 @@
 async def _events(
     response: httpx.Response, generation: GenerationId | None
 ) -> AsyncIterator[EngineEvent]:
-    """Decode events; their generation is the stream's own until a created event names it."""
+    """Decode events; they belong to the stream's own generation until an event names another."""
     ended = False
     try:
         async for message in EventSource(response).aiter_sse():
@@ -234,10 +238,11 @@
 
 
 def _generation_id(data: dict, known: GenerationId | None) -> GenerationId:
-    """Find the generation an event belongs to.
+    """Return the id of the generation that an event belongs to.
 
-    A token event carries its item's id, which the engine makes from the generation's; were the
-    stream's generation assumed instead, an event crossed in from another would pass unseen.
+    A token event carries its item's id, which the engine derives from the generation's. If the
+    stream's own generation were assumed instead, an event that came in from another generation's
+    stream would not be detected.
     """
     if "response" in data:
         return GenerationId(data["response"]["id"])
--- a/egretstack/upstreams/_http_plain.py
+++ b/egretstack/upstreams/_http_plain.py
@@ -1,4 +1,4 @@
-"""A plain service over HTTP."""
+"""A client for a plain service over HTTP."""
 
 from collections.abc import Callable
 
@@ -19,7 +19,7 @@
 
 
 class HttpPlainService(PlainService):
-    """One runner at a base URL."""
+    """A client of the runner at a base URL."""
 
     def __init__(self, client: httpx.AsyncClient, base_url: str) -> None:
         self._client = client
@@ -30,13 +30,13 @@
     ) -> CallResponse:
         """Make a call. Raises Unsent, OutcomeUnknown, or what `check` raises."""
         try:
-            # The client's own bounds are for each read: a runner that sends a byte now and then
-            # would hold the call for ever.
+            # The client's own timeouts apply to each read, so a runner that sends a byte now and
+            # then would hold the call open forever.
             with trio.fail_after(request.timeout_s):
                 return await self._call(request, check)
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as error:
-            # Only a connection that was never made proves that nothing left. A reused one that
-            # breaks proves nothing: the upstream may have read the call before it broke.
+            # Only a connection that was never made proves that nothing was sent. A reused one
+            # that breaks proves nothing: the upstream may have read the call before that.
             raise Unsent(NotRunProof(repr(error))) from error
         except (httpx.HTTPError, httpx.InvalidURL, trio.TooSlowError) as error:
             raise OutcomeUnknown(repr(error)) from error
@@ -57,7 +57,7 @@
 
 
 def _before_first_byte(check: Callable[[], None]):
-    """Call `check` from the trace of the connection, after it was made or taken from the pool."""
+    """Return a trace that calls `check` once a connection was made or acquired from the pool."""
 
     async def trace(event: str, info: dict) -> None:
         if event.endswith(_BEFORE_FIRST_BYTE):
--- a/egretstack/upstreams/_plain.py
+++ b/egretstack/upstreams/_plain.py
@@ -1,4 +1,4 @@
-"""What a plain service beside the engines does for the system."""
+"""The interface of a client for a plain service: calls that are passed on as they are."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 
 
 class Unsent(Exception):
-    """No connection was made, so no byte of the call left; carries the proof."""
+    """No connection was made, so no byte of the call was sent; `proof` says why."""
 
     def __init__(self, proof: NotRunProof) -> None:
         super().__init__(proof.reason)
@@ -16,12 +16,12 @@
 
 
 class OutcomeUnknown(Exception):
-    """The call was sent, in part at least, and no answer came."""
+    """The call was sent at least in part, and no complete answer arrived."""
 
 
 @dataclass(frozen=True)
 class CallRequest:
-    """One HTTP call as it is passed on. `timeout_s`, in seconds, bounds all of it."""
+    """One HTTP call as it is passed on. `timeout_s`, in seconds, bounds the whole call."""
 
     method: str
     path: str
@@ -41,7 +41,7 @@
 
 
 class PlainService(ABC):
-    """One runner of a plain service."""
+    """A client of one runner of a plain service."""
 
     @abstractmethod
     async def call(
@@ -49,6 +49,6 @@
     ) -> CallResponse:
         """Make a call. Raises Unsent, OutcomeUnknown, or what `check` raises.
 
-        `check` is called with the connection made, just before the first byte leaves; where it
+        `check` is called once the connection is made, just before the first byte is sent; if it
         raises, nothing was sent.
         """
