--- a/tests/ledger_site.py
+++ b/tests/ledger_site.py
@@ -1,4 +1,4 @@
-"""A site with entries and one plain service, for tests of calls that may not be repeated."""
+"""A deployment of entries and one plain service, for tests of calls that may not be repeated."""
 
 from contextlib import asynccontextmanager, suppress
 
@@ -27,7 +27,7 @@
 
 @asynccontextmanager
 async def deployment(entries=2, fencing="ignored", lookup=""):
-    """Give a world with entries and one plain service, its runner and its book."""
+    """Yield a simulated deployment, its entries, and the runner of its plain service."""
     service = {
         "service": {"name": "holds", "kind": "plain", "fencing": fencing},
         "calls": {"lookup": lookup},
@@ -61,7 +61,7 @@
 
 
 async def call(process, request=None, account="acme"):
-    """Make a call; give the status, or the kind of the refusal."""
+    """Make a call; return its status, or the kind of its error."""
     contract = process.kernel.get(Configuration).state.contract_by_account[account]
     api = process.kernel.get(CallerApi)
     found = await outcome_of(api.call, contract, ServiceName("holds"), request or post())
@@ -69,7 +69,7 @@
 
 
 def make_writes_delayable(process):
-    """Give the process an object API whose writes can be held back."""
+    """Replace the process's object API by one whose writes can be delayed; return that."""
     api = DelayingObjectApi(process.access.store_client.store)
     process.access.store_client = api
     process.access.object_api = process.access.budgeted(api)
@@ -78,14 +78,17 @@
 
 
 def open_rows(world):
-    """Give every intent that the store holds."""
-    heads = [one for one in world.store.of_kind(ObjectKind.LEDGER) if "turn" in one.spec]
+    """Return all intents in the store."""
+    heads = [stored for stored in world.store.of_kind(ObjectKind.LEDGER) if "turn" in stored.spec]
     rows = [row for head in heads for row in Shard.from_stored(head).row_by_key.values()]
     return [row for row in rows if row.is_open]
 
 
 async def pause_before_first_byte(world, process, runner, request=None):
-    """Start a call and stop it between the sender's last check and its first byte."""
+    """Start a call and pause it between the sender's last check and its first byte.
+
+    Returns the event that resumes it, and the list to which its answer is added.
+    """
     runner.sending = trio.Event()
     answers = []
 
@@ -101,7 +104,7 @@
 
 
 async def cut_after_delayed_write(api):
-    """Cut the store off once a write is on its way."""
+    """Make the store unreachable once a write is delayed."""
     while not api.delayed_writes:
         await trio.sleep(0.001)
     api.cut = True
--- a/tests/ledger_support.py
+++ b/tests/ledger_support.py
@@ -1,4 +1,4 @@
-"""Parts for tests of the ledger: rows, operations, and a store whose writes can be delayed."""
+"""Helpers for tests of the ledger: rows, operations, and stores whose writes can be delayed."""
 
 from dataclasses import dataclass, field
 from math import inf
@@ -54,7 +54,7 @@
 
 @dataclass
 class DelayedWrite:
-    """A write that is on its way still."""
+    """A write that has been sent and has not reached the store yet."""
 
     name: str
     spec: dict
@@ -63,14 +63,14 @@
 
 @dataclass
 class FaultyStore:
-    """The head and segments of one shard; each step is carried out with a chosen fault."""
+    """The head and segments of one shard; each step is executed with a chosen fault."""
 
     store: ObjectStore = field(default_factory=ObjectStore)
     delayed_writes: list[DelayedWrite] = field(default_factory=list)
     created_segments: int = 0
 
     def execute(self, writer: ShardWriter, step: Step, fault: str = "") -> None:
-        """Carry a step out; faults are away, lost-request, lost-answer and late."""
+        """Execute a step; the faults are away, lost-request, lost-answer and late."""
         if fault == "away":
             writer.on_failure(False)
             return
@@ -94,18 +94,18 @@
                 self._write(writer, spec, version, fault)
 
     def run_until_idle(self, writer: ShardWriter, epoch_s: float = 0.0) -> None:
-        """Carry every step out until nothing waits."""
+        """Execute steps until nothing is waiting."""
         while (step := writer.next_step(epoch_s)) is not None:
             self.execute(writer, step)
 
     def run_until_write(self, writer: ShardWriter, epoch_s: float = 0.0) -> WriteHead:
-        """Carry steps out up to the next write and give that."""
+        """Execute the steps before the next write of the head, and return that write."""
         while not isinstance(step := writer.next_step(epoch_s), WriteHead):
             self.execute(writer, step)
         return step
 
     def deliver(self, late: DelayedWrite) -> bool:
-        """Let a late write arrive; True if it takes effect."""
+        """Deliver a delayed write; return whether it takes effect."""
         self.delayed_writes.remove(late)
         try:
             self.store.put(ObjectKind.LEDGER, late.name, late.spec, late.version)
@@ -137,7 +137,7 @@
 
 
 class DelayingObjectApi(InProcessObjectApi):
-    """An object API on which the next `late_writes` writes are held back until `arrive`."""
+    """An object API that delays the next `writes_to_delay` writes until `deliver_all`."""
 
     def __init__(self, store: ObjectStore) -> None:
         super().__init__(store)
@@ -153,11 +153,11 @@
         return await super().replace(kind, name, spec, version)
 
     def deliver_all(self) -> int:
-        """Let the late writes arrive; give how many took effect."""
+        """Deliver the delayed writes; return how many took effect."""
         landed = 0
-        for one in self.delayed_writes:
+        for write in self.delayed_writes:
             try:
-                self.store.put(ObjectKind.LEDGER, one.name, one.spec, one.version)
+                self.store.put(ObjectKind.LEDGER, write.name, write.spec, write.version)
                 landed += 1
             except Conflict:
                 continue
@@ -172,7 +172,7 @@
 
 
 async def outcome_of(call, *arguments):
-    """Give the answer of a call, or the kind of its error."""
+    """Return the answer of a call, or the kind of its error."""
     try:
         return await call(*arguments)
     except EgretError as error:
--- a/tests/test_ledger_calls.py
+++ b/tests/test_ledger_calls.py
@@ -1,4 +1,4 @@
-"""Calls that may not be repeated, through whole entries: store, upstream and entries fail."""
+"""Calls that may not be repeated, through complete entries, with failing upstreams and entries."""
 
 import trio
 
@@ -23,8 +23,8 @@
 
 
 async def test_two_entries_with_one_key_at_once_run_it_once():
-    # Two callers send the same key to two entries in the same moment. Both entries want to
-    # write its row into the same head, on the same version: one update is refused there.
+    # Two callers send the same key to two entries at the same time. Both entries write its row
+    # into the same head, conditional on the same version, so one update is refused.
     async with deployment() as (_, entries, runner):
         found = []
 
@@ -40,16 +40,18 @@
 
 
 async def test_a_repeat_an_hour_later_gets_the_first_answer():
-    # So many calls follow the first that its row has left the head for a segment. A repeat at
-    # an entry that has written nothing yet must find it there.
+    # So many calls follow the first one that its row has moved from the head into a segment. A
+    # repeat at an entry that has written nothing yet must find it there.
     async with deployment() as (world, entries, runner):
         await call(entries[0])
         runner.book.padding = 3000
         for number in range(300):
             await call(entries[0], post(f"other-{number}"))
             await trio.sleep(0.2)
-        segments = [one for one in world.store.of_kind(ObjectKind.LEDGER) if "until_s" in one.spec]
-        check.assertTrue(any(KEY_ID in one.spec["rows"] for one in segments))
+        segments = [
+            stored for stored in world.store.of_kind(ObjectKind.LEDGER) if "until_s" in stored.spec
+        ]
+        check.assertTrue(any(KEY_ID in segment.spec["rows"] for segment in segments))
         await trio.sleep(1.1 * 3600)
         check.assertEqual(await call(entries[1]), 201)
         check.assertEqual(runner.book.runs_by_key["k"], 1)
@@ -100,7 +102,7 @@
         check.assertEqual(runner.book.runs_by_key["k"], 1)
 
 
-async def test_a_call_in_progress_is_told_when_to_come_back():
+async def test_a_repeat_of_a_call_in_progress_is_refused():
     async with deployment() as (world, entries, runner):
         held, answers = await pause_before_first_byte(world, entries[0], runner)
         for process in entries:
@@ -111,26 +113,26 @@
         check.assertEqual(runner.book.runs_by_key["k"], 1)
 
 
-async def test_a_sender_that_stood_still_before_its_dispatch_does_not_send():
-    # An entry is frozen after its intent was written. When it thaws its key may have been
-    # forgotten, settled or used again; it finds its intent too old and sends nothing.
+async def test_a_sender_paused_before_its_dispatch_does_not_send():
+    # An entry is paused after its intent was written. When it resumes, its key may have been
+    # forgotten, settled or used again. It finds that its intent is too old and sends nothing.
     async with deployment() as (_, entries, runner):
         runners = entries[0].kernel.get(Runners)
         clock = trio.lowlevel.current_clock()
         listed = runners.plain
 
-        def after_a_freeze(service):
+        def after_a_pause(service):
             clock.jump(MAX_SEND_AGE_S + 1)
             return listed(service)
 
-        runners.plain = after_a_freeze
+        runners.plain = after_a_pause
         check.assertIs(await call(entries[0], post(timeout_s=60)), ErrorKind.NOT_RUN)
         check.assertEqual(runner.book.runs_by_key["k"], 0)
         del runners.plain
         check.assertEqual(await call(entries[1], post(timeout_s=60)), 201)
 
 
-async def test_a_sender_that_stood_still_while_connecting_does_not_send():
+async def test_a_sender_paused_while_connecting_does_not_send():
     async with deployment() as (world, entries, runner):
         runner.connecting = trio.Event()
         found = []
@@ -146,7 +148,7 @@
         check.assertEqual(runner.book.runs_by_key["k"], 0)
 
 
-async def test_a_caller_that_leaves_cuts_nothing():
+async def test_a_caller_that_disconnects_does_not_cancel_its_call():
     async with deployment() as (_, entries, runner):
         runner.book.delay_s = 1
         with trio.move_on_after(0.5):
@@ -156,7 +158,7 @@
         check.assertEqual(runner.book.runs_by_key["k"], 1)
 
 
-async def test_a_drain_waits_for_calls_under_way():
+async def test_a_drain_waits_for_calls_in_progress():
     async with deployment() as (world, entries, runner):
         held, answers = await pause_before_first_byte(
             world, entries[0], runner, post(timeout_s=120)
--- a/tests/test_ledger_machine.py
+++ b/tests/test_ledger_machine.py
@@ -1,9 +1,9 @@
-"""A random history of several entries, one store with faults, and one upstream.
+"""Random histories of several entries, one store with faults, and one upstream.
 
-Entries write one shard; writes are lost, answered in vain, or arrive late; entries freeze,
-thaw and die. After every step: no key ran twice, and no attempt ran whose caller was told "not
-run". At the end the faults cease, and every repeat gets a final answer in a bounded number of
-tries.
+Entries write one shard. Writes get lost, lose their answers, or arrive late, and entries pause,
+resume and die. After every step no key has run twice, and no attempt has run whose caller was told
+"not run". At the end the faults stop, and every repeat gets a final answer within a bounded number
+of tries.
 """
 
 from dataclasses import dataclass, field
@@ -37,7 +37,7 @@
 
 KEYS = ("k0", "k1", "k2", "k3")
 SMALL_ROLL_THRESHOLD_BYTES = 250
-"""So small that ended rows move into segments all the time."""
+"""So small that ended rows often move into segments."""
 MAX_SEND_AGE_S = 5.0
 MAX_TRIES = 12
 entry_numbers = st.integers(0, 2)
@@ -75,7 +75,7 @@
 
 
 class Upstream:
-    """Runs calls; `checks` refuses old fencing numbers, and a look-up fences too."""
+    """Runs calls; with `checks_fencing` it refuses old fencing numbers, and look-ups fence too."""
 
     def __init__(self, checks_fencing):
         self.checks_fencing = checks_fencing
@@ -83,7 +83,7 @@
         self.fence_by_key = {}
 
     def run(self, call):
-        """Run a call; False where it is fenced off."""
+        """Run a call; return False if it is fenced off."""
         number = call.operation.row.fence
         if self.checks_fencing and number < self.fence_by_key.get(call.name, 0):
             return False
@@ -92,7 +92,7 @@
         return True
 
     def look_up(self, name, number):
-        """Tell whether a key ran; None where the number is old."""
+        """Return whether a key ran; None if the number is old."""
         if self.checks_fencing:
             if number < self.fence_by_key.get(name, 0):
                 return None
@@ -101,7 +101,7 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """The rules; `checks` and `lookup` say what the upstream offers."""
+    """The rules; `checks_fencing` and `has_lookup` say what the upstream offers."""
 
     checks_fencing = False
     has_lookup = False
@@ -126,7 +126,7 @@
 
     @rule(number=entry_numbers, home=entry_numbers, name=st.sampled_from(KEYS))
     def call_through_home(self, number, home, name):
-        """Ask another entry to write the intent; it does not answer, so write it here too."""
+        """Request the intent's write of another entry, which does not answer, and write it here."""
         call = self.start(self.entries[number], name)
         call.operation.forwarded = True
         own = call.operation
@@ -196,7 +196,7 @@
 
     @invariant()
     def nothing_reported_as_not_run_ran(self):
-        ran = {one for attempts in self.upstream.ran_by_key.values() for one in attempts}
+        ran = {attempt for attempts in self.upstream.ran_by_key.values() for attempt in attempts}
         check.assertEqual(ran & self.reported_not_run, set())
 
     def teardown(self):
@@ -249,7 +249,7 @@
         return call
 
     def process_outcomes(self, entry):
-        """Take in the outcomes that the writer has set."""
+        """Process the outcomes that the writer has set."""
         for call in list(entry.calls):
             outcome = call.operation.outcome
             if outcome is Outcome.WRITTEN or outcome is None:
@@ -297,7 +297,7 @@
         return False
 
     def release(self, entry, call):
-        """End a call that did not leave."""
+        """End a call that was not sent."""
         call.has_ended = True
         entry.attempts.abandon(call.attempt)
         self.reported_not_run.add(call.attempt)
--- a/tests/test_ledger_safeguards.py
+++ b/tests/test_ledger_safeguards.py
@@ -1,6 +1,7 @@
-"""Each safeguard of the ledger taken out: random or scripted histories must then show the harm.
+"""Each safeguard of the ledger removed: random or scripted histories must then find a violation.
 
-A machine that passes without its safeguard proves nothing, so these tests fail when it does.
+A state machine that passes without its safeguard proves nothing about it, so these tests then
+fail.
 """
 
 from math import inf
@@ -33,21 +34,21 @@
 
 
 class WithoutSegments(ShardWriter):
-    """Looks for a key in the head alone."""
+    """Searches for a key in the head only."""
 
     def _find_segment(self, operation, epoch_s):
         return None
 
 
 class WithoutMovedRows(ShardWriter):
-    """Forgets, in the write that moves rows into a segment, that they exist."""
+    """Ignores rows in the write that moves them into a segment."""
 
     def _moved_row(self, key):
         return None
 
 
 class WithoutReadBack(ShardWriter):
-    """Takes an update for written when its answer was lost."""
+    """Assumes that an update was written when its answer was lost."""
 
     def on_failure(self, in_doubt):
         if in_doubt and self._batch:
@@ -57,23 +58,23 @@
             super().on_failure(in_doubt)
 
 
-class HomeRetracts(ShardWriter):
-    """Retracts what it was asked to write, like an intent of its own."""
+class LedgerHomeRetracts(ShardWriter):
+    """Retracts an intent that it was requested to write, like one of its own."""
 
     def _end_begin(self, operation):
         operation.for_peer = False
         super()._end_begin(operation)
 
 
-class WithoutMovingTheVersion(ShardWriter):
-    """Takes a read-back that finds nothing for the end of the matter."""
+class WithoutVersionChange(ShardWriter):
+    """Assumes that an intent that is not found by the read-back can no longer land."""
 
     def _may_land_yet(self, operation):
         return False
 
 
 class SentAfterAbandoning(LedgerMachine):
-    """Sends an intent that turns out to be written after its caller was told "not run"."""
+    """Sends the call of an abandoned intent, whose caller was told "not run"."""
 
     def process_outcomes(self, entry):
         before = list(entry.calls)
@@ -85,7 +86,7 @@
 
 
 class TakesOverUnfenced(LookupMachine):
-    """Takes a look-up's "it did not run" for the end of an attempt that nothing fences off."""
+    """Takes over a key after a look-up's "it did not run", although nothing fences the attempt."""
 
     def choose_action(self, found, name):
         action = super().choose_action(found, name)
@@ -95,7 +96,7 @@
 
 
 class TakesOverFromUnresponsive(LedgerMachine):
-    """Takes the key over from a sender that does not answer."""
+    """Takes over the key of a sender that does not answer."""
 
     def choose_action(self, found, name):
         is_unresponsive = self.stage(found) is Stage.UNRESPONSIVE
@@ -103,7 +104,7 @@
 
 
 class LookUpThatDoesNotFence(CheckedMachine):
-    """Looks up with the old number, which shuts nothing out."""
+    """Looks up with the old fencing number, which excludes nothing."""
 
     def choose_action(self, found, name):
         fence = self.upstream.fence_by_key.get(name, 0)
@@ -113,39 +114,39 @@
 
 
 class SendsTakenOverWithOldNumber(CheckedMachine):
-    """Sends every attempt with the same number."""
+    """Sends every attempt with the same fencing number."""
 
     def send_first_byte(self, entry, call, answered):
         self.upstream.fence_by_key.pop(call.name, None)
         super().send_first_byte(entry, call, answered)
 
 
-class OwnerForgets(LedgerMachine):
-    """An owner does not remember what it abandoned, and tells that it may be under way."""
+class OwnerForgetsAbandoned(LedgerMachine):
+    """An owner forgets that it abandoned an attempt, and reports it as running."""
 
     def stage(self, found):
         stage = super().stage(found)
         return Stage.RUNNING if stage is Stage.ABANDONED else stage
 
 
-def test_without_the_look_into_segments_a_late_repeat_runs_again():
+def test_without_the_search_of_segments_a_late_repeat_runs_again():
     assert_finds_violation(with_writer(LedgerMachine, WithoutSegments))
 
 
-def test_without_the_rows_being_moved_a_repeat_in_that_write_runs_again():
+def test_without_the_rows_being_moved_a_repeat_in_the_same_write_runs_again():
     assert_finds_violation(with_writer(LedgerMachine, WithoutMovedRows))
 
 
-def test_without_reading_a_lost_answer_back_a_key_runs_twice():
+def test_without_the_read_back_after_a_lost_answer_a_key_runs_twice():
     assert_finds_violation(with_writer(LedgerMachine, WithoutReadBack))
 
 
-def test_sending_after_the_refusal_breaks_not_run():
+def test_sending_after_the_refusal_violates_not_run():
     assert_finds_violation(SentAfterAbandoning)
 
 
-def intent_given_up_by_its_home(writer_class):
-    """Let a home give up an intent that its sender wrote meanwhile; give the row's state."""
+def intent_given_up_by_its_ledger_home(writer_class):
+    """Let a ledger home give up an intent that its sender has written; return the row's state."""
     store, home, sender = FaultyStore(), writer_class(), ShardWriter()
     peer_operation = begin("k0", "attempt-1")
     peer_operation.for_peer = True
@@ -161,19 +162,20 @@
     return store.rows()[key("k0")].state
 
 
-def test_a_home_does_not_retract_the_intent_of_another():
-    # A home gives up an intent that it was asked to write. The sender, which got no answer, has
-    # written it itself and is sending the call: freed now, the key would run a second time.
-    check.assertIs(intent_given_up_by_its_home(ShardWriter), CallState.INTENT)
+def test_a_ledger_home_does_not_retract_the_intent_of_another_entry():
+    # A ledger home gives up an intent that it was requested to write. The sender, which got no
+    # answer, has written it itself and is sending the call. If the key were freed now, the call
+    # could run a second time.
+    check.assertIs(intent_given_up_by_its_ledger_home(ShardWriter), CallState.INTENT)
 
 
-def test_a_home_that_retracts_frees_a_key_under_way():
-    check.assertIs(intent_given_up_by_its_home(HomeRetracts), CallState.NOT_RUN)
+def test_a_ledger_home_that_retracts_frees_the_key_of_a_call_in_progress():
+    check.assertIs(intent_given_up_by_its_ledger_home(LedgerHomeRetracts), CallState.NOT_RUN)
 
 
-def test_an_intent_that_its_home_writes_after_the_retraction_finds_it_ended():
-    # The sender gave up before the home began. What it retracted leaves a row, so the home
-    # finds the attempt ended and does not put an intent there that nobody would ever end.
+def test_a_ledger_home_that_writes_after_the_retraction_finds_the_attempt_ended():
+    # The sender gave up before the ledger home began. The retraction leaves a row, so the ledger
+    # home finds the attempt ended, and does not write an intent that nobody would ever end.
     store, home, sender = FaultyStore(), ShardWriter(), ShardWriter()
     own = begin("k0", "attempt-1")
     own.forwarded = True
@@ -188,7 +190,7 @@
 
 
 def resume_after_a_repeat(machine_class):
-    """Freeze a sender between its last check and its first byte; repeat elsewhere; thaw it."""
+    """Pause a sender between its last check and its first byte, repeat elsewhere, and resume it."""
     machine = machine_class()
     paused, other = machine.entries[:2]
     call = machine.start(paused, "k0")
@@ -205,31 +207,31 @@
     return machine
 
 
-def test_a_sender_thawed_after_a_repeat_runs_its_call_at_most_once():
-    # A sender is frozen with the call in its hands; a repeat comes to another entry, which is
-    # told nothing by the sender. Nothing is taken over where the upstream checks nothing; where
-    # it does, the look-up shuts the frozen sender out before the repeat runs.
+def test_a_sender_resumed_after_a_repeat_runs_its_call_at_most_once():
+    # A sender is paused just before its first byte. A repeat comes to another entry, which gets no
+    # answer from the sender. If the upstream checks nothing, the key is not taken over. If it
+    # checks fencing numbers, the look-up excludes the paused sender before the repeat runs.
     for machine in (LedgerMachine, LookupMachine, CheckedMachine):
         check.assertEqual(len(resume_after_a_repeat(machine).upstream.ran_by_key["k0"]), 1)
 
 
-def test_a_take_over_on_an_unfenced_look_up_runs_twice():
+def test_a_takeover_after_an_unfenced_look_up_runs_twice():
     with check.assertRaises(AssertionError):
         resume_after_a_repeat(TakesOverUnfenced)
 
 
-def test_a_take_over_from_a_silent_sender_runs_twice():
+def test_a_takeover_from_an_unresponsive_sender_runs_twice():
     with check.assertRaises(AssertionError):
         resume_after_a_repeat(TakesOverFromUnresponsive)
 
 
-def test_a_take_over_with_the_old_number_runs_twice():
+def test_a_takeover_with_the_old_number_runs_twice():
     with check.assertRaises(AssertionError):
         resume_after_a_repeat(SendsTakenOverWithOldNumber)
 
 
 def resume_between_look_up_and_takeover(machine_class):
-    """The frozen sender wakes up after the look-up and before the repeat has sent its own."""
+    """Resume the paused sender after the look-up and before the repeat has sent its call."""
     machine = machine_class()
     paused, other = machine.entries[:2]
     call = machine.start(paused, "k0")
@@ -246,9 +248,9 @@
     machine.each_key_ran_at_most_once()
 
 
-def test_a_sender_thawed_between_look_up_and_take_over_is_shut_out():
-    # The look-up carries the next fencing number. The sender that wakes up right after it is
-    # refused by the upstream, although the repeat has not sent anything yet.
+def test_a_sender_resumed_between_look_up_and_takeover_is_refused():
+    # The look-up sends the next fencing number. The upstream refuses the sender that resumes
+    # right after it, although the repeat has not sent anything yet.
     resume_between_look_up_and_takeover(CheckedMachine)
 
 
@@ -258,7 +260,7 @@
 
 
 def repeat_of_an_abandoned_intent(machine_class):
-    """Let an intent land after its caller was refused; repeat the key elsewhere."""
+    """Let an intent land after its caller was refused, and repeat the key elsewhere."""
     machine = machine_class()
     owner = machine.entries[1]
     machine.start(owner, "k0")
@@ -272,18 +274,18 @@
 
 
 def test_a_repeat_of_an_abandoned_intent_runs():
-    # The intent's write is late, the caller is told "not run", then the intent lands. The
-    # repeat learns from the owner that it was abandoned, before the owner has retracted it.
+    # The write of the intent is delayed, the caller is told "not run", and then the intent lands.
+    # The repeat learns from the owner that it was abandoned, before the owner has retracted it.
     repeat_of_an_abandoned_intent(LedgerMachine)
 
 
-def test_repeats_never_end_where_the_owner_forgets_what_it_abandoned():
+def test_repeats_never_end_if_the_owner_forgets_what_it_abandoned():
     with check.assertRaises(AssertionError):
-        repeat_of_an_abandoned_intent(OwnerForgets)
+        repeat_of_an_abandoned_intent(OwnerForgetsAbandoned)
 
 
 def late_write_after_retraction(writer_class):
-    """Give whether a delayed intent still lands once its refusal has been settled."""
+    """Return whether a delayed intent still lands after it was retracted."""
     store, writer = FaultyStore(), writer_class()
     operation = begin("k0", "attempt-1")
     writer.submit(operation)
@@ -295,11 +297,11 @@
     return store.deliver(store.delayed_writes[0])
 
 
-def test_a_retracted_intent_cannot_land_any_more():
-    # The read-back finds no intent and the head at the version that the delayed write is
-    # conditional on. The retraction moves the version, so the write is refused when it arrives.
+def test_a_retracted_intent_can_no_longer_land():
+    # The read-back finds no intent, and the head at the version on which the delayed write is
+    # conditional. The retraction changes the version, so the write is refused when it arrives.
     check.assertFalse(late_write_after_retraction(ShardWriter))
 
 
-def test_without_moving_the_version_the_intent_lands_after_the_read_back():
-    check.assertTrue(late_write_after_retraction(WithoutMovingTheVersion))
+def test_without_a_version_change_the_intent_lands_after_the_read_back():
+    check.assertTrue(late_write_after_retraction(WithoutVersionChange))
--- a/tests/test_ledger_shards.py
+++ b/tests/test_ledger_shards.py
@@ -1,4 +1,4 @@
-"""Bounds of a shard, homes, and the dropping of old segments."""
+"""Limits of a shard, ledger homes, and the pruning of expired segments."""
 
 from math import inf
 
@@ -35,20 +35,20 @@
 
 
 def put_segments(store, *segments):
-    """Put a head that lists segments, each with one ended row."""
+    """Store segments with one ended row each, and a head that lists them."""
     for name, until_s in segments:
         ended = row(f"a-{name}", state=CallState.DONE, until_s=until_s)
         spec = {"rows": rows_spec({key(name): ended}), "until_s": until_s}
         store.put(ObjectKind.LEDGER, name, spec, None)
-    listed = tuple(Segment(*one) for one in segments)
+    listed = tuple(Segment(*segment) for segment in segments)
     store.put(ObjectKind.LEDGER, HEAD, Shard({}, listed, 1).spec(), None)
 
 
 def names_of(store):
-    return {one.name for one in store.of_kind(ObjectKind.LEDGER)}
+    return {stored.name for stored in store.of_kind(ObjectKind.LEDGER)}
 
 
-def test_a_row_comes_back_as_it_was_stored():
+def test_a_row_is_read_as_it_was_stored():
     answer = KeptAnswer.from_response(CallResponse(201, (("a", "b"),), b"\x00body"))
     ended = row("a", state=CallState.DONE).with_outcome(CallState.DONE, answer)
     check.assertEqual(Row.from_spec(ended.spec()), ended)
@@ -82,7 +82,7 @@
 
 
 def test_an_intent_without_outcome_outlives_its_retention():
-    # The sender of an open intent may be frozen and send it yet; its key is kept a day longer.
+    # The sender of an open intent may be paused and still send it, so its key is kept a day longer.
     store, writer = FaultyStore(), ShardWriter()
     writer.submit(begin("k", "a", until_s=60.0))
     store.run_until_idle(writer)
@@ -92,9 +92,9 @@
     check.assertIs(again.outcome, Outcome.FOUND)
 
 
-def test_a_listed_segment_that_is_missing_lets_nothing_begin():
-    # Someone deleted a segment by hand. Whether a key was used before cannot be known any
-    # more, so no new call begins on this shard until the segment's time is over.
+def test_a_missing_listed_segment_prevents_new_calls():
+    # Someone deleted a segment by hand. It can no longer be known whether a key was used before,
+    # so no new call begins on this shard until the segment has expired.
     store, writer = FaultyStore(), ShardWriter()
     put_segments(store.store, ("seg-1", HOUR_S))
     del store.store.by_place[ObjectKind.LEDGER, "seg-1"]
@@ -108,7 +108,7 @@
     check.assertIs(operation.outcome, Outcome.WRITTEN)
 
 
-def test_a_full_head_takes_no_new_row_but_every_outcome():
+def test_a_full_head_accepts_no_new_row_but_every_outcome():
     big = "f" * 1000
     count = MAX_HEAD_BYTES // 1000
     held = {key(f"k{number}"): row(f"a{number}", fingerprint=big) for number in range(count)}
@@ -123,7 +123,7 @@
     check.assertIs(ended.outcome, Outcome.WRITTEN)
 
 
-def test_a_head_that_lists_too_many_segments_takes_no_new_row():
+def test_a_head_that_lists_too_many_segments_accepts_no_new_row():
     listed = tuple(Segment(f"seg-{number}", -1.0) for number in range(MAX_SEGMENTS))
     store, writer = FaultyStore(), ShardWriter()
     store.store.put(ObjectKind.LEDGER, HEAD, Shard({}, listed).spec(), None)
@@ -133,7 +133,7 @@
     check.assertIs(operation.outcome, Outcome.REFUSED)
 
 
-async def test_pruning_drops_old_segments_whole():
+async def test_pruning_deletes_expired_segments():
     store = ObjectStore()
     put_segments(store, ("seg-1", HOUR_S), ("seg-2", 5 * HOUR_S))
     pruner = LedgerPruner(InProcessObjectApi(store), shards=1)
@@ -142,9 +142,9 @@
     check.assertEqual((await pruner.prune(2 * HOUR_S)).segments, 0)
 
 
-async def test_pruning_that_was_stopped_half_way_is_completed():
-    # The segment was deleted and the answer of the head's update lost, or another entry wrote
-    # the head in between. The head still lists the segment, so the next round finds it.
+async def test_an_interrupted_pruning_is_completed_by_the_next_round():
+    # The segment was deleted, but the update of the head got lost or another entry wrote the head
+    # in between. The head still lists the segment, so the next round finds it.
     store = ObjectStore()
     put_segments(store, ("seg-1", HOUR_S))
     api = InProcessObjectApi(store)
@@ -156,7 +156,7 @@
     check.assertEqual(Shard.from_stored(store.by_place[ObjectKind.LEDGER, HEAD]).segments, ())
 
 
-async def test_an_entry_that_read_the_head_before_a_pruning_writes_on_the_new_one():
+async def test_an_entry_that_read_the_head_before_a_pruning_writes_the_pruned_one():
     store = FaultyStore()
     put_segments(store.store, ("seg-1", HOUR_S))
     writer = ShardWriter()
@@ -170,50 +170,50 @@
     check.assertEqual(Shard.from_stored(store.head()).segments, ())
 
 
-def test_every_entry_names_the_same_home():
+def test_every_entry_chooses_the_same_ledger_home():
     entries = [InstanceId(f"entry-{number}") for number in range(7)]
     for shard in range(8):
         check.assertEqual(find_ledger_home(shard, entries), find_ledger_home(shard, entries[::-1]))
     check.assertIsNone(find_ledger_home(0, []))
 
 
-def test_a_home_refuses_what_is_too_late_or_malformed():
+def test_a_ledger_home_refuses_requests_that_are_too_late_or_malformed():
     operation = begin("k", "a")
     number = shard_number(operation.key)
-    ask = make_shard_request(number, operation, 10.0)
-    check.assertTrue(parse_shard_request(ask, 9.0, 0.0).for_peer)
-    for bad in (
+    request = make_shard_request(number, operation, 10.0)
+    check.assertTrue(parse_shard_request(request, 9.0, 0.0).for_peer)
+    for invalid in (
         (make_shard_request(number, operation, 8.0), 9.0),
         (make_shard_request(99, operation, 10.0), 9.0),
         (make_shard_request(number, begin("k", "a", fingerprint="f" * 20_000), 10.0), 9.0),
     ):
         with check.assertRaises(InvalidShardRequest):
-            parse_shard_request(bad[0], bad[1], 0.0)
+            parse_shard_request(invalid[0], invalid[1], 0.0)
 
 
-class AlwaysTooLate(InProcessObjectApi):
-    """Every conditional write finds that another came first."""
+class AlwaysConflicting(InProcessObjectApi):
+    """An object API on which every conditional write conflicts with another one."""
 
     async def create(self, kind, name, spec):
         await trio.sleep(0.005)
         raise Conflict(name)
 
 
-async def test_an_intent_that_never_gets_through_is_refused_in_time():
-    # Other entries win every race for the head. The call is refused at its bound, as not run.
+async def test_an_intent_whose_writes_always_conflict_is_refused_in_time():
+    # Other entries win every race for the head. The call is refused at its timeout, as not run.
     async with trio.open_nursery() as nursery:
-        store = ShardStore(AlwaysTooLate(ObjectStore()), EpochClock.start(), nursery, shards=1)
+        store = ShardStore(AlwaysConflicting(ObjectStore()), EpochClock.start(), nursery, shards=1)
         operation = begin("k", "a", give_up_at_s=trio.current_time() + 2.5)
         store.submit(0, operation)
-        ended = await store.wait(0, operation)
-        check.assertIn(ended, (Outcome.REFUSED, Outcome.ABANDONED))
+        outcome = await store.wait(0, operation)
+        check.assertIn(outcome, (Outcome.REFUSED, Outcome.ABANDONED))
         check.assertAlmostEqual(trio.current_time(), operation.give_up_at_s)
         await trio.sleep(1)
         check.assertTrue(store.is_idle)
         nursery.cancel_scope.cancel()
 
 
-async def test_a_store_that_is_idle_costs_nothing():
+async def test_an_idle_writer_makes_no_store_calls():
     store = ObjectStore()
     writer = ShardWriter()
     check.assertIsNone(writer.next_step(0.0))
--- a/tests/test_plain_http.py
+++ b/tests/test_plain_http.py
@@ -1,4 +1,4 @@
-"""Plain services over real sockets: what a broken connection proves."""
+"""Plain services over real sockets: what a broken connection proves about the call."""
 
 from contextlib import asynccontextmanager
 
@@ -20,7 +20,7 @@
 
 
 async def read_request(stream):
-    """Read one request without a body; give False at the end of the connection."""
+    """Read one request without a body; return False at the end of the connection."""
     data = b""
     while HEAD_END not in data:
         part = await stream.receive_some()
@@ -32,7 +32,7 @@
 
 @asynccontextmanager
 async def upstream(handler):
-    """Give the client of a server that treats each connection with `handler`."""
+    """Yield the client of a server that handles each connection with `handler`."""
     async with trio.open_nursery() as nursery, httpx.AsyncClient(trust_env=False) as client:
         listeners = await nursery.start(trio.serve_tcp, handler, 0)
         port = listeners[0].socket.getsockname()[1]
@@ -41,7 +41,7 @@
 
 
 @on_real_clock
-async def test_a_refused_connection_proves_that_nothing_left():
+async def test_a_refused_connection_proves_that_nothing_was_sent():
     with trio.socket.socket() as free:
         await free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
@@ -53,8 +53,8 @@
 
 @on_real_clock
 async def test_a_reused_connection_that_breaks_proves_nothing():
-    # The first call is answered and its connection kept. The upstream reads the second call
-    # and closes: to the sender this looks like an idle connection that was closed before.
+    # The first call is answered and its connection kept open. The upstream reads the second call
+    # and closes. To the sender this looks like an idle connection that was closed before the call.
     read = []
 
     async def handler(stream):
@@ -83,9 +83,9 @@
 
 
 @on_real_clock
-async def test_an_answer_that_drips_in_ends_at_the_calls_bound():
-    # The upstream sends a byte now and then, so no single read takes long. The call's own bound
-    # ends it; what it did is unknown.
+async def test_a_slow_answer_ends_at_the_calls_timeout():
+    # The upstream sends a byte now and then, so no single read times out. The call's own timeout
+    # ends it, and its outcome is unknown.
     async def handler(stream):
         await read_request(stream)
         await stream.send_all(ANSWER[:30])
@@ -100,7 +100,7 @@
 
 @on_real_clock
 async def test_a_check_that_fails_before_the_first_byte_sends_nothing():
-    # The connection is made, and the intent turns out to be too old: the upstream reads none.
+    # The connection is made, but the intent turns out to be too old: the upstream gets no request.
     read = []
     closed = trio.Event()
 
