--- a/egretstack/ledger/__init__.py
+++ b/egretstack/ledger/__init__.py
@@ -1,38 +1,38 @@
-"""The record of calls that run at most once."""
+"""The ledger: a durable record of calls that must run at most once."""
 
 from egretstack.ledger._attempts import (
-    AttemptBook,
-    NextMove,
+    AttemptRegistry,
+    NextAction,
     SendHistory,
     Stage,
-    next_move,
+    next_action,
 )
 from egretstack.ledger._entry import CallState, LedgerEntry, fingerprint
-from egretstack.ledger._homes import (
-    BadAsk,
-    ask_of,
-    home_of,
-    operation_of,
-    take_tell,
-    tell_of,
-)
 from egretstack.ledger._intents import CallLedger, Intent, IntentRequest
+from egretstack.ledger._ledger_home import (
+    InvalidShardRequest,
+    apply_shard_answer,
+    find_ledger_home,
+    make_shard_answer,
+    make_shard_request,
+    parse_shard_request,
+)
 from egretstack.ledger._lookup import (
     ACCOUNT_HEADER,
     FENCING_HEADER,
     KEY_HEADER,
-    LookUp,
-    lookup_request,
-    read_lookup,
+    LookupResult,
+    make_lookup_request,
+    parse_lookup,
 )
 from egretstack.ledger._messages import AttemptAsk, AttemptTell, ShardAsk, ShardTell
-from egretstack.ledger._once import OnceCall
+from egretstack.ledger._once import AtMostOnceCall
 from egretstack.ledger._per_call import PerCallLedger
-from egretstack.ledger._pruning import LedgerPruner, Pruned
+from egretstack.ledger._pruning import LedgerPruner, PruneResult
 from egretstack.ledger._row import KeptAnswer, KeyId, Row, check_same_request, key_id
 from egretstack.ledger._shard import (
-    SHARDS,
-    BadShard,
+    SHARD_COUNT,
+    CorruptShard,
     Shard,
     head_name,
     read_rows,
@@ -40,14 +40,14 @@
     shard_number,
 )
 from egretstack.ledger._steps import (
-    DropSegment,
-    MakeSegment,
+    CreateSegment,
+    DeleteSegment,
     Operation,
+    OperationKind,
     Outcome,
     ReadHead,
     ReadSegment,
     Step,
-    Wanted,
     WriteHead,
 )
 from egretstack.ledger._store import ShardStore
@@ -57,29 +57,29 @@
     "ACCOUNT_HEADER",
     "FENCING_HEADER",
     "KEY_HEADER",
-    "SHARDS",
+    "SHARD_COUNT",
     "AttemptAsk",
-    "AttemptBook",
+    "AttemptRegistry",
     "AttemptTell",
-    "BadAsk",
-    "BadShard",
+    "InvalidShardRequest",
+    "CorruptShard",
     "CallLedger",
     "CallState",
-    "DropSegment",
+    "DeleteSegment",
     "Intent",
     "IntentRequest",
     "KeptAnswer",
     "KeyId",
     "LedgerEntry",
     "LedgerPruner",
-    "LookUp",
-    "MakeSegment",
-    "NextMove",
-    "OnceCall",
+    "LookupResult",
+    "CreateSegment",
+    "NextAction",
+    "AtMostOnceCall",
     "Operation",
     "Outcome",
     "PerCallLedger",
-    "Pruned",
+    "PruneResult",
     "ReadHead",
     "ReadSegment",
     "Row",
@@ -91,21 +91,21 @@
     "ShardWriter",
     "Stage",
     "Step",
-    "Wanted",
+    "OperationKind",
     "WriteHead",
-    "ask_of",
+    "make_shard_request",
     "check_same_request",
     "fingerprint",
     "head_name",
-    "home_of",
+    "find_ledger_home",
     "key_id",
-    "lookup_request",
-    "next_move",
-    "operation_of",
-    "read_lookup",
+    "make_lookup_request",
+    "next_action",
+    "parse_shard_request",
+    "parse_lookup",
     "read_rows",
     "rows_spec",
     "shard_number",
-    "take_tell",
-    "tell_of",
+    "apply_shard_answer",
+    "make_shard_answer",
 ]
--- a/egretstack/ledger/_attempts.py
+++ b/egretstack/ledger/_attempts.py
@@ -1,4 +1,4 @@
-"""What a process remembers of its own attempts, and what may be done about another's."""
+"""The stages of a process's own attempts, and what a repeat does about another process's."""
 
 from enum import Enum
 
@@ -8,24 +8,24 @@
 
 
 class Stage(Enum):
-    """How far an attempt has come, as its owner tells."""
+    """How far an attempt has come, as reported by the process that owns it."""
 
     RUNNING = "running"
-    """It was or may yet be sent."""
+    """It was sent or may still be sent."""
     ABANDONED = "abandoned"
     """It was not sent and never will be."""
     UNKNOWN = "unknown"
-    """It was sent and its outcome is unknown for good."""
+    """It was sent and its outcome will never be known."""
     ENDED = "ended"
     """It has an outcome, which is being written."""
-    GONE = "gone"
-    """The process that owned it is no more."""
-    SILENT = "silent"
-    """The owner does not answer: it may be frozen, cut off or gone."""
+    OWNER_ENDED = "gone"
+    """The process that owned it has ended."""
+    UNRESPONSIVE = "silent"
+    """The owner does not answer: it may be paused, unreachable or ended."""
 
 
-class AttemptBook:
-    """The stages of this process's attempts, until the ledger has what came of them."""
+class AttemptRegistry:
+    """The stages of this process's attempts, until their outcomes are in the ledger."""
 
     def __init__(self, boot: str, limit: int) -> None:
         self._boot = boot
@@ -33,91 +33,92 @@
         self._stage_by_id: dict[AttemptId, Stage] = {}
 
     @property
-    def full(self) -> bool:
-        """Tell whether no further attempt can be remembered."""
+    def is_full(self) -> bool:
+        """Return whether no further attempt can be registered."""
         return len(self._stage_by_id) >= self._limit
 
     def begin(self, attempt: AttemptId) -> None:
-        """Note a new attempt."""
+        """Register a new attempt."""
         self._stage_by_id[attempt] = Stage.RUNNING
 
     def may_send(self, attempt: AttemptId) -> bool:
-        """Tell whether an attempt may be sent still; an abandoned one never is."""
+        """Return whether an attempt may still be sent; an abandoned one never may."""
         return self._stage_by_id.get(attempt) is Stage.RUNNING
 
     def abandon(self, attempt: AttemptId) -> None:
-        """Note that an attempt was not sent and never will be."""
+        """Record that an attempt was not sent and never will be."""
         self._stage_by_id[attempt] = Stage.ABANDONED
 
-    def end(self, attempt: AttemptId, known: bool) -> None:
-        """Note that an attempt has ended, with a known outcome or without."""
-        self._stage_by_id[attempt] = Stage.ENDED if known else Stage.UNKNOWN
+    def end(self, attempt: AttemptId, has_outcome: bool) -> None:
+        """Record that an attempt has ended, with a known outcome or without one."""
+        self._stage_by_id[attempt] = Stage.ENDED if has_outcome else Stage.UNKNOWN
 
     def forget(self, attempt: AttemptId) -> None:
-        """Forget an attempt whose outcome the ledger has."""
+        """Remove an attempt whose outcome is in the ledger."""
         self._stage_by_id.pop(attempt, None)
 
     def stage(self, boot: str, attempt: AttemptId) -> Stage:
-        """Answer a question about an attempt."""
+        """Return the stage of an attempt that the process `boot` owns."""
         if boot != self._boot:
-            return Stage.GONE
-        # One that is not in the book has its outcome in the ledger: whoever asks read an older
-        # row, and finds the outcome by reading again.
+            return Stage.OWNER_ENDED
+        # The outcome of an unregistered attempt is in the ledger: the requester read an older
+        # row, and finds the outcome when it reads again.
         return self._stage_by_id.get(attempt, Stage.ENDED)
 
 
-class NextMove(Enum):
-    """What a repeat does about an open row."""
+class NextAction(Enum):
+    """What a repeat of a call does about an open row."""
 
     REPLACE = "replace"
     WAIT = "wait"
     LOOK_UP = "look-up"
     UNKNOWN = "unknown"
     RAN = "ran"
-    """A look-up found that the call ran; its answer is not known."""
+    """A look-up found that the call ran; its answer is unknown."""
 
 
-def next_move(stage: Stage, row: Row, epoch_s: float, has_lookup: bool) -> NextMove:
-    """Decide about an open row from what its owner says.
+def next_action(stage: Stage, row: Row, epoch_s: float, has_lookup: bool) -> NextAction:
+    """Choose the action for an open row from the stage that its owner reported.
 
-    A silent owner is given the attempt's deadline to come back, and one that has ended to write
-    the outcome; after that the repeat gets its final answer, so that repeats end.
+    Until the attempt's deadline, an unresponsive owner may come back, and the owner of an ended
+    attempt may write the outcome. After that a repeat gets its final answer, so that callers
+    don't repeat forever.
     """
     if stage is Stage.ABANDONED:
-        return NextMove.REPLACE
+        return NextAction.REPLACE
     if stage is Stage.RUNNING or stage is Stage.ENDED and epoch_s < row.deadline_s:
-        return NextMove.WAIT
+        return NextAction.WAIT
     if has_lookup:
-        return NextMove.LOOK_UP
-    if stage is Stage.SILENT and epoch_s < row.deadline_s:
-        return NextMove.WAIT
-    return NextMove.UNKNOWN
+        return NextAction.LOOK_UP
+    if stage is Stage.UNRESPONSIVE and epoch_s < row.deadline_s:
+        return NextAction.WAIT
+    return NextAction.UNKNOWN
 
 
 class SendHistory:
-    """Folds what several tries of one request proved; "may have run" stays once it was so."""
+    """Combines what the tries of one request proved; "may have run" is never taken back."""
 
     def __init__(self) -> None:
-        self._may_have_run: str | None = None
+        self._may_have_run_cause: str | None = None
         self._proof: NotRunProof | None = None
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether any try so far may have run."""
-        return self._may_have_run is not None
+        """Return whether any try so far may have run."""
+        return self._may_have_run_cause is not None
 
-    def unsent(self, proof: NotRunProof) -> None:
-        """Take in a try that did not leave; it says nothing of the tries before."""
+    def record_unsent(self, proof: NotRunProof) -> None:
+        """Record a try that was not sent; it proves nothing about earlier tries."""
         self._proof = proof
 
-    def unknown(self, cause: str) -> None:
-        """Take in a try that may have run."""
-        self._may_have_run = cause
+    def record_unknown(self, cause: str) -> None:
+        """Record a try that may have run."""
+        self._may_have_run_cause = cause
 
-    def refusal(self, no_try: str, may_have_run: ErrorKind) -> EgretError:
-        """Give the final answer; `may_have_run` is the kind for tries that may have."""
-        if self._may_have_run is not None:
-            return EgretError(may_have_run, self._may_have_run)
+    def final_error(self, no_runner_detail: str, may_have_run_kind: ErrorKind) -> EgretError:
+        """Return the final error; it is of `may_have_run_kind` if any try may have run."""
+        if self._may_have_run_cause is not None:
+            return EgretError(may_have_run_kind, self._may_have_run_cause)
         if self._proof is None:
-            return EgretError(ErrorKind.NO_RUNNER, no_try)
+            return EgretError(ErrorKind.NO_RUNNER, no_runner_detail)
         return EgretError(ErrorKind.NOT_RUN, self._proof.reason, proof=self._proof)
--- a/egretstack/ledger/_writer.py
+++ b/egretstack/ledger/_writer.py
@@ -1,11 +1,11 @@
-"""Decides what one process reads and writes of one shard. Pure: no I/O, times passed in.
-
-All operations that wait go into one conditional update (group commit). After an update without
-an answer the head is read again and the operations are applied again to what is found. That
-settles every case: a row with one's own attempt landed; where it is missing and the version has
-moved on, the lost update can never land; where the version has not moved, the next update is
-conditional on the same version as the lost one, so at most one of the two takes effect, and
-both carry the same attempt.
+"""Decides what one process reads and writes of one shard, without I/O and with times passed in.
+
+All waiting operations go into one conditional update (group commit). After an update without an
+answer the head is read again, and the operations are applied again to its content. That settles
+every case. If the row of the attempt is there, the update landed. If it is missing and the version
+has changed, the lost update can never land. If the version has not changed, the next update is
+conditional on the same version as the lost one, so at most one of the two takes effect, and both
+carry the same attempt.
 """
 
 from dataclasses import replace
@@ -13,181 +13,188 @@
 
 from egretstack.ledger._entry import CallState
 from egretstack.ledger._row import KeyId, Row
-from egretstack.ledger._segments import SegmentBook
+from egretstack.ledger._segments import SegmentCache
 from egretstack.ledger._shard import (
     MAX_HEAD_BYTES,
     MAX_SEGMENTS,
-    ROLL_BYTES,
+    ROLL_THRESHOLD_BYTES,
     Shard,
 )
 from egretstack.ledger._steps import (
-    DropSegment,
-    MakeSegment,
+    CreateSegment,
+    DeleteSegment,
     Operation,
+    OperationKind,
     Outcome,
     ReadHead,
     ReadSegment,
     Step,
-    Wanted,
     WriteHead,
 )
 
 MAX_PENDING = 2_000
-OPEN_ROWS_KEPT_S = 86_400
-"""How long past its retention a row without an outcome is kept, in seconds."""
+OPEN_ROW_EXTRA_RETENTION_S = 86_400
+"""How long past its retention a row without an outcome is still kept, in seconds."""
 
 
 class ShardWriter:
-    """The state of one shard as one process knows it."""
+    """One process's view of a shard, its waiting operations and the update in progress."""
 
-    def __init__(self, roll_bytes: int = ROLL_BYTES) -> None:
+    def __init__(self, roll_bytes: int = ROLL_THRESHOLD_BYTES) -> None:
         self._pending: list[Operation] = []
         self._batch: list[Operation] = []
         self._shard: Shard | None = None
         self._version: str | None = None
-        self._segments = SegmentBook(roll_bytes)
+        self._segments = SegmentCache(roll_bytes)
         self._draft = Shard()
-        self._full = False
-        self._shared = False
+        self._refuses_new_rows = False
+        self._has_other_writers = False
 
     @property
-    def idle(self) -> bool:
-        """Tell whether no operation waits."""
+    def is_idle(self) -> bool:
+        """Return whether no operation is waiting or being written."""
         return not self._pending and not self._batch
 
     def submit(self, operation: Operation) -> None:
-        """Take an operation in; its outcome is set on it later."""
-        begins = operation.wanted is Wanted.BEGIN
-        if begins and len(self._pending) >= MAX_PENDING:
+        """Queue an operation; its outcome is set on it later."""
+        is_begin = operation.kind is OperationKind.BEGIN
+        if is_begin and len(self._pending) >= MAX_PENDING:
             operation.outcome = Outcome.REFUSED
             return
         self._pending.append(operation)
 
-    def give_up(self, now: float) -> None:
-        """End the beginnings whose time is over; those in doubt are retracted from now on."""
+    def expire_begins(self, now_s: float) -> None:
+        """End each BEGIN whose time is over; those that may have been written are retracted."""
         for operation in [*self._pending, *self._batch]:
-            begins = operation.wanted is Wanted.BEGIN and operation.outcome is None
-            if begins and operation.give_up_s <= now:
+            is_waiting_begin = operation.kind is OperationKind.BEGIN and operation.outcome is None
+            if is_waiting_begin and operation.give_up_at_s <= now_s:
                 self._end_begin(operation)
 
-    def step(self, epoch_s: float) -> Step | None:
-        """Give the next call to make, or None when nothing waits."""
-        if self._segments.unlisted is not None:
-            return DropSegment(self._segments.unlisted)
+    def next_step(self, epoch_s: float) -> Step | None:
+        """Return the next store call to make, or None if nothing is waiting."""
+        if self._segments.unlisted_name is not None:
+            return DeleteSegment(self._segments.unlisted_name)
         if not self._pending:
-            if self._shared:
-                # Others write this shard too: a write on an old view would only conflict, and a
-                # read costs the platform less than a write.
+            if self._has_other_writers:
+                # Other processes write this shard too. A write based on an old view would only
+                # conflict, and a read costs the platform less than a write.
                 self._shard = None
             return None
         if self._shard is None:
             return ReadHead()
-        unread = self._segments.unread(self._shard, epoch_s) if self._searches() else None
+        unread = (
+            self._segments.find_unread(self._shard, epoch_s)
+            if self._must_search_segments()
+            else None
+        )
         if unread is not None:
             return ReadSegment(unread)
-        return self._plan(epoch_s)
+        return self._plan_commit(epoch_s)
 
-    def head_read(self, shard: Shard, version: str | None) -> None:
-        """Take in the head as just read."""
-        self._shared = version != self._version
+    def on_head_read(self, shard: Shard, version: str | None) -> None:
+        """Update from the head as it was just read."""
+        self._has_other_writers = version != self._version
         self._shard, self._version = shard, version
-        self._segments.head_read(shard, version)
+        self._segments.on_head_read(shard, version)
         for operation in self._pending:
-            operation.fresh = True
+            operation.has_fresh_head = True
 
-    def segment_read(self, name: str, row_by_key: dict[KeyId, Row] | None) -> None:
-        """Take in a segment; None if there is none of that name."""
+    def on_segment_read(self, name: str, row_by_key: dict[KeyId, Row] | None) -> None:
+        """Update from a segment that was just read; its rows are None if it does not exist."""
         if row_by_key is not None:
-            self._segments.read(name, row_by_key)
+            self._segments.on_segment_read(name, row_by_key)
             return
-        # The head may list it no more; where it does, nothing can begin here safely.
-        if self._segments.missing(name):
-            self.failed(False)
+        # The head may no longer list it. If it still does, no intent can be written safely.
+        if self._segments.on_segment_missing(name):
+            self.on_failure(False)
         self._shard = None
 
-    def segment_made(self, name: str, made: MakeSegment) -> None:
-        """Take in that the segment exists; the next write of the head lists it."""
-        self._segments.make(name, made, self._version)
+    def on_segment_created(self, name: str, step: CreateSegment) -> None:
+        """Record that the segment exists; the next write of the head lists it."""
+        self._segments.on_segment_created(name, step, self._version)
 
-    def segment_dropped(self) -> None:
-        """Take in that an unlisted segment was deleted, or that this was tried."""
-        self._segments.unlisted = None
+    def on_segment_deleted(self) -> None:
+        """Record that the deletion of an unlisted segment was attempted."""
+        self._segments.unlisted_name = None
 
-    def written(self, version: str) -> None:
-        """Take in that the write took effect."""
+    def on_written(self, version: str) -> None:
+        """Record that the write took effect."""
         self._shard, self._version = self._draft, version
-        self._segments.clear_made()
+        self._segments.clear_created()
         for operation in self._batch:
             operation.outcome = operation.outcome or Outcome.WRITTEN
         self._batch = []
 
-    def conflict(self) -> None:
-        """Take in that another write came first, or that one's own landed unnoticed."""
+    def on_conflict(self) -> None:
+        """Handle a conflict: another write was first, or an unanswered write of this one landed."""
         self._requeue()
 
-    def failed(self, sent: bool) -> None:
-        """Take in that a call had no effect, or (`sent`) that a write may have had or have yet.
+    def on_failure(self, in_doubt: bool) -> None:
+        """Handle a failed call; `in_doubt` says that a write may have landed or may still land.
 
-        Beginnings end at once: their callers are told when to come back.
+        After a call that had no effect each BEGIN ends at once, so that its caller learns when to
+        retry.
         """
-        for operation in self._batch if sent else ():
-            left = operation.retraction or operation
-            left.in_doubt, left.doubt = True, self._version
+        for operation in self._batch if in_doubt else ():
+            target = operation.retraction or operation
+            target.in_doubt, target.in_doubt_version = True, self._version
         self._requeue()
-        if sent:
+        if in_doubt:
             return
         for operation in list(self._pending):
-            if operation.wanted is Wanted.BEGIN:
+            if operation.kind is OperationKind.BEGIN:
                 self._end_begin(operation)
 
-    def _searches(self) -> bool:
+    def _must_search_segments(self) -> bool:
         return any(self._needs_segments(operation) for operation in self._pending)
 
     @staticmethod
     def _needs_segments(operation: Operation) -> bool:
-        """Tell whether an operation may add a row, which no older one of the key allows."""
-        retracts = operation.wanted is Wanted.RETRACT and operation.forwarded
-        return operation.wanted is Wanted.BEGIN or retracts
+        """Return whether an operation may add a row, which requires that the key has none yet."""
+        retracts = operation.kind is OperationKind.RETRACT and operation.forwarded
+        return operation.kind is OperationKind.BEGIN or retracts
 
     def _requeue(self) -> None:
         self._pending = [one for one in self._batch if one.outcome is None] + self._pending
         self._batch = []
         self._shard = None
         for operation in self._pending:
-            operation.fresh = False
+            operation.has_fresh_head = False
 
     def _end_begin(self, operation: Operation) -> None:
-        under_way = operation in self._batch
-        if not under_way:
+        is_in_batch = operation in self._batch
+        if not is_in_batch:
             self._pending.remove(operation)
-        if not under_way and not operation.in_doubt and not operation.forwarded:
+        if not is_in_batch and not operation.in_doubt and not operation.forwarded:
             operation.outcome = Outcome.REFUSED
             return
         operation.outcome = Outcome.ABANDONED
         if operation.for_peer:
-            # Its sender may have written the intent itself meanwhile, and be sending the call:
-            # retracted here, the key would be free for a second run. The sender retracts.
+            # Its sender may have written the intent itself meanwhile and be sending the call. A
+            # retraction here would free the key for a second run, so the sender retracts.
             return
-        # The caller is answered, so this attempt is never sent. Its intent may be in the store
-        # or land later and would block the key for ever: retracting it goes on until settled.
+        # The caller has its answer, so this attempt is never sent. Its intent may be in the store
+        # or land later, and would block the key forever, so it is retracted until that is settled.
         operation.retraction = Operation(
-            Wanted.RETRACT,
+            OperationKind.RETRACT,
             operation.key,
-            operation.row.ended(CallState.NOT_RUN),
+            operation.row.with_outcome(CallState.NOT_RUN),
             inf,
             forwarded=operation.forwarded,
             in_doubt=operation.in_doubt,
-            doubt=operation.doubt,
+            in_doubt_version=operation.in_doubt_version,
         )
         self._pending.append(operation.retraction)
 
-    def _plan(self, epoch_s: float) -> Step | None:
-        rows = {key: row for key, row in self._shard.row_by_key.items() if kept(row, epoch_s)}
-        rolled = self._segments.roll(rows)
+    def _plan_commit(self, epoch_s: float) -> Step | None:
+        rows = {
+            key: row for key, row in self._shard.row_by_key.items() if is_retained(row, epoch_s)
+        }
+        rolled = self._segments.roll_over(rows)
         if rolled is not None:
             return rolled
         changed: list[Operation] = []
-        self._full = self._is_full(rows)
+        self._refuses_new_rows = self._is_full(rows)
         for operation in list(self._pending):
             step = self._apply(operation, rows, changed, epoch_s)
             if step is not None:
@@ -197,14 +204,14 @@
         self._batch = changed
         self._pending = [one for one in self._pending if one not in changed]
         segments = self._shard.segments
-        if self._segments.made is not None:
-            segments = (*segments, self._segments.made)
-        self._draft = Shard(rows, segments, self._shard.turn + 1)
+        if self._segments.created is not None:
+            segments = (*segments, self._segments.created)
+        self._draft = Shard(rows, segments, self._shard.write_count + 1)
         return WriteHead(self._draft.spec(), self._version)
 
     def _is_full(self, rows: dict[KeyId, Row]) -> bool:
-        many = len(self._shard.segments) >= MAX_SEGMENTS
-        return many or sum(row.size for row in rows.values()) > MAX_HEAD_BYTES
+        has_max_segments = len(self._shard.segments) >= MAX_SEGMENTS
+        return has_max_segments or sum(row.size for row in rows.values()) > MAX_HEAD_BYTES
 
     def _apply(
         self,
@@ -213,29 +220,33 @@
         changed: list[Operation],
         epoch_s: float,
     ) -> Step | None:
-        """Apply one operation to the draft; give a call to make first, if one is needed."""
+        """Apply one operation to `rows`; return a step that must come first, if there is one."""
         if any(one.key == operation.key for one in changed):
             return None
         found = rows.get(operation.key) or self._moved_row(operation.key)
         if found is None and self._needs_segments(operation):
-            segment = self._segment_of(operation, epoch_s)
-            if segment is not None and segment != self._segments.loaded:
+            segment = self._find_segment(operation, epoch_s)
+            if segment is not None and segment != self._segments.loaded_name:
                 return ReadSegment(segment)
             found = self._segments.row_by_key[operation.key] if segment else None
-        if operation.wanted is not Wanted.BEGIN:
+        if operation.kind is not OperationKind.BEGIN:
             return self._apply_end(operation, found, rows, changed)
         if found is not None and found.attempt == operation.row.attempt:
-            # Written by an update whose answer was lost, or by the home that was asked to.
+            # Written by an update whose answer was lost, or by the shard's ledger home.
             operation.row = found
-            return self._settle(operation, Outcome.WRITTEN if found.open else Outcome.REFUSED)
-        if found is not None and not _free(found, operation):
+            return self._complete(operation, Outcome.WRITTEN if found.is_open else Outcome.REFUSED)
+        if found is not None and not _is_key_free(found, operation):
             operation.found = found
-            return self._settle(operation, Outcome.FOUND) if operation.fresh else self._reread()
-        if self._full:
-            return self._settle(operation, Outcome.REFUSED)
+            return (
+                self._complete(operation, Outcome.FOUND)
+                if operation.has_fresh_head
+                else self._reread()
+            )
+        if self._refuses_new_rows:
+            return self._complete(operation, Outcome.REFUSED)
         if found is not None:
-            number = max(operation.row.fence, found.fence + 1)
-            operation.row = replace(operation.row, fence=number)
+            fence = max(operation.row.fence, found.fence + 1)
+            operation.row = replace(operation.row, fence=fence)
         rows[operation.key] = operation.row
         changed.append(operation)
         return None
@@ -247,54 +258,54 @@
         rows: dict[KeyId, Row],
         changed: list[Operation],
     ) -> Step | None:
-        own = found is not None and found.attempt == operation.row.attempt
-        if own and found == operation.row:
-            return self._settle(operation, Outcome.WRITTEN)
-        if own:
+        is_own = found is not None and found.attempt == operation.row.attempt
+        if is_own and found == operation.row:
+            return self._complete(operation, Outcome.WRITTEN)
+        if is_own:
             rows[operation.key] = operation.row
             changed.append(operation)
             return None
         if found is None and self._needs_segments(operation):
-            # The process that was asked to write the intent may do so late: it then finds the
-            # attempt ended, and writes nothing.
+            # The ledger home may write the intent late. It then finds the attempt ended, and
+            # writes nothing.
             rows[operation.key] = operation.row
             changed.append(operation)
             return None
-        if operation.wanted is Wanted.RETRACT and self._may_land_yet(operation):
-            # Nothing of ours is there, but a write delayed on its way could land until the
-            # head's version moves. Writing the head, changed in its turn alone, shuts it out.
+        if operation.kind is OperationKind.RETRACT and self._may_land_yet(operation):
+            # The attempt has no row, but a delayed write of it could still land until the head's
+            # version changes. A write of the head that changes only its write count prevents that.
             changed.append(operation)
             return None
-        if not operation.fresh:
+        if not operation.has_fresh_head:
             return self._reread()
-        return self._settle(operation, Outcome.LOST)
+        return self._complete(operation, Outcome.LOST)
 
     def _may_land_yet(self, operation: Operation) -> bool:
-        return operation.in_doubt and operation.doubt == self._version
+        return operation.in_doubt and operation.in_doubt_version == self._version
 
     def _reread(self) -> ReadHead:
         self._shard = None
         return ReadHead()
 
-    def _settle(self, operation: Operation, outcome: Outcome) -> None:
+    def _complete(self, operation: Operation, outcome: Outcome) -> None:
         operation.outcome = outcome
         self._pending.remove(operation)
 
-    def _segment_of(self, operation: Operation, epoch_s: float) -> str | None:
-        return self._segments.holder(operation, self._shard, epoch_s)
+    def _find_segment(self, operation: Operation, epoch_s: float) -> str | None:
+        return self._segments.find_segment(operation, self._shard, epoch_s)
 
     def _moved_row(self, key: KeyId) -> Row | None:
-        """Give a row that this very write moves into a segment which the head does not list yet."""
-        return self._segments.moved.get(key)
+        """Return a row that this write moves into a segment that the head does not list yet."""
+        return self._segments.moved_rows.get(key)
 
 
-def kept(row: Row, epoch_s: float) -> bool:
-    """Tell whether a row is still kept; one without an outcome is kept longer."""
-    extra_s = OPEN_ROWS_KEPT_S if row.open else 0
+def is_retained(row: Row, epoch_s: float) -> bool:
+    """Return whether a row is still kept; one without an outcome is kept longer."""
+    extra_s = OPEN_ROW_EXTRA_RETENTION_S if row.is_open else 0
     return epoch_s < row.until_s + extra_s
 
 
-def _free(found: Row, operation: Operation) -> bool:
+def _is_key_free(found: Row, operation: Operation) -> bool:
     if found.fingerprint != operation.row.fingerprint:
         return False
-    return found.state is CallState.NOT_RUN or found.attempt == operation.over
+    return found.state is CallState.NOT_RUN or found.attempt == operation.replaces
--- a/egretstack/upstreams/__init__.py
+++ b/egretstack/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""What runners are to the system: model engines and plain services, each behind one class."""
+"""Clients for the two kinds of upstream: model engines and plain services."""
 
 from egretstack.upstreams._engine import (
     CacheEvent,
@@ -11,7 +11,7 @@
     EngineRefused,
     EngineSilent,
     EngineUnreachable,
-    GenerationGone,
+    GenerationNotFound,
     GenerationRequest,
     GenerationState,
     LoadReport,
@@ -41,7 +41,7 @@
     "EngineRefused",
     "EngineSilent",
     "EngineUnreachable",
-    "GenerationGone",
+    "GenerationNotFound",
     "GenerationRequest",
     "GenerationState",
     "HttpEngine",
--- a/tests/ledger_support.py
+++ b/tests/ledger_support.py
@@ -1,4 +1,4 @@
-"""Parts for tests of the ledger: rows, operations, and a store whose writes can be delayed."""
+"""Helpers for tests of the ledger: rows, operations, and stores whose writes can be delayed."""
 
 from dataclasses import dataclass, field
 from math import inf
@@ -7,16 +7,16 @@
 from egretstack.ids import AccountId, AttemptId, IdempotencyKey, InstanceId, ServiceName
 from egretstack.ledger import (
     CallState,
-    DropSegment,
-    MakeSegment,
+    CreateSegment,
+    DeleteSegment,
     Operation,
+    OperationKind,
     ReadHead,
     ReadSegment,
     Row,
     Shard,
     ShardWriter,
     Step,
-    Wanted,
     WriteHead,
     key_id,
     read_rows,
@@ -44,17 +44,17 @@
     )
 
 
-def begin(name, attempt, over=None, give_up_s=inf, **more):
-    return Operation(Wanted.BEGIN, key(name), row(attempt, **more), give_up_s, over)
+def begin(name, attempt, replaces=None, give_up_at_s=inf, **more):
+    return Operation(OperationKind.BEGIN, key(name), row(attempt, **more), give_up_at_s, replaces)
 
 
 def finish(name, attempt, state=CallState.DONE, **more):
-    return Operation(Wanted.FINISH, key(name), row(attempt, state=state, **more), inf)
+    return Operation(OperationKind.FINISH, key(name), row(attempt, state=state, **more), inf)
 
 
 @dataclass
-class Late:
-    """A write that is on its way still."""
+class DelayedWrite:
+    """A write that has been sent and has not reached the store yet."""
 
     name: str
     spec: dict
@@ -62,51 +62,51 @@
 
 
 @dataclass
-class SlowStore:
-    """The head and segments of one shard; each step is carried out with a chosen fault."""
+class FaultyStore:
+    """The head and segments of one shard; each step is executed with a chosen fault."""
 
     store: ObjectStore = field(default_factory=ObjectStore)
-    late: list[Late] = field(default_factory=list)
-    made: int = 0
+    delayed_writes: list[DelayedWrite] = field(default_factory=list)
+    created_segments: int = 0
 
-    def take(self, writer: ShardWriter, step: Step, fault: str = "") -> None:
-        """Carry a step out; faults are away, lost-request, lost-answer and late."""
+    def execute(self, writer: ShardWriter, step: Step, fault: str = "") -> None:
+        """Execute a step; the faults are away, lost-request, lost-answer and late."""
         if fault == "away":
-            writer.failed(False)
+            writer.on_failure(False)
             return
         match step:
             case ReadHead():
                 stored = self.head()
-                writer.head_read(Shard.from_stored(stored), stored and stored.version)
+                writer.on_head_read(Shard.from_stored(stored), stored and stored.version)
             case ReadSegment(name):
                 stored = self.store.by_place.get((ObjectKind.LEDGER, name))
-                writer.segment_read(name, stored and read_rows(stored.spec))
-            case MakeSegment(row_by_key):
-                self.made += 1
-                name = f"seg-{self.made}"
+                writer.on_segment_read(name, stored and read_rows(stored.spec))
+            case CreateSegment(row_by_key):
+                self.created_segments += 1
+                name = f"seg-{self.created_segments}"
                 self.store.put(ObjectKind.LEDGER, name, {"rows": rows_spec(row_by_key)}, None)
-                writer.segment_made(name, step)
-            case DropSegment(name):
+                writer.on_segment_created(name, step)
+            case DeleteSegment(name):
                 stored = self.store.by_place[ObjectKind.LEDGER, name]
                 self.store.remove(ObjectKind.LEDGER, name, stored.version)
-                writer.segment_dropped()
+                writer.on_segment_deleted()
             case WriteHead(spec, version):
                 self._write(writer, spec, version, fault)
 
-    def run(self, writer: ShardWriter, epoch_s: float = 0.0) -> None:
-        """Carry every step out until nothing waits."""
-        while (step := writer.step(epoch_s)) is not None:
-            self.take(writer, step)
+    def run_until_idle(self, writer: ShardWriter, epoch_s: float = 0.0) -> None:
+        """Execute steps until nothing is waiting."""
+        while (step := writer.next_step(epoch_s)) is not None:
+            self.execute(writer, step)
 
-    def until_write(self, writer: ShardWriter, epoch_s: float = 0.0) -> WriteHead:
-        """Carry steps out up to the next write and give that."""
-        while not isinstance(step := writer.step(epoch_s), WriteHead):
-            self.take(writer, step)
+    def run_until_write(self, writer: ShardWriter, epoch_s: float = 0.0) -> WriteHead:
+        """Execute the steps before the next write of the head, and return that write."""
+        while not isinstance(step := writer.next_step(epoch_s), WriteHead):
+            self.execute(writer, step)
         return step
 
-    def deliver(self, late: Late) -> bool:
-        """Let a late write arrive; True if it takes effect."""
-        self.late.remove(late)
+    def deliver(self, late: DelayedWrite) -> bool:
+        """Deliver a delayed write; return whether it takes effect."""
+        self.delayed_writes.remove(late)
         try:
             self.store.put(ObjectKind.LEDGER, late.name, late.spec, late.version)
         except Conflict:
@@ -121,58 +121,58 @@
 
     def _write(self, writer, spec, version, fault):
         if fault == "late":
-            self.late.append(Late(HEAD, spec, version))
+            self.delayed_writes.append(DelayedWrite(HEAD, spec, version))
         if fault in ("late", "lost-request"):
-            writer.failed(True)
+            writer.on_failure(True)
             return
         try:
             stored = self.store.put(ObjectKind.LEDGER, HEAD, spec, version)
         except Conflict:
-            writer.conflict()
+            writer.on_conflict()
             return
         if fault == "lost-answer":
-            writer.failed(True)
+            writer.on_failure(True)
         else:
-            writer.written(stored.version)
+            writer.on_written(stored.version)
 
 
-class LateObjectApi(InProcessObjectApi):
-    """An object API on which the next `late_writes` writes are held back until `arrive`."""
+class DelayingObjectApi(InProcessObjectApi):
+    """An object API that delays the next `writes_to_delay` writes until `deliver_all`."""
 
     def __init__(self, store: ObjectStore) -> None:
         super().__init__(store)
-        self.late_writes = 0
-        self.late: list[Late] = []
+        self.writes_to_delay = 0
+        self.delayed_writes: list[DelayedWrite] = []
 
     async def create(self, kind, name, spec):
-        self._hold(name, spec, None)
+        self._delay(name, spec, None)
         return await super().create(kind, name, spec)
 
     async def replace(self, kind, name, spec, version):
-        self._hold(name, spec, version)
+        self._delay(name, spec, version)
         return await super().replace(kind, name, spec, version)
 
-    def arrive(self) -> int:
-        """Let the late writes arrive; give how many took effect."""
+    def deliver_all(self) -> int:
+        """Deliver the delayed writes; return how many took effect."""
         landed = 0
-        for one in self.late:
+        for write in self.delayed_writes:
             try:
-                self.store.put(ObjectKind.LEDGER, one.name, one.spec, one.version)
+                self.store.put(ObjectKind.LEDGER, write.name, write.spec, write.version)
                 landed += 1
             except Conflict:
                 continue
-        self.late.clear()
+        self.delayed_writes.clear()
         return landed
 
-    def _hold(self, name, spec, version):
-        if self.late_writes:
-            self.late_writes -= 1
-            self.late.append(Late(name, spec, version))
+    def _delay(self, name, spec, version):
+        if self.writes_to_delay:
+            self.writes_to_delay -= 1
+            self.delayed_writes.append(DelayedWrite(name, spec, version))
             raise PlatformOutcomeUnknown("no answer in time")
 
 
 async def outcome_of(call, *arguments):
-    """Give the answer of a call, or the kind of its error."""
+    """Return the answer of a call, or the kind of its error."""
     try:
         return await call(*arguments)
     except EgretError as error:
