--- a/egretstack/platform/__init__.py
+++ b/egretstack/platform/__init__.py
@@ -6,13 +6,13 @@
 from egretstack.platform._bodies import BadBody, is_address, parse_object
 from egretstack.platform._configuration import decode_configuration, read_configuration
 from egretstack.platform._entry_wire import (
-    asked_host,
-    asked_region,
     decode_request,
     directory_answer,
-    is_directory_question,
-    is_ready_question,
+    is_directory_request,
+    is_readiness_request,
     json_answer,
+    requested_host,
+    requested_region,
 )
 from egretstack.platform._evacuations import BadEvacuation, EvacuationEntries
 from egretstack.platform._node_settings import (
@@ -69,8 +69,8 @@
     "StoreAway",
     "StoreOutcomeUnknown",
     "StoredObject",
-    "asked_host",
-    "asked_region",
+    "requested_host",
+    "requested_region",
     "client_head",
     "decode_configuration",
     "decode_request",
@@ -79,8 +79,8 @@
     "free_copy_request",
     "health_request",
     "is_address",
-    "is_directory_question",
-    "is_ready_question",
+    "is_directory_request",
+    "is_readiness_request",
     "json_answer",
     "move_answer",
     "move_request",
--- a/egretstack/platform/_bodies.py
+++ b/egretstack/platform/_bodies.py
@@ -8,7 +8,7 @@
 
 _MOST_PORT = 65_535
 _PORT_DIGITS = 6
-LONGEST_NUMBER = 20
+MAX_INTEGER_DIGITS = 20
 """Digits of a whole number that any field may hold: 64 bits take 20."""
 
 
@@ -32,7 +32,7 @@
 
     The interpreter refuses to read such a number at all, and with it the list that it stands in.
     """
-    return int(digits) if len(digits) <= LONGEST_NUMBER else math.inf
+    return int(digits) if len(digits) <= MAX_INTEGER_DIGITS else math.inf
 
 
 def text(body: Body, name: str, default: str | None = None) -> str:
--- a/egretstack/platform/_configuration.py
+++ b/egretstack/platform/_configuration.py
@@ -39,8 +39,8 @@
 
 
 MAX_REGIONS = 64
-MOST_COLD_START_S = 3_600.0
-MOST_COLD_PER_S = 1e6
+MAX_COLD_START_S = 3_600.0
+MAX_COLD_PER_S = 1e6
 _MOST_NAME = 256
 MAX_FILE_BYTES = 4_194_304
 """Four times the largest object that a store takes."""
@@ -150,8 +150,8 @@
 
 def _cold(row: Body) -> ColdStartConfig:
     return ColdStartConfig(
-        warm_up_s=_within(row, "cold-start-s", MOST_COLD_START_S),
-        requests_per_s=_within(row, "cold-per-s", MOST_COLD_PER_S),
+        warm_up_s=_within(row, "cold-start-s", MAX_COLD_START_S),
+        requests_per_s=_within(row, "cold-per-s", MAX_COLD_PER_S),
     )
 
 
--- a/egretstack/platform/_entry_wire.py
+++ b/egretstack/platform/_entry_wire.py
@@ -56,22 +56,22 @@
     )
 
 
-def is_directory_question(head: RequestHead) -> bool:
+def is_directory_request(head: RequestHead) -> bool:
     """Tell whether a request asks which instances to use."""
     return urlsplit(head.target.decode("latin-1")).path == DIRECTORY_PATH
 
 
-def is_ready_question(head: RequestHead) -> bool:
+def is_readiness_request(head: RequestHead) -> bool:
     """Tell whether a request asks whether this instance is ready."""
     return urlsplit(head.target.decode("latin-1")).path == READY_PATH
 
 
-def asked_region(head: RequestHead) -> RegionName:
+def requested_region(head: RequestHead) -> RegionName:
     """Give the client's region in a directory question; empty if not told."""
     return RegionName(_asked(head, "region"))
 
 
-def asked_host(head: RequestHead) -> str:
+def requested_host(head: RequestHead) -> str:
     """Give the host that a directory question is about; empty if not told."""
     return _asked(head, "name")
 
@@ -81,9 +81,9 @@
     return query.get(name, [""])[0]
 
 
-def directory_answer(addresses: list[str], life_s: float) -> tuple[ResponseHead, bytes]:
+def directory_answer(addresses: list[str], ttl_s: float) -> tuple[ResponseHead, bytes]:
     """Give the answer to a directory question; `life_s` is how long clients may keep it."""
-    return json_answer(200, {"addresses": addresses, "ttl-s": life_s})
+    return json_answer(200, {"addresses": addresses, "ttl-s": ttl_s})
 
 
 def json_answer(
--- a/egretstack/platform/_evacuations.py
+++ b/egretstack/platform/_evacuations.py
@@ -35,7 +35,7 @@
         """Forget all, before a whole list is taken."""
         self._zones.clear()
 
-    def take(self, changes: Iterable[Change]) -> list[BadEvacuation]:
+    def apply(self, changes: Iterable[Change]) -> list[BadEvacuation]:
         """Take changed entries; give those that name no zone."""
         bad = []
         for change in changes:
--- a/egretstack/platform/_node_settings.py
+++ b/egretstack/platform/_node_settings.py
@@ -27,7 +27,7 @@
     """From a runner's accepted notice to the last request that may reach it."""
     grace_s: float
     """From SIGTERM to SIGKILL."""
-    directory_life_s: float
+    directory_ttl_s: float
     """Longest time that callers keep an answer of the directory."""
     retry_ratio: float
     retry_window_s: float
@@ -125,7 +125,7 @@
         return Bounds(
             runner_drain_s=self._number("bounds.drain-ms", 2000) / 1000,
             grace_s=self._number("bounds.grace-s", 8),
-            directory_life_s=self._number("bounds.ttl_max_s", 5),
+            directory_ttl_s=self._number("bounds.ttl_max_s", 5),
             retry_ratio=self._number("bounds.retry-ratio", 0.2),
             retry_window_s=self._number("bounds.budget-window-s", 10),
             retry_slack=self._number("bounds.budget-slack", 10),
--- a/egretstack/platform/_runner_entries.py
+++ b/egretstack/platform/_runner_entries.py
@@ -6,10 +6,10 @@
 from egretstack.fleet import Runner
 from egretstack.ids import RunnerName
 from egretstack.platform._bodies import BadBody
-from egretstack.platform._runners import decode_runner, without_birth
+from egretstack.platform._runners import decode_runner, without_start_time
 from egretstack.platform._store import Change
 
-NO_BIRTH = "no time of birth, which the others have"
+NO_START_TIME = "no time of birth, which the others have"
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
         """Forget all, before a whole list is taken; what was bad is known until it changes."""
         self._runner_by_name = {}
 
-    def take(self, changes: Iterable[Change]) -> list[BadEntry]:
+    def apply(self, changes: Iterable[Change]) -> list[BadEntry]:
         """Take changed entries; give those that became bad, or bad in another way.
 
         A bad entry names no runner: what it said before does not stand for it either.
@@ -54,11 +54,11 @@
     def runners(self) -> list[Runner]:
         """Give the runners that the entries name."""
         runners = list(self._runner_by_name.values())
-        unborn = {runner.id for runner in without_birth(runners)}
+        unborn = {runner.id for runner in without_start_time(runners)}
         return [runner for runner in runners if runner.id not in unborn]
 
     def bad(self) -> list[BadEntry]:
         """Give the entries that name no runner."""
-        unborn = without_birth(list(self._runner_by_name.values()))
+        unborn = without_start_time(list(self._runner_by_name.values()))
         bad = [BadEntry(name, error) for name, error in self._error_by_name.items()]
-        return bad + [BadEntry(runner.incarnation.name, NO_BIRTH) for runner in unborn]
+        return bad + [BadEntry(runner.incarnation.name, NO_START_TIME) for runner in unborn]
--- a/egretstack/platform/_runner_wire.py
+++ b/egretstack/platform/_runner_wire.py
@@ -17,7 +17,7 @@
 )
 from egretstack.ids import RunnerName
 from egretstack.platform._bodies import Body, number, parse_object, text, whole
-from egretstack.platform._runners import MOST_COLD_MS, birth
+from egretstack.platform._runners import MAX_COLD_MS, parse_started_ms
 from egretstack.traffic import (
     ClientRequest,
     MoveAnswer,
@@ -177,7 +177,7 @@
         kv_used_tokens=whole(row, "kv-used", 0),
         kv_total_tokens=whole(row, "kv-total", 0),
         runs=_runs(row),
-        born_ms=birth(row),
+        born_ms=parse_started_ms(row),
     )
 
 
@@ -192,7 +192,7 @@
     if head.status != 200 or not name:
         return None
     cold_ms = first_value(head.headers, _COLD_MS) or b""
-    is_cold = cold_ms.isdigit() and int(cold_ms[:_MOST_DIGITS]) <= MOST_COLD_MS
+    is_cold = cold_ms.isdigit() and int(cold_ms[:_MOST_DIGITS]) <= MAX_COLD_MS
     return RunnerHealth(
         RunnerName(name.decode("latin-1")), int(cold_ms[:_MOST_DIGITS]) / 1000 if is_cold else 0.0
     )
--- a/egretstack/platform/_runners.py
+++ b/egretstack/platform/_runners.py
@@ -14,11 +14,11 @@
 _STATE_BY_WORD = {"ready": RunnerState.READY, "draining": RunnerState.LEAVING}
 _NAME = re.compile(r"[!-~]{1,128}")
 """A runner's name goes into a header: visible characters, and no blank."""
-MOST_SLOTS = 65_536
-MOST_COLD_MS = 3_600_000
-MOST_BORN_MS = 1 << 53
+MAX_SLOTS = 65_536
+MAX_COLD_MS = 3_600_000
+MAX_STARTED_MS = 1 << 53
 """Largest whole number that JSON carries everywhere; Unix milliseconds are far below."""
-MOST_SEQUENCE = 1 << 63
+MAX_SEQUENCE = 1 << 63
 _MOST_NAME = 256
 
 
@@ -27,30 +27,30 @@
     spec: Body = entry.spec
     if not _NAME.fullmatch(entry.name):
         raise BadBody("a name that no runner can have")
-    count(spec, "seq-no", 0, MOST_SEQUENCE)
+    count(spec, "seq-no", 0, MAX_SEQUENCE)
     word = text(spec, "state")
     if word not in _STATE_BY_WORD:
         raise BadBody(f"state {word[:32]!r} is not one of {', '.join(_STATE_BY_WORD)}")
     return Runner(
-        incarnation=Incarnation(RunnerName(entry.name), birth(spec)),
+        incarnation=Incarnation(RunnerName(entry.name), parse_started_ms(spec)),
         service=ServiceName(_label(spec, "service")),
         address=_address(spec),
         zone=ZoneName(_label(spec, "zone")),
-        slots=count(spec, "slots", 1, MOST_SLOTS),
+        slots=count(spec, "slots", 1, MAX_SLOTS),
         state=_STATE_BY_WORD[word],
         cold_s=_cold_ms(spec) / 1000,
     )
 
 
-def birth(body: Body) -> int | None:
+def parse_started_ms(body: Body) -> int | None:
     """Give when a runner started, by its own word; None if it tells nothing of it.
 
     Raises BadBody.
     """
-    return count(body, "born", 0, MOST_BORN_MS) if "born" in body else None
+    return count(body, "born", 0, MAX_STARTED_MS) if "born" in body else None
 
 
-def without_birth(runners: list[Runner]) -> list[Runner]:
+def without_start_time(runners: list[Runner]) -> list[Runner]:
     """Give the runners without a time of birth, if others have one.
 
     Either all runners of a platform tell it or none does; an entry that lacks it among others
@@ -76,6 +76,6 @@
 
 def _cold_ms(spec: Body) -> float:
     value = number(spec, "cold-remaining-ms")
-    if not 0 <= value <= MOST_COLD_MS:
+    if not 0 <= value <= MAX_COLD_MS:
         raise BadBody("cold-remaining-ms is out of bounds")
     return value
--- a/egretstack/platform/_store.py
+++ b/egretstack/platform/_store.py
@@ -28,7 +28,7 @@
 CALL_TIMEOUT_S = 1.0
 """Time for one call; the store answers in a few milliseconds when it is well."""
 CONNECT_TIMEOUT_S = 0.5
-WATCH_LEASH_S = 0.7
+WATCH_MARGIN_S = 0.7
 """How much longer than asked a watch may stay silent before its connection is given up."""
 
 
@@ -136,7 +136,7 @@
         """Wait for changes after a revision, `wait_s` at most. Raises StoreAway, HistoryGone."""
         path = f"{_path(kind)}?watch={since}&wait-ms={round(wait_s * 1000)}"
         self.calls_by_kind[kind] += 1
-        status, body = await self._call(b"GET", path, None, wait_s + WATCH_LEASH_S)
+        status, body = await self._call(b"GET", path, None, wait_s + WATCH_MARGIN_S)
         if status == 410:
             raise HistoryGone(f"since {since}")
         return _read(body, status, _changes)
--- a/egretstack/services/directory_port.py
+++ b/egretstack/services/directory_port.py
@@ -18,12 +18,12 @@
 from egretstack.kernel import Kernel, Service
 from egretstack.platform import (
     NodeSettings,
-    asked_host,
-    asked_region,
     directory_answer,
-    is_directory_question,
-    is_ready_question,
+    is_directory_request,
+    is_readiness_request,
     json_answer,
+    requested_host,
+    requested_region,
 )
 from egretstack.services.fleet_port import FleetPort
 from egretstack.services.store_reading import StoreReading
@@ -107,18 +107,18 @@
             connection.close()
 
     def _answer(self, head: RequestHead):
-        if is_ready_question(head):
+        if is_readiness_request(head):
             return json_answer(200 if self.is_ready() else 503, {"ready": self.is_ready()})
-        if is_directory_question(head):
+        if is_directory_request(head):
             # Checked only ten times a second, an instance that has just become ready would send its
             # first clients away.
             self._publish_state()
-            addresses = self.ready_addresses(asked_region(head), asked_host(head))
+            addresses = self.ready_addresses(requested_region(head), requested_host(head))
             if not addresses:
                 return json_answer(503, {"error": "no instance is ready"}, ANSWER_TTL_S)
             grace_s = self.kernel.settings.bounds.grace_s
             ttl_s = min(
-                ANSWER_TTL_S, grace_s * GRACE_SHARE, self.kernel.settings.bounds.directory_life_s
+                ANSWER_TTL_S, grace_s * GRACE_SHARE, self.kernel.settings.bounds.directory_ttl_s
             )
             return directory_answer(addresses, ttl_s)
         return json_answer(404, {"error": "no such resource"})
--- a/egretstack/services/evacuation_list.py
+++ b/egretstack/services/evacuation_list.py
@@ -72,7 +72,7 @@
                 ObjectKind.EVACUATION, self._revision, min(MAX_WATCH_S, watch_s)
             )
             changes, revision = watched.changes, watched.revision
-        for bad in self._entries.take(changes)[:MAX_BAD_LOGGED]:
+        for bad in self._entries.apply(changes)[:MAX_BAD_LOGGED]:
             log(Event.EVACUATION_UNREADABLE, zone=bad.name[:MAX_NAME_LOGGED], error=bad.error)
         self._revision = revision
         self._port.apply_evacuations(self._entries.zones(), revision, trio.current_time())
--- a/egretstack/services/runner_list.py
+++ b/egretstack/services/runner_list.py
@@ -82,7 +82,7 @@
         self._port.apply_runner_list(self._entries.runners(), self._revision, trio.current_time())
 
     def _apply_entries(self, changes: Iterable[Change], unnamed: int) -> None:
-        bad = self._entries.take(changes)
+        bad = self._entries.apply(changes)
         for entry in bad[:MAX_BAD_LOGGED]:
             log(Event.RUNNER_UNREADABLE, runner=entry.name[:MAX_NAME_LOGGED], error=entry.error)
         if unnamed or len(bad) > MAX_BAD_LOGGED:
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -14,7 +14,7 @@
 from standins.engine_http import make_engine_app
 from standins.live_engine import LiveEngine
 from standins.object_store import ObjectStore
-from standins.plain_service import Book, make_plain_app
+from standins.plain_service import PlainServiceState, make_plain_app
 from standins.platform_http import ListedServices, make_platform_app
 
 LISTEN_BACKLOG = 2048
@@ -31,7 +31,7 @@
 @app.command
 def plain(address: str, delay_s: float = 0.0) -> None:
     """Run a plain service stand-in at ADDRESS."""
-    trio.run(_serve, make_plain_app(Book(delay_s=delay_s)), address)
+    trio.run(_serve, make_plain_app(PlainServiceState(delay_s=delay_s)), address)
 
 
 @app.command
--- a/standins/access.py
+++ b/standins/access.py
@@ -52,10 +52,10 @@
         """Start a generation."""
         async with AsyncExitStack() as stack:
             opened = self._inner.generate(request)
-            events = await self._gate.leave(
-                Seam.ENGINE_ASKED, request.prompt, lambda: stack.enter_async_context(opened)
+            events = await self._gate.send(
+                Seam.ENGINE_REQUESTED, request.prompt, lambda: stack.enter_async_context(opened)
             )
-            await self._gate.reached(Seam.ENGINE_ACCEPTED, request.prompt)
+            await self._gate.notify(Seam.ENGINE_ACCEPTED, request.prompt)
             yield self._events(events)
 
     @asynccontextmanager
@@ -68,29 +68,29 @@
 
     async def cancel(self, generation: GenerationId) -> None:
         """End a generation."""
-        await self._gate.through(lambda: self._inner.cancel(generation))
+        await self._gate.call(lambda: self._inner.cancel(generation))
 
     async def state(self, generation: GenerationId) -> GenerationState:
         """Ask after a generation."""
-        return await self._gate.through(lambda: self._inner.state(generation))
+        return await self._gate.call(lambda: self._inner.state(generation))
 
     async def models(self) -> tuple[ModelName, ...]:
         """Read which models the engine serves."""
-        return await self._gate.through(self._inner.models)
+        return await self._gate.call(self._inner.models)
 
     async def load(self) -> LoadReport:
         """Read the load report."""
-        return await self._gate.through(self._inner.load)
+        return await self._gate.call(self._inner.load)
 
     async def cache_events(self, after: int) -> list[CacheEvent]:
         """Read cache events."""
-        return await self._gate.through(lambda: self._inner.cache_events(after))
+        return await self._gate.call(lambda: self._inner.cache_events(after))
 
     async def order(self, order: Order) -> None:
         """Give an order."""
-        await self._gate.leave(Seam.ORDER_SENT, order, lambda: self._inner.order(order))
+        await self._gate.send(Seam.ORDER_SENT, order, lambda: self._inner.order(order))
         await self._gate.wait()
-        await self._gate.reached(Seam.ORDER_TAKEN, order)
+        await self._gate.notify(Seam.ORDER_ACCEPTED, order)
 
     async def _events(self, events: AsyncIterator[EngineEvent]) -> AsyncIterator[EngineEvent]:
         async for event in events:
@@ -142,10 +142,10 @@
         await self._connect()
         if check is not None:
             check()
-        sent = await self._gate.leave(Seam.CALL_SENT, request, lambda: self._send(request))
+        sent = await self._gate.send(Seam.CALL_SENT, request, lambda: self._send(request))
         with trio.move_on_after(request.timeout_s):
             answer = await self._answer(sent)
-            await self._gate.reached(Seam.CALL_RAN, request)
+            await self._gate.notify(Seam.CALL_RAN, request)
             await self._arrive()
             return answer
         await self._gate.wait()
@@ -206,7 +206,7 @@
 
     async def members(self) -> list[Member]:
         """Read every member."""
-        return await self._gate.through(self._inner.members)
+        return await self._gate.call(self._inner.members)
 
 
 class GatedStream(trio.abc.Stream):
--- a/standins/engine_client.py
+++ b/standins/engine_client.py
@@ -41,8 +41,8 @@
         self.dead = False
         self.stalled = False
         self.full = False
-        self.untidy = False
-        self.left_out: set[GenerationId] = set()
+        self.faulty_resume = False
+        self.skipped: set[GenerationId] = set()
         self.silent_before = -1.0
         self.changed = trio.Event()
 
@@ -73,7 +73,7 @@
         """Follow a generation after a sequence number."""
         await self._reach()
         found = self._find(generation)
-        if self._faults.untidy:
+        if self._faults.faulty_resume:
             yield self._untidy(found, after)
         else:
             yield self._events(found, after)
@@ -140,10 +140,10 @@
             await self._wait(changed, faults_changed)
 
     async def _untidy(self, generation: Generation, after: int) -> AsyncIterator[EngineEvent]:
-        left_out = after + LEFT_OUT_AFTER if generation.id not in self._faults.left_out else None
+        left_out = after + LEFT_OUT_AFTER if generation.id not in self._faults.skipped else None
         async for event in self._events(generation, max(-1, after - EVENTS_EARLY)):
             if event.sequence == left_out:
-                self._faults.left_out.add(generation.id)
+                self._faults.skipped.add(generation.id)
             else:
                 yield event
 
--- a/standins/gate.py
+++ b/standins/gate.py
@@ -26,12 +26,12 @@
 
     STORE_WRITE = "a write to the object API is about to leave"
     STORE_WRITTEN = "a write to the object API was answered"
-    ENGINE_ASKED = "a new generation is about to be asked for"
+    ENGINE_REQUESTED = "a new generation is about to be asked for"
     ENGINE_ACCEPTED = "an engine accepted a generation"
     CALL_SENT = "a call to a plain service is about to leave"
     CALL_RAN = "a plain service carried a call out; its answer is on the way"
     ORDER_SENT = "an order to an engine is about to leave"
-    ORDER_TAKEN = "an engine took an order"
+    ORDER_ACCEPTED = "an engine took an order"
 
 
 Observer = Callable[["Gate", Seam, object], None]
@@ -61,16 +61,16 @@
         self._opened.set()
 
     @property
-    def frozen(self) -> bool:
+    def paused(self) -> bool:
         """Tell whether the process is frozen."""
         return not self._opened.is_set()
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         """Hold everything that passes, until `thaw`."""
-        if not self.frozen:
+        if not self.paused:
             self._opened = trio.Event()
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Let everything pass again."""
         self._opened.set()
 
@@ -80,7 +80,7 @@
         if self.dead:
             raise ProcessKilled(self.process)
 
-    async def through(self, call: Callable[[], Awaitable[T]]) -> T:
+    async def call(self, call: Callable[[], Awaitable[T]]) -> T:
         """Make a call; its answer or its error passes the gate as well."""
         await self.wait()
         try:
@@ -91,18 +91,18 @@
         await self.wait()
         return result
 
-    async def reached(self, seam: Seam, subject: object) -> None:
+    async def notify(self, seam: Seam, subject: object) -> None:
         """Tell the observers, then let what they did take effect."""
         self._tell(seam, subject)
         await self.wait()
 
-    async def leave(self, seam: Seam, subject: object, call: Callable[[], Awaitable[T]]) -> T:
+    async def send(self, seam: Seam, subject: object, call: Callable[[], Awaitable[T]]) -> T:
         """Make a call after telling the observers; a freeze strikes just before it leaves."""
         await self.wait()
         self._tell(seam, subject)
         if self.dead:
             raise ProcessKilled(self.process)
-        if not self.frozen:
+        if not self.paused:
             return await call()
         with trio.CancelScope(shield=True):
             await self.wait()
@@ -136,11 +136,11 @@
 
     async def get(self, kind: ObjectKind, name: str) -> StoredObject | None:
         """Read one object."""
-        return await self._gate.through(lambda: self.inner.get(kind, name))
+        return await self._gate.call(lambda: self.inner.get(kind, name))
 
     async def list(self, kind: ObjectKind) -> list[StoredObject]:
         """Read all objects of a kind."""
-        return await self._gate.through(lambda: self.inner.list(kind))
+        return await self._gate.call(lambda: self.inner.list(kind))
 
     async def create(self, kind: ObjectKind, name: str, spec: dict) -> StoredObject:
         """Create an object."""
@@ -171,6 +171,6 @@
             yield change
 
     async def _write(self, write: Write, call: Callable[[], Awaitable[T]]) -> T:
-        result = await self._gate.through(lambda: self._gate.leave(Seam.STORE_WRITE, write, call))
-        await self._gate.reached(Seam.STORE_WRITTEN, write)
+        result = await self._gate.call(lambda: self._gate.send(Seam.STORE_WRITE, write, call))
+        await self._gate.notify(Seam.STORE_WRITTEN, write)
         return result
--- a/standins/live_engine.py
+++ b/standins/live_engine.py
@@ -41,13 +41,13 @@
     return max(1, len(prompt) // CHARACTERS_PER_TOKEN)
 
 
-def output_length(prompt: str, most: int) -> int:
+def output_length(prompt: str, limit: int) -> int:
     """Give the length an answer will have: as `tokens:N` in the prompt says, or drawn from it."""
     match = _LENGTH.search(prompt)
     if match:
-        return max(1, min(int(match.group(1)), most))
+        return max(1, min(int(match.group(1)), limit))
     drawn = random.Random(crc32(prompt.encode())).lognormvariate(5.0, 1.0)
-    return max(1, min(int(drawn), most))
+    return max(1, min(int(drawn), limit))
 
 
 @dataclass
--- a/standins/network.py
+++ b/standins/network.py
@@ -58,7 +58,7 @@
         """Lose all that is sent over streams open now, without a sign; new ones work."""
         self.silent_below = self.opened
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         """End every cut."""
         self.cuts.clear()
 
--- a/standins/object_store.py
+++ b/standins/object_store.py
@@ -73,7 +73,7 @@
         """Give all objects of a kind."""
         return [one for (found, _), one in self.by_place.items() if found is kind]
 
-    def since(self, kind: ObjectKind, version: int) -> list[tuple[int, WatchChange]]:
+    def changes_since(self, kind: ObjectKind, version: int) -> list[tuple[int, WatchChange]]:
         """Give the changes after a version; raise WatchLost where the history is too short."""
         if self.history and version < self.history[0][0] - 1:
             raise WatchLost("too old")
@@ -147,7 +147,7 @@
         """Follow changes."""
         await self._call("watch", kind)
         start = self.store.version if since is None else int(since)
-        self.store.since(kind, start)
+        self.store.changes_since(kind, start)
         self.store.waiting_watches += 1
         try:
             yield self._changes(kind, start, trio.current_time() + life_s)
@@ -162,7 +162,7 @@
             if self.cut or self.store.faults.down:
                 raise WatchLost("cut")
             if not self.store.faults.silent_watches:
-                for version, change in self.store.since(kind, after):
+                for version, change in self.store.changes_since(kind, after):
                     after = version
                     yield change
             with trio.move_on_at(until_s):
--- a/standins/plain_service.py
+++ b/standins/plain_service.py
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class Book:
+class PlainServiceState:
     """What the service has done: how often each idempotency key ran."""
 
     delay_s: float = 0.0
@@ -82,8 +82,8 @@
     before the connection is made, and between the sender's last check and the first byte.
     """
 
-    def __init__(self, book: Book) -> None:
-        self.book = book
+    def __init__(self, state: PlainServiceState) -> None:
+        self.state = state
         self.down = False
         self.connecting: trio.Event | None = None
         self.sending: trio.Event | None = None
@@ -105,19 +105,19 @@
             check()
         headers = {name.lower(): value for name, value in request.headers}
         if self.sending is None:
-            answer = await self.book.handle(request.method, request.path, headers)
+            answer = await self.state.handle(request.method, request.path, headers)
         else:
             # A frozen process keeps no time: when it thaws its bytes leave before its timers run.
             with trio.CancelScope(shield=True):
                 await self.sending.wait()
-                answer = await self.book.handle(request.method, request.path, headers)
-        if self.book.lose_answers:
-            self.book.lose_answers -= 1
+                answer = await self.state.handle(request.method, request.path, headers)
+        if self.state.lose_answers:
+            self.state.lose_answers -= 1
             raise OutcomeUnknown("answer lost")
         return answer
 
 
-def make_plain_app(book: Book) -> QuartTrio:
+def make_plain_app(state: PlainServiceState) -> QuartTrio:
     """Build the HTTP app."""
     app = QuartTrio("plain-standin")
 
@@ -125,7 +125,7 @@
     async def any_call(path: str) -> Response:
         await request.get_data()
         headers = {name.lower(): value for name, value in request.headers.items()}
-        answer = await book.handle(request.method, "/" + path, headers)
+        answer = await state.handle(request.method, "/" + path, headers)
         return Response(answer.body, status=answer.status, headers=dict(answer.headers))
 
     return app
--- a/standins/platform/_engine.py
+++ b/standins/platform/_engine.py
@@ -54,15 +54,15 @@
         self.runner_id = runner_id
         self.gap_s = gap_s
         self.events = 30
-        self.ends_under: bytes | None = None
+        self.fatal_body: bytes | None = None
         """Body of a request that ends the engine when it runs; None for no request."""
-        self.ends_after = 0
+        self.fatal_after_events = 0
         """Events that it makes there before the engine ends."""
-        self.begun_of_ending = 0
+        self.fatal_runs = 0
         """Runs of that request that began here."""
         self.fault = EngineFault.NONE
         self.leaving = False
-        self.born_ms: int | None = None
+        self.started_ms: int | None = None
         """Time of its start that it tells, if it tells any."""
         self.copy_s = 0.03
         self.runs_by_attempt: Counter[str] = Counter()
@@ -77,11 +77,11 @@
         self._run_by_attempt: dict[str, _Run] = {}
         EngineStandIn.peers_by_address[address] = self
 
-    def start_again(self, born_ms: int) -> None:
+    def restart(self, started_ms: int) -> None:
         """Crash and start again under the same name, with nothing of before."""
         self.crash()
         self.freed.clear()
-        self.born_ms = born_ms
+        self.started_ms = started_ms
         self.leaving = False
 
     def is_running(self, attempt: str) -> bool:
@@ -114,7 +114,7 @@
         await send(connection, status, headers=((b"runner-id", self.runner_id.encode()),))
 
     def _report(self) -> dict:
-        birth = {} if self.born_ms is None else {"born": self.born_ms}
+        birth = {} if self.started_ms is None else {"born": self.started_ms}
         return birth | {
             "state": "draining" if self.leaving else "ready",
             "waiting": 0,
@@ -130,24 +130,24 @@
         if _text(head, b"expect-runner") not in ("", self.runner_id):
             await send(connection, 421)
             return
-        if self.fault is EngineFault.FULL or self.rest_s is not None:
-            await self.turn_away(connection, attempt)
+        if self.fault is EngineFault.FULL or self.backoff_s is not None:
+            await self.reject(connection, attempt)
             return
         origin = _text(head, b"kv-from").partition("/")[2]
         if origin and origin not in self.copies:
-            await self.turn_away(connection, attempt)
+            await self.reject(connection, attempt)
             return
         self.heads.append(head)
-        is_ending = body == self.ends_under
+        is_ending = body == self.fatal_body
         if is_ending:
-            self.begun_of_ending += 1
+            self.fatal_runs += 1
             await self._end_unless_later()
         made = self._begin(attempt, origin, _text(head, b"last-event-id"))
         self._back_up(attempt, _text(head, b"kv-backup"))
         await self._stream(connection, attempt, made, is_ending=is_ending)
 
     async def _end_unless_later(self) -> None:
-        if not self.ends_after:
+        if not self.fatal_after_events:
             self.stop()
             await trio.sleep_forever()
 
@@ -172,7 +172,7 @@
             (b"attempt-id", attempt.encode()),
             (b"runner-seal", b"seal." + self.runner_id.encode()),
             (b"content-type", b"text/event-stream"),
-            *self.words(),
+            *self.signal_headers(),
         )
         run = self._run_by_attempt[attempt] = _Run(self.events, made)
         try:
@@ -185,7 +185,7 @@
                 if not run.stop.is_set():
                     run.made += 1
                     await connection.send_chunk(f"id: {run.made}\ndata: x\n\n".encode())
-                if is_ending and run.made - made >= self.ends_after:
+                if is_ending and run.made - made >= self.fatal_after_events:
                     self.stop()
                     await trio.sleep_forever()
             if run.stop.is_set():
--- a/standins/platform/_http.py
+++ b/standins/platform/_http.py
@@ -38,9 +38,9 @@
         """Whether a runner says in its answers that it leaves."""
         self.said_leaving_s: list[float] = []
         """When it said so."""
-        self.rest_s: float | None = None
+        self.backoff_s: float | None = None
         """Rest that a runner asks for, which then turns every request away; None for no rest."""
-        self.rests: list[tuple[float, str]] = []
+        self.backoffs: list[tuple[float, str]] = []
         """When it asked for rest, and the attempt that it turned away."""
         self.arrivals: list[tuple[float, str]] = []
         """When requests reached a runner, and their attempts; those that it rejected too."""
@@ -101,7 +101,7 @@
         """When requests reached a runner, those among them that it rejected."""
         return [at for at, _ in self.arrivals]
 
-    def words(self) -> tuple[Header, ...]:
+    def signal_headers(self) -> tuple[Header, ...]:
         """Give what a runner says of itself in all its answers."""
         words: list[Header] = []
         if self.limit_per_s is not None:
@@ -111,12 +111,12 @@
             words.append((b"server-leaving", b"1"))
         return tuple(words)
 
-    async def turn_away(self, connection: ClientConnection, attempt: str) -> None:
+    async def reject(self, connection: ClientConnection, attempt: str) -> None:
         """Reject a request, and ask for rest if this runner wants some."""
-        headers = ((b"not-executed", b"1"), *self.words())
-        if self.rest_s is not None:
-            self.rests.append((trio.current_time(), attempt))
-            headers = (*headers, (b"retry-after", str(self.rest_s).encode()))
+        headers = ((b"not-executed", b"1"), *self.signal_headers())
+        if self.backoff_s is not None:
+            self.backoffs.append((trio.current_time(), attempt))
+            headers = (*headers, (b"retry-after", str(self.backoff_s).encode()))
         await send(connection, 503, headers=headers)
 
     @abstractmethod
--- a/standins/platform/_operator.py
+++ b/standins/platform/_operator.py
@@ -97,13 +97,13 @@
     service: str,
     address: str,
     state: str = "ready",
-    born_ms: int | None = None,
+    started_ms: int | None = None,
     *,
     zone: str = "leon-a",
     cold_ms: int = 0,
 ) -> dict:
     """Give a runner's entry as the runner writes it."""
-    birth = {} if born_ms is None else {"born": born_ms}
+    birth = {} if started_ms is None else {"born": started_ms}
     return birth | {
         "service": service,
         "address": address,
--- a/standins/platform/_plain.py
+++ b/standins/platform/_plain.py
@@ -19,12 +19,12 @@
     """It runs the request and answers 500."""
     FULL = "full"
     """It rejects the request, and says so."""
-    BUSY_UNSAID = "busy-unsaid"
+    AMBIGUOUS_503 = "busy-unsaid"
     """It answers 503 without saying whether it ran the request."""
     BREAKS = "breaks"
     """It runs the request and breaks off within the answer."""
     SILENT = "silent"
-    CROSSED = "crossed"
+    WRONG_ATTEMPT = "crossed"
     """It answers with what belongs to another request."""
     UNSEALED = "unsealed"
     ENCODED = "encoded"
@@ -40,17 +40,17 @@
         self.runner_id = runner_id
         self.delay_s = delay_s
         self.healthy = True
-        self.ends_under: bytes | None = None
+        self.fatal_body: bytes | None = None
         """Body of a request that ends the runner when it begins to run; None for no request."""
-        self.starts_again_at_once = False
+        self.restarts_immediately = False
         """Whether another process answers at the address before anybody sees it gone."""
-        self.begun_of_ending = 0
+        self.fatal_runs = 0
         """Runs of that request that began here."""
         self.faults: list[PlainFault] = []
         """What goes wrong with the next requests, in turn."""
         self.runs_by_attempt: Counter[str] = Counter()
         self.heads: list[RequestHead] = []
-        self.broken_off = 0
+        self.disconnected_runs = 0
         """Requests whose caller left while they ran."""
 
     async def answer(self, connection: ClientConnection, head: RequestHead, body: bytes) -> None:
@@ -65,24 +65,24 @@
         if first_value(head.headers, b"expect-runner") not in (None, self.runner_id.encode()):
             await send(connection, 421, headers=((b"runner-id", self.runner_id.encode()),))
             return
-        if fault is PlainFault.FULL or self.rest_s is not None:
-            await self.turn_away(connection, attempt)
+        if fault is PlainFault.FULL or self.backoff_s is not None:
+            await self.reject(connection, attempt)
             return
         self.heads.append(head)
         self.runs_by_attempt[attempt] += 1
-        if body == self.ends_under:
-            self.begun_of_ending += 1
+        if body == self.fatal_body:
+            self.fatal_runs += 1
             await self._end(connection)
             return
         try:
             await trio.sleep(self.delay_s)
         except trio.Cancelled:
-            self.broken_off += 1
+            self.disconnected_runs += 1
             raise
         await self._answer_run(connection, head, body, attempt, fault)
 
     async def _end(self, connection: ClientConnection) -> None:
-        if self.starts_again_at_once:
+        if self.restarts_immediately:
             self.runner_id += "-again"
             connection.abort()
         else:
@@ -107,7 +107,7 @@
             await connection.start_stream(ResponseHead(200, b"", headers), document[:5])
             connection.abort()
             return
-        status = {PlainFault.FAILS: 500, PlainFault.BUSY_UNSAID: 503}.get(fault, 200)
+        status = {PlainFault.FAILS: 500, PlainFault.AMBIGUOUS_503: 503}.get(fault, 200)
         await send(connection, status, document, headers)
         if fault is PlainFault.EXTRA:
             await connection.send_raw(
@@ -116,8 +116,12 @@
             )
 
     def _headers(self, attempt: str, fault: PlainFault) -> tuple[Header, ...]:
-        told = b"another" if fault is PlainFault.CROSSED else attempt.encode()
-        headers: list[Header] = [(b"attempt-id", told), (b"runner-load", b"1,0,6"), *self.words()]
+        told = b"another" if fault is PlainFault.WRONG_ATTEMPT else attempt.encode()
+        headers: list[Header] = [
+            (b"attempt-id", told),
+            (b"runner-load", b"1,0,6"),
+            *self.signal_headers(),
+        ]
         if fault is not PlainFault.UNSEALED:
             headers.append((b"runner-seal", b"seal." + self.runner_id.encode()))
         if fault is PlainFault.ENCODED:
--- a/standins/platform_http.py
+++ b/standins/platform_http.py
@@ -82,7 +82,7 @@
         since = int(request.args.get("resourceVersion", store.version))
         life_s = float(request.args.get("timeoutSeconds", "30"))
         try:
-            store.since(ObjectKind(kind), since)
+            store.changes_since(ObjectKind(kind), since)
         except WatchLost:
             return Response(b"", status=410)
         response = Response(_watch_lines(store, ObjectKind(kind), since, life_s))
@@ -169,7 +169,7 @@
             while not store.faults.down:
                 changed = store.changed
                 try:
-                    rows = store.since(kind, after)
+                    rows = store.changes_since(kind, after)
                 except WatchLost:
                     return
                 if rows and not store.faults.silent_watches:
--- a/standins/world.py
+++ b/standins/world.py
@@ -23,7 +23,7 @@
 from standins.live_engine import LiveEngine
 from standins.network import Network
 from standins.object_store import InProcessObjectApi, ObjectStore
-from standins.plain_service import Book, InProcessPlainService
+from standins.plain_service import InProcessPlainService, PlainServiceState
 
 PORTS = {
     "caller": 8080,
@@ -92,9 +92,9 @@
         self._list(name, service, f"10.1.0.{len(self.engine_by_id)}", {"http": 8000}, "a")
         return self.engine_by_id[name]
 
-    def add_plain(self, name: str, service: str, book: Book) -> InProcessPlainService:
+    def add_plain(self, name: str, service: str, state: PlainServiceState) -> InProcessPlainService:
         """Add a runner of a plain service and list it."""
-        self.plain_by_id[name] = InProcessPlainService(book)
+        self.plain_by_id[name] = InProcessPlainService(state)
         self.plain_faults_by_id[name] = PlainFaults()
         self._list(name, service, f"10.2.0.{len(self.plain_by_id)}", {"http": 8000}, "a")
         return self.plain_by_id[name]
@@ -166,17 +166,17 @@
     def kill(self) -> None:
         """End the process at once; nothing that it would do while stopping reaches outside."""
         self.access.gate.dead = True
-        self.access.gate.thaw()
+        self.access.gate.resume()
         self.access.store_client.cut = True
         self.scope.cancel()
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         """Stop the process until `thaw`, as SIGSTOP does."""
-        self.access.gate.freeze()
+        self.access.gate.pause()
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Let the process go on."""
-        self.access.gate.thaw()
+        self.access.gate.resume()
 
 
 def _settings(
--- a/tests/crash_site.py
+++ b/tests/crash_site.py
@@ -15,14 +15,14 @@
 def end_under_it(site, after=0):
     """Let every runner end when it runs the ending request, engines after some events."""
     for one in (*site.plain, *site.engines):
-        one.ends_under = ENDING
+        one.fatal_body = ENDING
     for one in site.engines:
-        one.ends_after = after
+        one.fatal_after_events = after
 
 
 def begun(site):
     """Give how many runs of the ending request began, on all runners that there were."""
-    return sum(one.begun_of_ending for one in (*site.plain, *site.engines))
+    return sum(one.fatal_runs for one in (*site.plain, *site.engines))
 
 
 def crashes(site, entry=0):
@@ -54,12 +54,12 @@
         ("llm", EngineStandIn, site.engines),
     ):
         for one in list(runners):
-            if not one.begun_of_ending or one.runner_id.endswith("-over"):
+            if not one.fatal_runs or one.runner_id.endswith("-over"):
                 continue
             site.store.remove("servers", one.runner_id)
             new = kind(one.address, f"{one.runner_id}.{tag}")
             one.runner_id += "-over"
-            new.ends_under = ENDING
+            new.fatal_body = ENDING
             runners.append(new)
             await site.nursery.start(new.run)
             site.register(new.runner_id, service, new.address)
--- a/tests/ledger_site.py
+++ b/tests/ledger_site.py
@@ -15,7 +15,7 @@
 from egretstack.settings import Program
 from egretstack.upstreams import CallRequest
 from standins.gate import ProcessKilled
-from standins.plain_service import Book
+from standins.plain_service import PlainServiceState
 from standins.world import open_world
 from tests.ledger_support import LateObjectApi, outcome_of
 
@@ -37,7 +37,7 @@
             contract__acme=CONTRACT, contract__other=OTHER, service__holds=service, service__llm=LLM
         )
         world.add_engine("engine-0", "llm", ("story",), EngineParameters())
-        book = Book(offers_lookup=bool(lookup), checks_fencing=fencing == "checked")
+        book = PlainServiceState(offers_lookup=bool(lookup), checks_fencing=fencing == "checked")
         runner = world.add_plain("holds-0", "holds", book)
         started = []
         for number in range(entries):
--- a/tests/matrix/faults.py
+++ b/tests/matrix/faults.py
@@ -86,7 +86,7 @@
     async def heal(self, site: Site, target: Target) -> None:
         """Go on."""
         await trio.sleep(STALL_S)
-        site.world.network.mend()
+        site.world.network.heal()
         if target.path is not Path.CHANGE:
             _set_stalled(site, target, False)
 
--- a/tests/matrix/paths.py
+++ b/tests/matrix/paths.py
@@ -89,7 +89,7 @@
 
 
 async def _placing(site: Site, striker: Striker) -> None:
-    striker.at(FOCUS_ENTRY, Seam.ENGINE_ASKED, lambda prompt: f"r:{FOCUS} " in prompt)
+    striker.at(FOCUS_ENTRY, Seam.ENGINE_REQUESTED, lambda prompt: f"r:{FOCUS} " in prompt)
     await site.session(FOCUS, length=SESSION_TOKENS).run()
 
 
@@ -198,7 +198,7 @@
     striker.at_steward(Seam.ORDER_SENT, lambda order: True, but=(holder,))
 
     def freeze(gate: Gate, seam: Seam, subject: object) -> None:
-        if gate.process == steward and seam is Seam.ORDER_SENT and not gate.frozen:
+        if gate.process == steward and seam is Seam.ORDER_SENT and not gate.paused:
             site.freeze(steward)
 
     site.world.observers.append(freeze)
--- a/tests/matrix/site.py
+++ b/tests/matrix/site.py
@@ -21,7 +21,7 @@
 from standins.gate import Gate, GatedObjectApi
 from standins.live_engine import Generation
 from standins.object_store import InProcessObjectApi
-from standins.plain_service import Book
+from standins.plain_service import PlainServiceState
 from standins.world import Process, World, open_world
 from tests.matrix.callers import KEY, CallCaller, SessionCaller
 from tests.matrix.history import (
@@ -90,7 +90,7 @@
     world: World
     history: History
     process_by_name: dict[str, Process] = field(default_factory=dict)
-    book: Book = field(default_factory=Book)
+    book: PlainServiceState = field(default_factory=PlainServiceState)
     changes: int = 0
 
     def session(self, name: str, entries: tuple[str, ...] = ENTRIES, **more) -> SessionCaller:
@@ -109,12 +109,12 @@
     def freeze(self, name: str) -> None:
         """Freeze a process."""
         self.history.add(Frozen, name)
-        self.process_by_name[name].freeze()
+        self.process_by_name[name].pause()
 
     def thaw(self, name: str) -> None:
         """Thaw a process."""
         self.history.add(Thawed, name)
-        self.process_by_name[name].thaw()
+        self.process_by_name[name].resume()
 
     def die(self, upstream: str) -> None:
         """Let an upstream die."""
@@ -221,13 +221,13 @@
         while True:
             seen = self._note_heads(seen)
             for name, process in self.process_by_name.items():
-                if process.stopped.is_set() or process.access.gate.frozen:
+                if process.stopped.is_set() or process.access.gate.paused:
                     continue
                 self._note_revision(name, process, revision_by_process)
             await trio.sleep(SAMPLE_S)
 
     def _note_heads(self, seen: int) -> int:
-        for version, change in self.world.store.since(ObjectKind.CONFIG_HEAD, seen):
+        for version, change in self.world.store.changes_since(ObjectKind.CONFIG_HEAD, seen):
             spec = change.object.spec
             self.history.add(HeadWritten, spec["revision"], spec["change_id"], _digests(spec))
             seen = version
@@ -252,9 +252,9 @@
 
         engine.live.on_start = note
         engine.live.order = _noting_order(site, name, engine.live.order)
-        engine.faults.untidy = True
+        engine.faults.faulty_resume = True
         engine.live.text = lambda one: f"{one.id}:{len(one.events)} "
-    site.book = Book(delay_s=CALL_S, runs_by_key=_RecordedRuns(site.history))
+    site.book = PlainServiceState(delay_s=CALL_S, runs_by_key=_RecordedRuns(site.history))
     for name in PLAIN:
         runner = site.world.add_plain(name, "holds", site.book)
         runner.call = _noting(site, name, runner.call)
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -98,7 +98,7 @@
             for n in range(ENTRIES)
         ]
         for one in (*self.plain, *self.engines):
-            one.ends_under = ENDING
+            one.fatal_body = ENDING
         self.is_calm = False
         self.version = 0
         self.pools = [ConnectionPool() for _ in range(STOP_CLIENTS)]
@@ -192,12 +192,12 @@
             nursery.start_soon(self._end_all, self.rng.choice((Kind.NOTES, Kind.HOLDS)), self.plain)
 
     async def _end_all(self, kind: Kind, runners: list) -> None:
-        before = sum(one.begun_of_ending for one in runners)
+        before = sum(one.fatal_runs for one in runners)
         for number in range(CALM_ATTEMPTS):
             entry = self.entries[number % len(self.entries)]
             record = await self._ask_ending_once(entry, kind)
             await trio.sleep(KNOWN_AFTER_S)
-        ends = sum(one.begun_of_ending for one in runners) - before
+        ends = sum(one.fatal_runs for one in runners) - before
         if ends > MOST_ENDS:
             self.promises.broken.append(f"{ends} runners ended in calm under one of {kind}")
         if record.refused_as != REFUSED_TYPE:
--- a/tests/soak/words.py
+++ b/tests/soak/words.py
@@ -37,7 +37,7 @@
 def most_in_a_rest(runner: Server, begin_s: float, entry_by_attempt: Mapping[str, str]) -> int:
     """Give the most requests that reached a runner in a rest from the entry that it had asked."""
     most = 0
-    for asked_s, turned_away in runner.rests:
+    for asked_s, turned_away in runner.backoffs:
         if asked_s < begin_s:
             continue
         asked = entry_by_attempt.get(turned_away)
@@ -68,10 +68,10 @@
     """Let runners ask for rest in calm, and see whether they get it."""
     begin_s = trio.current_time()
     for one in runners:
-        one.rest_s = REST_S
+        one.backoff_s = REST_S
     await trio.sleep(2 * REST_S)
     for one in runners:
-        one.rest_s = None
+        one.backoff_s = None
         got = most_in_a_rest(one, begin_s, entry_by_attempt())
         if got > MOST_IN_REST:
             broken.append(f"{one.runner_id} got {got} requests in a rest from one entry")
@@ -96,6 +96,6 @@
     if rng.random() < 0.5:
         runner.limit_per_s = rng.choice((0.0, 0.5, LIMIT_PER_S, 10.0))
     else:
-        runner.rest_s = rng.uniform(0.2, REST_S)
+        runner.backoff_s = rng.uniform(0.2, REST_S)
     await trio.sleep(length_s)
-    runner.limit_per_s = runner.rest_s = None
+    runner.limit_per_s = runner.backoff_s = None
--- a/tests/test_configuration_spread.py
+++ b/tests/test_configuration_spread.py
@@ -94,7 +94,7 @@
         left = [one for one in processes if one.host not in hosts]
         revision = await accept(world, 1)
         await wait_in_force(left, revision)
-        world.network.mend()
+        world.network.heal()
         for one in frozen:
             one.access.store_client.cut = False
         await wait_in_force(processes, revision)
@@ -209,7 +209,7 @@
             sections["contract"]["key_sha256"] = ",".join(f"{number:064x}" for _ in range(20))
             await world.configure(**{f"contract__{name}": sections})
         revision = (await store.head()).revision
-        world.network.mend()
+        world.network.heal()
         await wait_in_force(processes, revision)
         check.assertEqual(len(others[0].kernel.get(Configuration).state.contract_by_account), 301)
 
--- a/tests/test_crash_sharing.py
+++ b/tests/test_crash_sharing.py
@@ -170,7 +170,7 @@
         await until_refused(site)
         await site.until(lambda: stored(site) is not None)
         for one in site.engines:
-            one.ends_under = None
+            one.fatal_body = None
         site.store.remove(KIND, content_of(PATH))
         await site.until(
             lambda: not any(crashes(site, entry).is_refused(content_of(PATH)) for entry in range(2))
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -67,13 +67,13 @@
 def test_invalid_entries_are_skipped_and_valid_ones_still_apply():
     entries = EvacuationEntries()
     names = ["leon-a", "", "x" * 500, "leon\nb", "nowhere"]
-    bad = entries.take([evacuation_change(name) for name in names])
+    bad = entries.apply([evacuation_change(name) for name in names])
     check.assertEqual([one.name for one in bad], names[1:4])
     check.assertEqual(entries.zones(), {"leon-a", "nowhere"})
-    bad = entries.take([evacuation_change(f"z-{number}") for number in range(MAX_ZONES)])
+    bad = entries.apply([evacuation_change(f"z-{number}") for number in range(MAX_ZONES)])
     check.assertEqual(len(entries.zones()), MAX_ZONES)
     check.assertEqual(len(bad), 2)
-    entries.take(
+    entries.apply(
         [evacuation_change("leon-a", deleted=True), evacuation_change("leon-b", deleted=True)]
     )
     check.assertNotIn("leon-a", entries.zones())
--- a/tests/test_ledger_calls.py
+++ b/tests/test_ledger_calls.py
@@ -34,7 +34,7 @@
         async with trio.open_nursery() as nursery:
             for process in entries:
                 nursery.start_soon(caller, process)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
         check.assertIn(201, found)
         check.assertLessEqual(set(found), {201, ErrorKind.IN_PROGRESS})
 
@@ -44,7 +44,7 @@
     # an entry that has written nothing yet must find it there.
     async with site() as (world, entries, runner):
         await call(entries[0])
-        runner.book.padding = 3000
+        runner.state.padding = 3000
         for number in range(300):
             await call(entries[0], post(f"other-{number}"))
             await trio.sleep(0.2)
@@ -52,14 +52,14 @@
         check.assertTrue(any(KEY_ID in one.spec["rows"] for one in segments))
         await trio.sleep(1.1 * 3600)
         check.assertEqual(await call(entries[1]), 201)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
 
 
 async def test_the_key_of_another_account_is_another_key():
     async with site() as (_, entries, runner):
         check.assertEqual(await call(entries[0]), 201)
         check.assertEqual(await call(entries[0], account="other"), 201)
-        check.assertEqual(len(runner.book.ran), 2)
+        check.assertEqual(len(runner.state.ran), 2)
 
 
 async def test_a_key_is_needed_and_belongs_to_one_request():
@@ -68,19 +68,19 @@
         check.assertEqual(await call(entries[0]), 201)
         found = await call(entries[1], post(body=b"another"))
         check.assertIs(found, ErrorKind.KEY_REUSED)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
 
 
 async def test_an_answer_too_big_to_keep_is_replayed_as_such():
     async with site() as (_, entries, runner):
         big = post(key="k" * 200)
-        runner.book.padding = 5000
+        runner.state.padding = 5000
         await call(entries[0], big)
         contract = entries[1].kernel.get(Configuration).state.contract_by_account["acme"]
         answer = await entries[1].kernel.get(Calls).call(contract, ServiceName("holds"), big)
         check.assertEqual(answer.status, 201)
         check.assertIn(("Egret-Replay", "answer-not-kept"), answer.headers)
-        check.assertEqual(runner.book.runs_by_key["k" * 200], 1)
+        check.assertEqual(runner.state.runs_by_key["k" * 200], 1)
 
 
 async def test_a_call_that_reached_no_runner_frees_its_key():
@@ -89,15 +89,15 @@
         check.assertIs(await call(entries[0]), ErrorKind.NOT_RUN)
         runner.down = False
         check.assertEqual(await call(entries[1]), 201)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
 
 
 async def test_a_lost_answer_of_the_upstream_is_unknown_and_never_sent_again():
     async with site() as (_, entries, runner):
-        runner.book.lose_answers = 1
+        runner.state.lose_answers = 1
         check.assertIs(await call(entries[0]), ErrorKind.OUTCOME_UNKNOWN)
         check.assertIs(await call(entries[1]), ErrorKind.OUTCOME_UNKNOWN)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
 
 
 async def test_a_call_in_progress_is_told_when_to_come_back():
@@ -108,7 +108,7 @@
         held.set()
         await trio.sleep(1)
         check.assertEqual(answers, [201])
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
 
 
 async def test_a_sender_that_stood_still_before_its_dispatch_does_not_send():
@@ -125,7 +125,7 @@
 
         runners.plain = after_a_freeze
         check.assertIs(await call(entries[0], post(timeout_s=60)), ErrorKind.NOT_RUN)
-        check.assertEqual(runner.book.runs_by_key["k"], 0)
+        check.assertEqual(runner.state.runs_by_key["k"], 0)
         del runners.plain
         check.assertEqual(await call(entries[1], post(timeout_s=60)), 201)
 
@@ -143,17 +143,17 @@
         runner.connecting.set()
         await trio.sleep(1)
         check.assertEqual(found, [ErrorKind.NOT_RUN])
-        check.assertEqual(runner.book.runs_by_key["k"], 0)
+        check.assertEqual(runner.state.runs_by_key["k"], 0)
 
 
 async def test_a_caller_that_leaves_cuts_nothing():
     async with site() as (_, entries, runner):
-        runner.book.delay_s = 1
+        runner.state.delay_s = 1
         with trio.move_on_after(0.5):
             await call(entries[0])
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
         check.assertEqual(await call(entries[1]), 201)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
 
 
 async def test_a_drain_waits_for_calls_under_way():
@@ -168,7 +168,7 @@
         await entries[0].stopped.wait()
         check.assertEqual(answers, [201])
         check.assertEqual(await call(entries[1], post(timeout_s=120)), 201)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
 
 
 def test_may_have_run_is_sticky_over_tries():
--- a/tests/test_ledger_faults.py
+++ b/tests/test_ledger_faults.py
@@ -31,7 +31,7 @@
         before_s = trio.current_time()
         check.assertIs(await call(entries[0]), ErrorKind.PLATFORM_AWAY)
         check.assertLess(trio.current_time() - before_s, 1)
-        check.assertEqual(runner.book.runs_by_key["k"], 0)
+        check.assertEqual(runner.state.runs_by_key["k"], 0)
         contract = entries[0].kernel.get(Configuration).state.contract_by_account["acme"]
         body = GenerationBody(ModelName("story"), "a story tokens:20", False, 100)
         session = await entries[0].kernel.get(SessionHost).open(contract, body)
@@ -48,7 +48,7 @@
         before_s = trio.current_time()
         check.assertIs(await call(entries[0]), ErrorKind.PLATFORM_AWAY)
         check.assertLess(trio.current_time() - before_s, 4)
-        check.assertEqual(runner.book.runs_by_key["k"], 0)
+        check.assertEqual(runner.state.runs_by_key["k"], 0)
 
 
 async def test_a_lost_answer_to_the_intent_is_settled_by_reading_back():
@@ -57,7 +57,7 @@
     async with site() as (world, entries, runner):
         world.store.faults.lose_answers = 1
         check.assertEqual(await call(entries[0]), 201)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
 
 
 async def test_an_intent_that_lands_after_its_refusal_blocks_nobody():
@@ -77,14 +77,14 @@
         check.assertEqual(await call(entries[1]), 201)
         api.cut = False
         await trio.sleep(10)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
         found = await call(entries[0])
         if found is ErrorKind.RATE_LIMITED:
             # The limits may have lent this entry nothing just now; the caller comes back as told.
             await trio.sleep(1)
             found = await call(entries[0])
         check.assertEqual(found, 201)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
 
 
 async def test_a_write_that_would_land_after_the_read_back_is_shut_out():
@@ -101,7 +101,7 @@
         await trio.sleep(10)
         check.assertEqual(api.arrive(), 0)
         check.assertEqual(open_rows(world), [])
-        check.assertEqual(runner.book.runs_by_key["k"], 0)
+        check.assertEqual(runner.state.runs_by_key["k"], 0)
         check.assertEqual(await call(entries[1]), 201)
 
 
@@ -118,7 +118,7 @@
         check.assertIs(await call(entries[1]), ErrorKind.IN_PROGRESS)
         await trio.sleep(60)
         check.assertIs(await call(entries[1]), ErrorKind.OUTCOME_UNKNOWN)
-        check.assertEqual(runner.book.runs_by_key["k"], 0)
+        check.assertEqual(runner.state.runs_by_key["k"], 0)
 
 
 async def silent_sender(fencing, lookup):
@@ -136,7 +136,7 @@
         late = await call(entries[1], request)
         held.set()
         await trio.sleep(2)
-        return early, late, answers, runner.book.runs_by_key["k"]
+        return early, late, answers, runner.state.runs_by_key["k"]
 
 
 async def test_a_silent_sender_is_not_taken_over_where_the_upstream_checks_nothing():
@@ -182,12 +182,12 @@
     # says "come back", and the next repeat runs it.
     async with site(fencing="checked", lookup="/outcomes") as (world, entries, runner):
         held, answers = await freeze_before_first_byte(world, entries[0], runner)
-        runner.book.fencing_by_scope["acme", "k"] = open_rows(world)[0].fence + 1
+        runner.state.fencing_by_scope["acme", "k"] = open_rows(world)[0].fence + 1
         held.set()
         await trio.sleep(1)
         check.assertEqual(answers, [ErrorKind.IN_PROGRESS])
         check.assertEqual(await call(entries[1]), 201)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
 
 
 async def test_a_look_up_tells_of_a_call_that_ran_before_its_entry_died():
@@ -196,11 +196,11 @@
     async with site(lookup="/outcomes") as (world, entries, runner):
         await freeze_before_first_byte(world, entries[0], runner)
         entries[0].kill()
-        runner.book.ran.add(("acme", "k"))
+        runner.state.ran.add(("acme", "k"))
         contract = entries[1].kernel.get(Configuration).state.contract_by_account["acme"]
         answer = await entries[1].kernel.get(Calls).call(contract, ServiceName("holds"), post())
         check.assertIn(("Egret-Replay", "ran-answer-unknown"), answer.headers)
-        check.assertEqual(runner.book.runs_by_key["k"], 0)
+        check.assertEqual(runner.state.runs_by_key["k"], 0)
 
 
 async def test_a_restarted_entry_is_known_to_be_gone():
@@ -222,7 +222,7 @@
         for number in range(20):
             check.assertEqual(await call(entries[0], post(f"k{number}")), 201)
             await trio.sleep(0.2)
-        return runner.book.runs_by_key.total()
+        return runner.state.runs_by_key.total()
 
 
 async def test_calls_go_on_while_the_home_of_their_shard_is_dead():
--- a/tests/test_limits_world.py
+++ b/tests/test_limits_world.py
@@ -117,7 +117,7 @@
         admitted, _ = await admit(others[0], 40, gap_s=0.5)
         check.assertIn(open_at(others[0]), (16, 17))
         check.assertEqual(admitted, open_at(others[0]))
-        world.network.mend()
+        world.network.heal()
         await trio.sleep(6)
         await admit(others[0], 60, gap_s=0.15)
         check.assertEqual(open_at(others[0]), SLOTS)
--- a/tests/test_platform_plain.py
+++ b/tests/test_platform_plain.py
@@ -58,9 +58,9 @@
     faults = (
         PlainFault.FAILS,
         PlainFault.FULL,
-        PlainFault.BUSY_UNSAID,
+        PlainFault.AMBIGUOUS_503,
         PlainFault.BREAKS,
-        PlainFault.CROSSED,
+        PlainFault.WRONG_ATTEMPT,
         PlainFault.UNSEALED,
         PlainFault.ENCODED,
     )
@@ -82,9 +82,9 @@
     # twice. A request that may have run gets a response that promises nothing.
     expected = {
         PlainFault.FAILS: 500,
-        PlainFault.BUSY_UNSAID: 502,
+        PlainFault.AMBIGUOUS_503: 502,
         PlainFault.BREAKS: 502,
-        PlainFault.CROSSED: 502,
+        PlainFault.WRONG_ATTEMPT: 502,
         PlainFault.UNSEALED: 502,
         PlainFault.ENCODED: 502,
     }
@@ -140,7 +140,7 @@
         site.plain[0].delay_s = 30.0
         with trio.move_on_after(0.3):
             await site.call("/notes/1", "a-1")
-        await site.until(lambda: site.plain[0].broken_off == 1)
+        await site.until(lambda: site.plain[0].disconnected_runs == 1)
 
 
 @on_real_clock
--- a/tests/test_platform_restarts.py
+++ b/tests/test_platform_restarts.py
@@ -34,7 +34,7 @@
 
 def register_start(site, engine, started_ms, state="ready"):
     """Write an engine's entry with its start time, and let the engine report the same time."""
-    engine.born_ms = started_ms
+    engine.started_ms = started_ms
     spec = runner_spec("llm", engine.address, state, started_ms)
     site.store.put("servers", engine.runner_id, spec)
 
@@ -59,7 +59,7 @@
         source.fault = EngineFault.SILENT
         source.copies.clear()
     else:
-        source.start_again(SECOND_MS)
+        source.restart(SECOND_MS)
     register_start(site, source, SECOND_MS)
     await reader.ended.wait()
     return reader, source
@@ -96,7 +96,7 @@
         engine.events = 5
         register_start(site, engine, FIRST_MS, "draining")
         await site.until(lambda: not table.is_ready(incarnation_id(engine, FIRST_MS)))
-        engine.start_again(SECOND_MS)
+        engine.restart(SECOND_MS)
         register_start(site, engine, SECOND_MS)
         await site.until(lambda: table.is_ready(incarnation_id(engine, SECOND_MS)))
         reader = await start_reader(site, "s-1", 1)
@@ -115,7 +115,7 @@
         reader = await start_reader(site, "s-1", 5, headers=LONG)
         source = engine_of(site, "s-1")
         holder = next(one for one in other_engines(site, source) if one.copies)
-        holder.start_again(SECOND_MS)
+        holder.restart(SECOND_MS)
         register_start(site, holder, SECOND_MS)
         await site.until(lambda: any("h-s-1" in one.copies for one in other_engines(site, source)))
         register_start(site, source, FIRST_MS, "draining")
@@ -144,7 +144,7 @@
                 engine.fault = EngineFault.NONE
             register_start(site, source, FIRST_MS, "draining")
             await site.until(lambda when=when, source=source: when(source))
-            source.start_again(SECOND_MS)
+            source.restart(SECOND_MS)
             register_start(site, source, SECOND_MS)
             await reader.ended.wait()
             check.assertEqual(reader.ids, list(range(1, len(reader.ids) + 1)), name)
@@ -156,7 +156,7 @@
 async def test_a_report_shows_a_restart_before_the_store_does():
     async with platform_site(plain=0, engines=1) as site:
         table = await register_first_starts(site)
-        site.engines[0].start_again(SECOND_MS)
+        site.engines[0].restart(SECOND_MS)
         await site.until(lambda: table.is_ready(incarnation_id(site.engines[0], SECOND_MS)))
         check.assertTrue(table.is_gone(incarnation_id(site.engines[0], FIRST_MS)))
 
--- a/tests/test_promises_properties.py
+++ b/tests/test_promises_properties.py
@@ -145,7 +145,7 @@
     bounds = Bounds(
         runner_drain_s=2,
         grace_s=8,
-        directory_life_s=5,
+        directory_ttl_s=5,
         retry_ratio=0.2,
         retry_window_s=10,
         retry_slack=8,
--- a/tests/test_runner_crashes.py
+++ b/tests/test_runner_crashes.py
@@ -209,7 +209,7 @@
     async with platform_site(plain=3) as site:
         end_under_it(site)
         for one in site.plain:
-            one.starts_again_at_once = True
+            one.restarts_immediately = True
         for number in range(3):
             await send_ending(site, "/notes/1", f"e-{number}")
             for one in site.plain:
@@ -246,7 +246,7 @@
         content = content_of("/notes/1")
         await site.until(lambda: all(crashes(site, n).is_suspected(content) for n in range(2)))
         for one in site.plain:
-            one.ends_under = None
+            one.fatal_body = None
         check.assertEqual((await send_ending(site, "/notes/1", "e-9", 1))[0], 200)
         await site.until(lambda: not any(crashes(site, n).is_suspected(content) for n in range(2)))
 
--- a/tests/test_runner_entries.py
+++ b/tests/test_runner_entries.py
@@ -17,7 +17,7 @@
 
 EXAMPLES = settings(deadline=None, max_examples=300)
 STARTED_MS = 1_700_000_000_000
-GOOD = runner_spec("llm", "10.1.1.1:80", born_ms=STARTED_MS)
+GOOD = runner_spec("llm", "10.1.1.1:80", started_ms=STARTED_MS)
 
 INVALID = {
     "no service": {"service": None},
@@ -64,7 +64,7 @@
 
 def apply_changes(entries, *objects):
     """Apply objects as changes; return the invalid ones that are reported."""
-    return entries.take(Change(one, False) for one in objects)
+    return entries.apply(Change(one, False) for one in objects)
 
 
 def with_changes(changes):
--- a/tests/test_runner_rests.py
+++ b/tests/test_runner_rests.py
@@ -34,7 +34,7 @@
 def in_rests(runner, entries=1):
     """Give the most requests that reached a runner from one instance in a rest of its."""
     most = 0
-    for asked_s, turned_away in runner.rests:
+    for asked_s, turned_away in runner.backoffs:
         begin_s, end_s, asker = asked_s + GRACE_S, asked_s + REST_S, sender(turned_away, entries)
         arrived = [at for at, one in runner.arrivals if sender(one, entries) == asker]
         most = max(most, sum(begin_s < at < end_s for at in arrived))
@@ -46,7 +46,7 @@
     # Guards against first and second sends to a runner that wants none of this instance's.
     async with platform_site(entries=2, plain=2) as site:
         resting, other = site.plain
-        resting.rest_s = REST_S
+        resting.backoff_s = REST_S
         answers = await ask_steadily(site, "/notes/1", 100, 0.05, method=b"POST")
         check.assertEqual(in_rests(resting, len(site.kernels)), 0)
         check.assertEqual({one.status for one in answers}, {200})
@@ -58,10 +58,10 @@
     # Guards against rejected calls that go on to a runner which asked for rest.
     async with platform_site(entries=2, plain=2) as site:
         for one in site.plain:
-            one.rest_s = REST_S
+            one.backoff_s = REST_S
         await ask_steadily(site, "/notes/1", 100, 0.05, method=b"POST")
         for one in site.plain:
-            check.assertGreater(len(one.rests), 1)
+            check.assertGreater(len(one.backoffs), 1)
             check.assertEqual(in_rests(one, len(site.kernels)), 0)
 
 
@@ -70,7 +70,7 @@
     # Guards against a wait until the deadline, and against a time at which they still rest.
     async with platform_site(entries=1, plain=2, engines=2) as site:
         for one in (*site.plain, *site.engines):
-            one.rest_s = REST_S
+            one.backoff_s = REST_S
         for path, more in (("/holds/1", {}), ("/plans/1", {"headers": GENERATION})):
             await ask_steadily(site, path, 3, 0.05, tag=f"a{path}", method=b"POST", **more)
             began_s = trio.current_time()
@@ -89,9 +89,9 @@
         rested = site.plain[0]
         for one in site.plain:
             one.delay_s = 0.02
-        rested.rest_s = 0.5
+        rested.backoff_s = 0.5
         await ask_steadily(site, "/holds/1", 10, 0.02, method=b"POST")
-        rested.rest_s = None
+        rested.backoff_s = None
         await trio.sleep(0.6)
         before = len(rested.arrived_s)
         await ask_steadily(site, "/holds/1", 60, 0.02, tag="u", method=b"POST")
@@ -105,7 +105,7 @@
         resting, other = site.engines
         for one in site.engines:
             one.events = 2
-        resting.rest_s = REST_S
+        resting.backoff_s = REST_S
         site.store.fault = StoreFault.SILENT
         more = {"method": b"POST", "headers": SMALL_GENERATION}
         answers = await ask_steadily(site, "/plans/1", 100, 0.05, **more)
@@ -123,9 +123,9 @@
             one.events = 500
         for number in range(20):
             await start_reader(site, f"s-{number}", 1, deadline_ms=60_000, headers=SMALL_GENERATION)
-        resting.rest_s = REST_S
+        resting.backoff_s = REST_S
         number = 0
-        while not resting.rests:
+        while not resting.backoffs:
             number += 1
             reader = await start_reader(site, f"t-{number}", 1, headers=SMALL_GENERATION)
             reader.scope.cancel()
@@ -143,9 +143,9 @@
             one.events = 400
         reader = await start_reader(site, "s-1", 1, deadline_ms=60_000, headers=LONG_GENERATION)
         resting = next(one for one in site.engines if "s-1" in one.copies)
-        resting.rest_s = REST_S
+        resting.backoff_s = REST_S
         number = 0
-        while not resting.rests:
+        while not resting.backoffs:
             number += 1
             other = await start_reader(site, f"t-{number}", 1, headers=SMALL_GENERATION)
             other.scope.cancel()
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -142,7 +142,7 @@
         first.disconnect()
         second = await deployment.reconnect(1, first)
         await trio.sleep(10)
-        deployment.world.network.mend()
+        deployment.world.network.heal()
         await second.closed.wait()
         check_delivered_once(first, second)
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -14,7 +14,7 @@
 from egretstack.services.session_host import SessionHost
 from egretstack.settings import Program
 from egretstack.upstreams import CallRequest
-from standins.plain_service import Book
+from standins.plain_service import PlainServiceState
 from standins.world import open_world
 from tests.support import check, tests_of
 
@@ -35,7 +35,7 @@
             world.add_engine(
                 f"engine-{number}", "llm", ("story",), EngineParameters(step_base_s=step_s)
             )
-        world.add_plain("holds-0", "holds", Book())
+        world.add_plain("holds-0", "holds", PlainServiceState())
         started = []
         for number in range(entries):
             started.append(await world.start(f"entry-{number}", Program.ENTRY))
@@ -104,7 +104,7 @@
             api = entry.kernel.get(CallerApi)
             answer = await api.call(contract_of(entry), ServiceName("holds"), request)
             check.assertEqual(answer.status, 201)
-        check.assertEqual(world.plain_by_id["holds-0"].book.runs_by_key["k"], 1)
+        check.assertEqual(world.plain_by_id["holds-0"].state.runs_by_key["k"], 1)
 
 
 async def test_a_wrong_key_is_refused():
