--- a/standins/platform/__init__.py
+++ b/standins/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform in small: its store, plain runners and engines, over HTTP on loopback."""
+"""A small stand-in of the users' platform: store, plain runners and engines, over loopback HTTP."""
 
 from standins.platform._engine import EngineFault, EngineStandIn
 from standins.platform._http import StandInServer, json_body
--- a/standins/platform/_engine.py
+++ b/standins/platform/_engine.py
@@ -1,7 +1,7 @@
-"""A model engine: streams events at a fixed pace, and copies the memory of runs to others.
+"""An engine stand-in that streams events at a fixed rate and copies the memory of runs to others.
 
-Memory and batches are counted and not modelled; what matters here is the order of calls and what
-a continued run sends.
+Memory and batches are not modelled; it serves tests of the order of calls and of what a continued
+run sends.
 """
 
 import json
@@ -14,38 +14,38 @@
 from egretstack.http1 import ClientConnection, RequestHead, ResponseHead, first_value
 from standins.platform._http import StandInServer, json_body, send
 
-MOVE = b"/egretstack/kv-move"
-HANDLE = b"/egretstack/kv-handle/"
-REPORT = b"/egretstack/report"
-HEALTH = b"/health"
+MOVE_PATH = b"/egretstack/kv-move"
+HANDLE_PATH = b"/egretstack/kv-handle/"
+REPORT_PATH = b"/egretstack/report"
+HEALTH_PATH = b"/health"
 
 
 class EngineFault(Enum):
-    """How the engine is ill."""
+    """Faults of the engine, of which one is active at a time."""
 
     NONE = "none"
     FULL = "full"
-    """It rejects requests, and says so."""
+    """Rejects requests, stating that they were not run."""
     SILENT = "silent"
-    """Streams stand still; everything else is answered."""
+    """Streams stall; every other request is answered."""
     NO_ROOM = "no-room"
-    """It takes no copies in."""
+    """Accepts no copies."""
     REPEATS = "repeats"
-    """A run that goes on here sends its last event again."""
+    """A run that is continued here repeats its last event."""
     SKIPS = "skips"
-    """A run that goes on here leaves an event out."""
+    """A run that is continued here skips an event."""
 
 
 @dataclass
 class _Run:
     events: int
-    made: int = 0
+    generated: int = 0
     stop: trio.Event = field(default_factory=trio.Event)
     crashed: bool = False
 
 
 class EngineStandIn(StandInServer):
-    """An engine; `peers_by_address` lets copies reach the others."""
+    """An engine; it finds the other engines for copies in `peers_by_address`."""
 
     peers_by_address: dict[str, "EngineStandIn"] = {}
 
@@ -55,41 +55,41 @@
         self.gap_s = gap_s
         self.events = 30
         self.fatal_body: bytes | None = None
-        """Body of a request that ends the engine when it runs; None for no request."""
+        """Body of the request that crashes the engine when it runs; None for no such request."""
         self.fatal_after_events = 0
-        """Events that it makes there before the engine ends."""
+        """Number of events of that request before the engine ends."""
         self.fatal_runs = 0
-        """Runs of that request that began here."""
+        """Number of runs of that request that started here."""
         self.fault = EngineFault.NONE
         self.leaving = False
         self.started_ms: int | None = None
-        """Time of its start that it tells, if it tells any."""
+        """Start time that it reports, in Unix milliseconds; None to report none."""
         self.copy_s = 0.03
         self.runs_by_attempt: Counter[str] = Counter()
-        """Runs that began here, continued ones not among them."""
+        """Number of runs started here, without continued ones."""
         self.continued: list[tuple[str, str]] = []
-        """Attempt and last event of each run that goes on here."""
+        """Attempt and last event of each run that was continued here."""
         self.heads: list[RequestHead] = []
         self.copies: dict[str, tuple[str, int]] = {}
-        """Copies that lie here, by the name that continues them: attempt, events of the run."""
+        """Copies stored here, by handle: attempt and number of events of the run."""
         self.freed: list[str] = []
         self.moves: list[tuple[str, bool]] = []
         self._run_by_attempt: dict[str, _Run] = {}
         EngineStandIn.peers_by_address[address] = self
 
     def restart(self, started_ms: int) -> None:
-        """Crash and start again under the same name, with nothing of before."""
+        """Crash and restart under the same name, with empty state."""
         self.crash()
         self.freed.clear()
         self.started_ms = started_ms
         self.leaving = False
 
     def is_running(self, attempt: str) -> bool:
-        """Tell whether an attempt is in progress here."""
+        """Return whether an attempt is in progress here."""
         return attempt in self._run_by_attempt
 
     def crash(self) -> None:
-        """End every run at once, as a process that restarts does."""
+        """End every run immediately, as a process that restarts does."""
         for run in self._run_by_attempt.values():
             run.crashed = True
             run.stop.set()
@@ -97,14 +97,14 @@
 
     async def answer(self, connection: ClientConnection, head: RequestHead, body: bytes) -> None:
         """Answer one request."""
-        if head.target == HEALTH:
+        if head.target == HEALTH_PATH:
             await self._answer_health(connection)
-        elif head.target == REPORT:
+        elif head.target == REPORT_PATH:
             await send(connection, 200, json_body(self._report()))
-        elif head.target == MOVE:
-            await self._move(connection, json.loads(body))
-        elif head.target.startswith(HANDLE):
-            self.freed.append(head.target.removeprefix(HANDLE).decode())
+        elif head.target == MOVE_PATH:
+            await self._copy_run(connection, json.loads(body))
+        elif head.target.startswith(HANDLE_PATH):
+            self.freed.append(head.target.removeprefix(HANDLE_PATH).decode())
             await send(connection, 200)
         else:
             await self._generate(connection, head, body)
@@ -114,14 +114,14 @@
         await send(connection, status, headers=((b"runner-id", self.runner_id.encode()),))
 
     def _report(self) -> dict:
-        birth = {} if self.started_ms is None else {"born": self.started_ms}
-        return birth | {
+        start_time = {} if self.started_ms is None else {"born": self.started_ms}
+        return start_time | {
             "state": "draining" if self.leaving else "ready",
             "waiting": 0,
             "running": len(self._run_by_attempt),
             "kv-used": 0,
             "kv-total": 34_000,
-            "runs": [[name, 100, run.made, 5] for name, run in self._run_by_attempt.items()],
+            "runs": [[name, 100, run.generated, 5] for name, run in self._run_by_attempt.items()],
         }
 
     async def _generate(self, connection: ClientConnection, head: RequestHead, body: bytes) -> None:
@@ -133,40 +133,40 @@
         if self.fault is EngineFault.FULL or self.backoff_s is not None:
             await self.reject(connection, attempt)
             return
-        origin = _text(head, b"kv-from").partition("/")[2]
-        if origin and origin not in self.copies:
+        source_copy = _text(head, b"kv-from").partition("/")[2]
+        if source_copy and source_copy not in self.copies:
             await self.reject(connection, attempt)
             return
         self.heads.append(head)
-        is_ending = body == self.fatal_body
-        if is_ending:
+        is_fatal = body == self.fatal_body
+        if is_fatal:
             self.fatal_runs += 1
-            await self._end_unless_later()
-        made = self._begin(attempt, origin, _text(head, b"last-event-id"))
-        self._back_up(attempt, _text(head, b"kv-backup"))
-        await self._stream(connection, attempt, made, is_ending=is_ending)
+            await self._end_if_before_first_event()
+        start = self._start_run(attempt, source_copy, _text(head, b"last-event-id"))
+        self._store_backup(attempt, _text(head, b"kv-backup"))
+        await self._stream(connection, attempt, start, is_fatal=is_fatal)
 
-    async def _end_unless_later(self) -> None:
+    async def _end_if_before_first_event(self) -> None:
         if not self.fatal_after_events:
             self.stop()
             await trio.sleep_forever()
 
-    def _begin(self, attempt: str, origin: str, last_event: str) -> int:
-        if not origin:
+    def _start_run(self, attempt: str, source_copy: str, last_event: str) -> int:
+        if not source_copy:
             self.runs_by_attempt[attempt] += 1
             return 0
-        del self.copies[origin]
+        del self.copies[source_copy]
         self.continued.append((attempt, last_event))
         after = int(last_event or 0)
         return after + {EngineFault.REPEATS: -1, EngineFault.SKIPS: 1}.get(self.fault, 0)
 
-    def _back_up(self, attempt: str, address: str) -> None:
+    def _store_backup(self, attempt: str, address: str) -> None:
         peer = self.peers_by_address.get(address)
         if peer is not None and peer.fault is not EngineFault.NO_ROOM:
             peer.copies[attempt] = (attempt, 0)
 
     async def _stream(
-        self, connection: ClientConnection, attempt: str, made: int, *, is_ending: bool
+        self, connection: ClientConnection, attempt: str, start: int, *, is_fatal: bool
     ) -> None:
         headers = (
             (b"attempt-id", attempt.encode()),
@@ -174,18 +174,18 @@
             (b"content-type", b"text/event-stream"),
             *self.signal_headers(),
         )
-        run = self._run_by_attempt[attempt] = _Run(self.events, made)
+        run = self._run_by_attempt[attempt] = _Run(self.events, start)
         try:
             await connection.start_stream(ResponseHead(200, b"", headers))
-            while run.made < run.events and not run.stop.is_set():
+            while run.generated < run.events and not run.stop.is_set():
                 with trio.move_on_after(self.gap_s):
                     await run.stop.wait()
                 if self.fault is EngineFault.SILENT:
                     await trio.sleep_forever()
                 if not run.stop.is_set():
-                    run.made += 1
-                    await connection.send_chunk(f"id: {run.made}\ndata: x\n\n".encode())
-                if is_ending and run.made - made >= self.fatal_after_events:
+                    run.generated += 1
+                    await connection.send_chunk(f"id: {run.generated}\ndata: x\n\n".encode())
+                if is_fatal and run.generated - start >= self.fatal_after_events:
                     self.stop()
                     await trio.sleep_forever()
             if run.stop.is_set():
@@ -195,11 +195,11 @@
         finally:
             self._run_by_attempt.pop(attempt, None)
 
-    async def _move(self, connection: ClientConnection, order: dict) -> None:
-        attempt, stop = order["id"], order["last"]
+    async def _copy_run(self, connection: ClientConnection, request: dict) -> None:
+        attempt, stop = request["id"], request["last"]
         self.moves.append((attempt, stop))
         run = self._run_by_attempt.get(attempt)
-        peer = self.peers_by_address.get(order["to"])
+        peer = self.peers_by_address.get(request["to"])
         if run is None:
             await send(connection, 404, b"{}")
             return
@@ -210,8 +210,8 @@
         if peer is None or peer.fault is EngineFault.NO_ROOM:
             await send(connection, 503, json_body({"handle": handle} if stop else {}))
             return
-        peer.copies[handle] = (attempt, run.made)
-        await send(connection, 200, json_body({"handle": handle, "created": run.made}))
+        peer.copies[handle] = (attempt, run.generated)
+        await send(connection, 200, json_body({"handle": handle, "created": run.generated}))
 
 
 def _text(head: RequestHead, name: bytes) -> str:
--- a/standins/platform/_http.py
+++ b/standins/platform/_http.py
@@ -1,4 +1,4 @@
-"""What every stand-in of the platform shares: a small HTTP server on a loopback address."""
+"""Base class of the platform's stand-ins: a small HTTP server on a loopback address."""
 
 import json
 from abc import ABC, abstractmethod
@@ -22,28 +22,28 @@
 
 
 def json_body(document: object) -> bytes:
-    """Give a document as JSON."""
+    """Return a document encoded as JSON."""
     return json.dumps(document).encode()
 
 
 class StandInServer(ABC):
-    """Serves requests one after another on each connection."""
+    """Serves the requests of each connection one at a time."""
 
     def __init__(self, address: str) -> None:
         self.address = address
         self.connections = 0
         self.limit_per_s: float | None = None
-        """Limit that a runner names in its answers, in requests a second; it is not enforced."""
+        """Limit in requests per second that a runner announces in its answers; not enforced."""
         self.says_leaving = False
-        """Whether a runner says in its answers that it leaves."""
+        """Whether a runner announces in its answers that it is leaving."""
         self.said_leaving_s: list[float] = []
-        """When it said so."""
+        """Times at which it announced that."""
         self.backoff_s: float | None = None
-        """Rest that a runner asks for, which then turns every request away; None for no rest."""
+        """Backoff that a runner requests as it rejects every request; None to accept them."""
         self.backoffs: list[tuple[float, str]] = []
-        """When it asked for rest, and the attempt that it turned away."""
+        """Time of each requested backoff, and the attempt that was rejected with it."""
         self.arrivals: list[tuple[float, str]] = []
-        """When requests reached a runner, and their attempts; those that it rejected too."""
+        """Arrival time and attempt of each request to a runner, including rejected ones."""
         self._scope = trio.CancelScope()
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -59,11 +59,11 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether it was stopped and nobody has run it again."""
+        """Whether it was stopped and has not been started again."""
         return self._scope.cancel_called
 
     def stop(self) -> None:
-        """End at once: every connection breaks."""
+        """End immediately: every connection breaks."""
         self._scope.cancel()
 
     async def _serve(self, stream: trio.SocketStream) -> None:
@@ -72,7 +72,7 @@
         try:
             while (head := await connection.read_head()) is not None:
                 body = await connection.read_body()
-                await self._answer_while_there(connection, head, body)
+                await self._answer_until_disconnected(connection, head, body)
                 if not connection.start_next():
                     return
         except (BadRequest, ClientDisconnected, SlowSender):
@@ -80,7 +80,7 @@
         finally:
             connection.close()
 
-    async def _answer_while_there(
+    async def _answer_until_disconnected(
         self, connection: ClientConnection, head: RequestHead, body: bytes
     ) -> None:
         async with trio.open_nursery() as nursery:
@@ -98,21 +98,21 @@
 
     @property
     def arrived_s(self) -> list[float]:
-        """When requests reached a runner, those among them that it rejected."""
-        return [at for at, _ in self.arrivals]
+        """Arrival times of all requests to a runner, including rejected ones."""
+        return [at_s for at_s, _ in self.arrivals]
 
     def signal_headers(self) -> tuple[Header, ...]:
-        """Give what a runner says of itself in all its answers."""
-        words: list[Header] = []
+        """Return the headers by which a runner announces its state in every answer."""
+        headers: list[Header] = []
         if self.limit_per_s is not None:
-            words.append((b"server-limit", str(self.limit_per_s).encode()))
+            headers.append((b"server-limit", str(self.limit_per_s).encode()))
         if self.says_leaving:
             self.said_leaving_s.append(trio.current_time())
-            words.append((b"server-leaving", b"1"))
-        return tuple(words)
+            headers.append((b"server-leaving", b"1"))
+        return tuple(headers)
 
     async def reject(self, connection: ClientConnection, attempt: str) -> None:
-        """Reject a request, and ask for rest if this runner wants some."""
+        """Reject a request, and request a backoff if one is set."""
         headers = ((b"not-executed", b"1"), *self.signal_headers())
         if self.backoff_s is not None:
             self.backoffs.append((trio.current_time(), attempt))
@@ -130,5 +130,5 @@
     body: bytes = b"",
     headers: tuple[Header, ...] = (),
 ) -> None:
-    """Send a whole answer."""
+    """Send a complete answer."""
     await connection.send_response(ResponseHead(status, b"", headers), body)
--- a/standins/platform/_operator.py
+++ b/standins/platform/_operator.py
@@ -1,4 +1,4 @@
-"""What an operator writes and a client sends, for tests and the demo."""
+"""Configurations, runner entries and client requests for tests and the demo."""
 
 from egretstack.http1 import RequestHead
 
@@ -17,17 +17,17 @@
     deadline_ms: int = 10_000,
     headers: tuple = (),
 ) -> tuple[RequestHead, bytes]:
-    """Give a client's request."""
-    lines = [
+    """Return a client's request: head and body."""
+    base_headers = [
         (b"host", HOST.encode()),
         (b"attempt-id", attempt.encode()),
         (b"deadline-ms", b"%d" % deadline_ms),
     ]
     if key is not None:
-        lines.append((b"authorization", f"Bearer {key}".encode()))
+        base_headers.append((b"authorization", f"Bearer {key}".encode()))
     if body:
-        lines.append((b"content-length", b"%d" % len(body)))
-    return RequestHead(method, path.encode(), (*lines, *headers)), body
+        base_headers.append((b"content-length", b"%d" % len(body)))
+    return RequestHead(method, path.encode(), (*base_headers, *headers)), body
 
 
 GENERATION = (
@@ -40,7 +40,7 @@
 
 
 def route(name: str, kind: str, service: str, **more) -> dict:
-    """Give a route as the operator writes it."""
+    """Return a route in the format of the operator's configuration."""
     row = {
         "name": name,
         "host": HOST,
@@ -64,7 +64,7 @@
     cold_per_s: float = 0.0,
     **account: object,
 ) -> dict:
-    """Give a configuration as the operator writes it, with more about the account if need be."""
+    """Return an operator's configuration; `account` overrides fields of its one account."""
     cold = {"cold-start-s": 2.0, "cold-per-s": cold_per_s}
     engine = {
         "slots": 24,
@@ -102,9 +102,9 @@
     zone: str = "leon-a",
     cold_ms: int = 0,
 ) -> dict:
-    """Give a runner's entry as the runner writes it."""
-    birth = {} if started_ms is None else {"born": started_ms}
-    return birth | {
+    """Return a runner's entry in the store, in the format that the runner writes."""
+    start_time = {} if started_ms is None else {"born": started_ms}
+    return start_time | {
         "service": service,
         "address": address,
         "zone": zone,
--- a/standins/platform/_plain.py
+++ b/standins/platform/_plain.py
@@ -1,4 +1,4 @@
-"""A runner of a plain service."""
+"""A stand-in for a runner of a plain service."""
 
 from collections import Counter
 from enum import Enum
@@ -8,32 +8,35 @@
 from egretstack.http1 import ClientConnection, Header, RequestHead, ResponseHead, first_value
 from standins.platform._http import StandInServer, json_body, send
 
-HEALTH = b"/health"
+HEALTH_PATH = b"/health"
 
 
 class PlainFault(Enum):
-    """How the runner is ill, for one request at a time."""
+    """Faults of the runner, each for one request."""
 
     NONE = "none"
     FAILS = "fails"
-    """It runs the request and answers 500."""
+    """Runs the request and answers 500."""
     FULL = "full"
-    """It rejects the request, and says so."""
+    """Rejects the request, stating that it was not run."""
     AMBIGUOUS_503 = "busy-unsaid"
-    """It answers 503 without saying whether it ran the request."""
+    """Runs the request and answers 503, without stating whether it ran."""
     BREAKS = "breaks"
-    """It runs the request and breaks off within the answer."""
+    """Runs the request and breaks the connection in the middle of the answer."""
     SILENT = "silent"
+    """Runs the request and never answers."""
     WRONG_ATTEMPT = "crossed"
-    """It answers with what belongs to another request."""
+    """Answers with the attempt id of another request."""
     UNSEALED = "unsealed"
+    """Leaves the seal header out of the answer."""
     ENCODED = "encoded"
+    """Marks the answer as gzip-encoded."""
     EXTRA = "extra"
-    """It sends a second answer behind the right one."""
+    """Sends a second, unrequested answer after the first one."""
 
 
 class PlainStandIn(StandInServer):
-    """Answers with what it was asked, and counts what it ran."""
+    """Answers with the target and size of each request, and counts the runs of each attempt."""
 
     def __init__(self, address: str, runner_id: str, delay_s: float = 0.0) -> None:
         super().__init__(address)
@@ -41,21 +44,21 @@
         self.delay_s = delay_s
         self.healthy = True
         self.fatal_body: bytes | None = None
-        """Body of a request that ends the runner when it begins to run; None for no request."""
+        """Body of the request that crashes the runner when it starts; None for no such request."""
         self.restarts_immediately = False
-        """Whether another process answers at the address before anybody sees it gone."""
+        """Whether a new process replaces it at its address before anyone notices that it ended."""
         self.fatal_runs = 0
-        """Runs of that request that began here."""
+        """Number of runs of that request that started here."""
         self.faults: list[PlainFault] = []
-        """What goes wrong with the next requests, in turn."""
+        """Faults of the next requests, in order."""
         self.runs_by_attempt: Counter[str] = Counter()
         self.heads: list[RequestHead] = []
         self.disconnected_runs = 0
-        """Requests whose caller left while they ran."""
+        """Number of requests whose caller disconnected while they ran."""
 
     async def answer(self, connection: ClientConnection, head: RequestHead, body: bytes) -> None:
         """Answer one request."""
-        if head.target == HEALTH:
+        if head.target == HEALTH_PATH:
             status = 200 if self.healthy else 503
             await send(connection, status, headers=((b"runner-id", self.runner_id.encode()),))
             return
@@ -72,7 +75,7 @@
         self.runs_by_attempt[attempt] += 1
         if body == self.fatal_body:
             self.fatal_runs += 1
-            await self._end(connection)
+            await self._crash(connection)
             return
         try:
             await trio.sleep(self.delay_s)
@@ -81,7 +84,7 @@
             raise
         await self._answer_run(connection, head, body, attempt, fault)
 
-    async def _end(self, connection: ClientConnection) -> None:
+    async def _crash(self, connection: ClientConnection) -> None:
         if self.restarts_immediately:
             self.runner_id += "-again"
             connection.abort()
@@ -116,9 +119,9 @@
             )
 
     def _headers(self, attempt: str, fault: PlainFault) -> tuple[Header, ...]:
-        told = b"another" if fault is PlainFault.WRONG_ATTEMPT else attempt.encode()
+        answered_attempt = b"another" if fault is PlainFault.WRONG_ATTEMPT else attempt.encode()
         headers: list[Header] = [
-            (b"attempt-id", told),
+            (b"attempt-id", answered_attempt),
             (b"runner-load", b"1,0,6"),
             *self.signal_headers(),
         ]
--- a/standins/platform/_store.py
+++ b/standins/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store: objects by kind and name, with revisions, lists and watches."""
+"""A stand-in for the platform's store: objects by kind and name, with revisions and watches."""
 
 import json
 from enum import Enum
@@ -13,37 +13,38 @@
 
 
 class StoreFault(Enum):
-    """How the store is ill."""
+    """Faults of the store, of which one is active at a time."""
 
     NONE = "none"
     BUSY = "busy"
-    """It answers 503: nothing was done."""
+    """Answers 503 without doing anything."""
     SILENT = "silent"
+    """Never answers, and does nothing."""
     LOST = "lost"
-    """Writes are done, and not answered."""
+    """Applies writes and does not answer them."""
 
 
 class StoreStandIn(StandInServer):
-    """Holds objects in memory and keeps its whole history."""
+    """Keeps objects and the full history of changes in memory."""
 
     def __init__(self, address: str) -> None:
         super().__init__(address)
         self.fault = StoreFault.NONE
         self.calls: list[tuple[str, str]] = []
         self.oldest = 0
-        """Watches from before this revision are told that the history is gone."""
+        """Watches from before this revision are answered 410, as after the history was dropped."""
         self._revision = 1
         self._objects: dict[tuple[str, str], dict] = {}
         self._history: list[tuple[int, str, dict, bool]] = []
         self._changed = trio.Event()
 
     def put(self, kind: str, name: str, spec: dict) -> int:
-        """Write an object as an operator or a runner does; give its revision."""
+        """Write an object as an operator or a runner does; return its revision."""
         self._revision += 1
         metadata = {"name": name, "revision": self._revision, "created": 1, "finalizers": []}
         stored = {"metadata": metadata, "spec": spec, "status": None}
         self._objects[(kind, name)] = stored
-        self._note(kind, stored, deleted=False)
+        self._record_change(kind, stored, deleted=False)
         return self._revision
 
     def remove(self, kind: str, name: str) -> None:
@@ -51,18 +52,18 @@
         stored = self._objects.pop((kind, name), None)
         if stored is not None:
             self._revision += 1
-            self._note(kind, stored, deleted=True)
+            self._record_change(kind, stored, deleted=True)
 
     def spec(self, kind: str, name: str) -> dict | None:
-        """Give what was written last."""
+        """Return the spec that was written last; None if the object does not exist."""
         stored = self._objects.get((kind, name))
         return None if stored is None else stored["spec"]
 
     def forget_history(self) -> None:
-        """Drop all history, so that every watch has to list again."""
+        """Drop the history, so that every watch has to list again."""
         self._revision += 1
         self.oldest = self._revision
-        self._wake()
+        self._notify_watches()
 
     async def answer(self, connection: ClientConnection, head: RequestHead, body: bytes) -> None:
         """Answer one call."""
@@ -74,12 +75,12 @@
             await send(connection, 503)
             return
         kind, _, name = url.path.removeprefix(PREFIX).partition("/")
-        status, document = await self._call(head.method, kind, name, parse_qs(url.query), body)
+        status, document = await self._handle(head.method, kind, name, parse_qs(url.query), body)
         if self.fault is StoreFault.LOST and head.method != b"GET" and status < 300:
             await trio.sleep_forever()
         await send(connection, status, json_body(document))
 
-    async def _call(
+    async def _handle(
         self, method: bytes, kind: str, name: str, query: dict[str, list[str]], body: bytes
     ) -> tuple[int, object]:
         if method == b"GET" and name:
@@ -88,16 +89,16 @@
         if method == b"GET" and "watch" in query:
             return await self._watch(kind, int(query["watch"][0]), int(query["wait-ms"][0]))
         if method == b"GET":
-            items = [stored for (one, _), stored in self._objects.items() if one == kind]
+            items = [stored for (other, _), stored in self._objects.items() if other == kind]
             return 200, {"items": items, "has-more": False, "as-of": self._revision}
         document = json.loads(body) if body else {}
         return self._write(method, kind, name or document["metadata"]["name"], document)
 
     def _write(self, method: bytes, kind: str, name: str, document: dict) -> tuple[int, object]:
-        known = self._objects.get((kind, name))
-        if method == b"POST" and known is not None:
-            return 409, known
-        if method in (b"PUT", b"DELETE") and known is None:
+        existing = self._objects.get((kind, name))
+        if method == b"POST" and existing is not None:
+            return 409, existing
+        if method in (b"PUT", b"DELETE") and existing is None:
             return 404, {}
         if method == b"DELETE":
             self.remove(kind, name)
@@ -116,14 +117,14 @@
     def _changes(self, kind: str, since: int) -> list[dict]:
         return [
             {"deleted": deleted, "object": stored}
-            for revision, one, stored, deleted in self._history
-            if one == kind and revision > since
+            for revision, changed_kind, stored, deleted in self._history
+            if changed_kind == kind and revision > since
         ]
 
-    def _note(self, kind: str, stored: dict, *, deleted: bool) -> None:
+    def _record_change(self, kind: str, stored: dict, *, deleted: bool) -> None:
         self._history.append((self._revision, kind, stored, deleted))
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
