--- a/egretstack/platform/_store.py
+++ b/egretstack/platform/_store.py
@@ -41,7 +41,7 @@
     INSTANCE = "egret-instances"
     """Written by the system itself: one object per instance, under its name."""
     CRASH_RECORD = "egret-crash-records"
-    """Written by the system itself: one object per request whose runners ended while they ran it."""
+    """Written by the system itself: one object per request that runners ended on."""
 
 
 CONFIGURATION_NAME = "main"
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Small stand-ins for what is outside: engines, plain services and the platform.
+"""Small stand-ins for the external systems: engines, plain services and the platform.
 
-Each runs inside a test on trio's mock clock and as a process on loopback
-(`python -m standins`). The wheel leaves this package out.
+Each runs inside a test on trio's mock clock or as a process on loopback (`python -m standins`).
+The package is not part of the wheel.
 """
--- a/standins/access.py
+++ b/standins/access.py
@@ -1,4 +1,4 @@
-"""Access of one process to the stand-ins of a world, through the gate of that process."""
+"""Access of one process to the stand-ins of a simulated deployment, through the process's gate."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -41,7 +41,7 @@
 
 
 class GatedEngine(EngineClient):
-    """An engine as one process reaches it."""
+    """The client of an engine in one process."""
 
     def __init__(self, inner: EngineClient, gate: Gate) -> None:
         self._inner = inner
@@ -51,43 +51,43 @@
     async def generate(self, request: GenerationRequest) -> AsyncIterator[AsyncIterator]:
         """Start a generation."""
         async with AsyncExitStack() as stack:
-            opened = self._inner.generate(request)
+            stream = self._inner.generate(request)
             events = await self._gate.send(
-                Seam.ENGINE_REQUESTED, request.prompt, lambda: stack.enter_async_context(opened)
+                Seam.ENGINE_REQUESTED, request.prompt, lambda: stack.enter_async_context(stream)
             )
             await self._gate.notify(Seam.ENGINE_ACCEPTED, request.prompt)
             yield self._events(events)
 
     @asynccontextmanager
     async def resume(self, generation: GenerationId, after: int) -> AsyncIterator[AsyncIterator]:
-        """Follow a generation after a sequence number."""
+        """Stream a generation's events after a sequence number."""
         await self._gate.wait()
         async with self._inner.resume(generation, after) as events:
             await self._gate.wait()
             yield self._events(events)
 
     async def cancel(self, generation: GenerationId) -> None:
-        """End a generation."""
+        """Cancel a generation."""
         await self._gate.call(lambda: self._inner.cancel(generation))
 
     async def state(self, generation: GenerationId) -> GenerationState:
-        """Ask after a generation."""
+        """Return the state of a generation."""
         return await self._gate.call(lambda: self._inner.state(generation))
 
     async def models(self) -> tuple[ModelName, ...]:
-        """Read which models the engine serves."""
+        """Return the models that the engine serves."""
         return await self._gate.call(self._inner.models)
 
     async def load(self) -> LoadReport:
-        """Read the load report."""
+        """Return the load report."""
         return await self._gate.call(self._inner.load)
 
     async def cache_events(self, after: int) -> list[CacheEvent]:
-        """Read cache events."""
+        """Return cache events after a number."""
         return await self._gate.call(lambda: self._inner.cache_events(after))
 
     async def order(self, order: Order) -> None:
-        """Give an order."""
+        """Send an order to the engine."""
         await self._gate.send(Seam.ORDER_SENT, order, lambda: self._inner.order(order))
         await self._gate.wait()
         await self._gate.notify(Seam.ORDER_ACCEPTED, order)
@@ -102,9 +102,9 @@
 class PlainFaults:
     """Faults of one runner of a plain service.
 
-    `dead`: connections are refused and calls in progress get no answer, though one that has
-    arrived is carried out. `stalled`: nothing moves. `silent`: answers of calls in progress are
-    lost without a sign; set `silent` back to let new calls work.
+    `dead`: connections are refused and calls in progress get no answer, although a call that has
+    arrived is still executed. `stalled`: no data is transferred. `silent`: answers of calls in
+    progress are lost without a connection error; reset `silent` to let new calls work.
     """
 
     dead: bool = False
@@ -113,17 +113,17 @@
 
 
 @dataclass
-class _Sent:
-    """A call that arrived, and what came of it."""
+class _SentCall:
+    """A call that arrived, and its outcome."""
 
     done: trio.Event = field(default_factory=trio.Event)
     outcome: CallResponse | Exception | None = None
 
 
 class GatedPlain(PlainService):
-    """A runner of a plain service as one process reaches it.
+    """The client of a plain service's runner in one process.
 
-    A call that arrived is carried out whatever becomes of its connection or its caller.
+    A call that arrived is executed whatever happens to its connection or its caller.
     """
 
     def __init__(
@@ -137,16 +137,16 @@
     async def call(
         self, request: CallRequest, check: Callable[[], None] | None = None
     ) -> CallResponse:
-        """Make a call; a freeze strikes between the last check and the first byte."""
+        """Make a call; a pause takes effect between the last check and the first byte."""
         await self._gate.wait()
         await self._connect()
         if check is not None:
             check()
         sent = await self._gate.send(Seam.CALL_SENT, request, lambda: self._send(request))
         with trio.move_on_after(request.timeout_s):
-            answer = await self._answer(sent)
+            answer = await self._wait_for_outcome(sent)
             await self._gate.notify(Seam.CALL_RAN, request)
-            await self._arrive()
+            await self._receive_answer()
             return answer
         await self._gate.wait()
         raise OutcomeUnknown("no answer in time")
@@ -157,38 +157,38 @@
         if self._faults.stalled:
             await trio.sleep(CONNECT_TIMEOUT_S)
             raise Unsent(NotRunProof("connection timed out"))
-        self._refuse_dead()
+        self._refuse_if_dead()
 
-    def _refuse_dead(self) -> None:
+    def _refuse_if_dead(self) -> None:
         if self._faults.dead:
             raise Unsent(NotRunProof("connection refused"))
 
-    async def _send(self, request: CallRequest) -> "_Sent":
-        """Have the call carried out in a task of the world, which outlives this process."""
-        self._refuse_dead()
+    async def _send(self, request: CallRequest) -> "_SentCall":
+        """Execute the call in a task of the deployment, which outlives this process."""
+        self._refuse_if_dead()
         if self._inner.sending is not None:
-            # A frozen process keeps no time: its bytes leave before its timers run.
+            # A paused process runs no timers: its bytes are sent before a timeout fires.
             with trio.CancelScope(shield=True):
                 await self._inner.sending.wait()
-        sent = _Sent()
+        sent = _SentCall()
 
-        async def carry_out() -> None:
+        async def execute() -> None:
             try:
                 sent.outcome = await self._inner.call(request)
             except (Unsent, OutcomeUnknown) as error:
                 sent.outcome = error
             sent.done.set()
 
-        self._nursery.start_soon(carry_out)
+        self._nursery.start_soon(execute)
         return sent
 
-    async def _answer(self, sent: "_Sent") -> CallResponse:
+    async def _wait_for_outcome(self, sent: "_SentCall") -> CallResponse:
         await sent.done.wait()
         if isinstance(sent.outcome, CallResponse):
             return sent.outcome
         raise sent.outcome
 
-    async def _arrive(self) -> None:
+    async def _receive_answer(self) -> None:
         if self._faults.dead:
             raise OutcomeUnknown("connection reset")
         while self._faults.stalled:
@@ -198,26 +198,26 @@
 
 
 class GatedList(InstanceList):
-    """The instance list as one process reads it."""
+    """The client of the instance list in one process."""
 
     def __init__(self, inner: InstanceList, gate: Gate) -> None:
         self._inner = inner
         self._gate = gate
 
     async def members(self) -> list[Member]:
-        """Read every member."""
+        """Return every member."""
         return await self._gate.call(self._inner.members)
 
 
 class GatedStream(trio.abc.Stream):
-    """A stream to a peer as one process uses it."""
+    """One process's end of a stream to a peer."""
 
     def __init__(self, inner: trio.abc.Stream, gate: Gate) -> None:
         self._inner = inner
         self._gate = gate
 
     async def send_all(self, data: bytes) -> None:
-        """Send."""
+        """Send data."""
         await self._gate.wait()
         await self._inner.send_all(data)
 
@@ -226,18 +226,18 @@
         await self._inner.wait_send_all_might_not_block()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Receive."""
+        """Receive data."""
         data = await self._inner.receive_some(max_bytes)
         await self._gate.wait()
         return data
 
     async def aclose(self) -> None:
-        """Close; the kernel does it for a killed process."""
+        """Close, as the operating system does for a killed process too."""
         await self._inner.aclose()
 
 
 class InProcessAccess(PlatformAccess):
-    """Reaches the stand-ins of a world."""
+    """Access to the stand-ins of a simulated deployment."""
 
     def __init__(self, kernel: Kernel, world: "World", host: str, gate: Gate) -> None:
         super().__init__(kernel)
@@ -250,14 +250,14 @@
         self.instance_list = GatedList(world.listed, gate)
 
     def engine(self, member: Member) -> EngineClient:
-        """Make the client of an engine."""
+        """Create the client of an engine."""
         standin = self._world.engine_by_id[RunnerId(member.id)]
         silence_s = self.kernel.settings.number("engines", "silence_s")
         inner = InProcessEngine(standin.live, standin.faults, silence_s)
         return GatedEngine(inner, self.gate)
 
     def plain(self, member: Member) -> PlainService:
-        """Make the client of a plain service's runner."""
+        """Create the client of a plain service's runner."""
         inner = self._world.plain_by_id[member.id]
         faults = self._world.plain_faults_by_id[member.id]
         return GatedPlain(inner, faults, self.gate, self._world.nursery)
@@ -275,7 +275,7 @@
         port: int,
         task_status: trio.TaskStatus[object],
     ) -> None:
-        """Serve peers."""
+        """Accept streams from peers."""
 
         async def handle(stream: trio.abc.Stream) -> None:
             await handler(GatedStream(stream, self.gate))
@@ -291,7 +291,7 @@
         *,
         task_status: trio.TaskStatus[object],
     ) -> None:
-        """Serve callers of the world's own network; a test may also call the application."""
+        """Serve callers on the simulated network; a test may also call the application directly."""
         self.app_by_address[address] = app
         await self._world.http.serve(app, address, self.gate, stop, task_status)
 
--- a/standins/engine_client.py
+++ b/standins/engine_client.py
@@ -1,4 +1,4 @@
-"""An engine client that reaches a live engine inside the same process, with faults."""
+"""An engine client that uses a live engine in the same process, with injected faults."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -24,17 +24,17 @@
 from standins.live_engine import Generation, LiveEngine
 
 CONNECT_TIMEOUT_S = 2.0
-EVENTS_EARLY = 2
-LEFT_OUT_AFTER = 3
+REPEATED_EVENTS = 2
+SKIPPED_OFFSET = 3
 
 
 class EngineFaults:
-    """Faults of one engine, shared by every client of it.
+    """Faults of one engine, shared by all its clients.
 
-    `dead`: connections are refused and open streams break. `stalled`: nothing moves on any
-    connection. `silent_before`: streams opened before that time are silent for good, new ones
-    work. `full`: new generations are refused. `untidy`: a resumed stream begins some events early,
-    and the first one of each generation leaves an event out.
+    `dead`: connections are refused and open streams break. `stalled`: no data is transferred on any
+    connection. `silent_before`: streams opened before that time never send again; new ones work.
+    `full`: new generations are refused. `faulty_resume`: a resumed stream repeats some events, and
+    the first resumed stream of each generation skips an event.
     """
 
     def __init__(self) -> None:
@@ -47,13 +47,13 @@
         self.changed = trio.Event()
 
     def wake(self) -> None:
-        """Let open streams see a change of the faults."""
+        """Make open streams apply a change of the faults."""
         self.changed.set()
         self.changed = trio.Event()
 
 
 class InProcessEngine(EngineClient):
-    """Reaches `live`; `silence_s` is the longest wait for the next event, in seconds."""
+    """Client of `live`; `silence_s` is the max time between two events, in seconds."""
 
     def __init__(self, live: LiveEngine, faults: EngineFaults, silence_s: float) -> None:
         self._live = live
@@ -63,50 +63,50 @@
     @asynccontextmanager
     async def generate(self, request: GenerationRequest) -> AsyncIterator[AsyncIterator]:
         """Start a generation."""
-        await self._reach()
+        await self._connect()
         if self._faults.full:
             raise EngineRefused("full", 1.0)
         yield self._events(self._live.start(request), -1)
 
     @asynccontextmanager
     async def resume(self, generation: GenerationId, after: int) -> AsyncIterator[AsyncIterator]:
-        """Follow a generation after a sequence number."""
-        await self._reach()
+        """Stream a generation's events after a sequence number."""
+        await self._connect()
         found = self._find(generation)
         if self._faults.faulty_resume:
-            yield self._untidy(found, after)
+            yield self._faulty_events(found, after)
         else:
             yield self._events(found, after)
 
     async def cancel(self, generation: GenerationId) -> None:
-        """End a generation."""
-        await self._reach()
+        """Cancel a generation."""
+        await self._connect()
         if generation in self._live.by_id:
             self._live.cancel(self._live.by_id[generation])
 
     async def state(self, generation: GenerationId) -> GenerationState:
-        """Ask after a generation."""
-        await self._reach()
+        """Return the state of a generation."""
+        await self._connect()
         return self._find(generation).state
 
     async def load(self) -> LoadReport:
-        """Read the load report."""
-        await self._reach()
+        """Return the load report."""
+        await self._connect()
         return self._live.load()
 
     async def cache_events(self, after: int) -> list[CacheEvent]:
-        """Read cache events."""
-        await self._reach()
+        """Return cache events after a number."""
+        await self._connect()
         return self._live.cache_events(after)
 
     async def models(self) -> tuple[ModelName, ...]:
-        """Read which models the engine serves."""
-        await self._reach()
+        """Return the models that the engine serves."""
+        await self._connect()
         return self._live.models
 
     async def order(self, order: Order) -> None:
-        """Give an order."""
-        await self._reach()
+        """Send an order to the engine."""
+        await self._connect()
         self._live.order(order)
 
     def _find(self, generation: GenerationId) -> Generation:
@@ -114,7 +114,7 @@
             raise GenerationGone(generation)
         return self._live.by_id[generation]
 
-    async def _reach(self) -> None:
+    async def _connect(self) -> None:
         await trio.lowlevel.checkpoint()
         if self._faults.dead:
             raise EngineUnreachable("connection refused")
@@ -139,10 +139,12 @@
                     return
             await self._wait(changed, faults_changed)
 
-    async def _untidy(self, generation: Generation, after: int) -> AsyncIterator[EngineEvent]:
-        left_out = after + LEFT_OUT_AFTER if generation.id not in self._faults.skipped else None
-        async for event in self._events(generation, max(-1, after - EVENTS_EARLY)):
-            if event.sequence == left_out:
+    async def _faulty_events(
+        self, generation: Generation, after: int
+    ) -> AsyncIterator[EngineEvent]:
+        skipped = after + SKIPPED_OFFSET if generation.id not in self._faults.skipped else None
+        async for event in self._events(generation, max(-1, after - REPEATED_EVENTS)):
+            if event.sequence == skipped:
                 self._faults.skipped.add(generation.id)
             else:
                 yield event
@@ -151,11 +153,11 @@
         return self._faults.stalled or opened_s < self._faults.silent_before
 
     async def _wait(self, *events: trio.Event) -> None:
-        with trio.move_on_after(self._silence_s) as silence:
+        with trio.move_on_after(self._silence_s) as timeout:
             async with trio.open_nursery() as nursery:
                 for event in events:
                     nursery.start_soon(_cancel_after, event, nursery.cancel_scope)
-        if silence.cancelled_caught:
+        if timeout.cancelled_caught:
             raise EngineSilent("no event")
 
 
--- a/standins/engine_http.py
+++ b/standins/engine_http.py
@@ -19,7 +19,7 @@
 
 
 def make_engine_app(engine: LiveEngine) -> QuartTrio:
-    """Build the app; the caller runs `engine.run` beside it."""
+    """Build the app; the caller must run `engine.run` concurrently."""
     app = QuartTrio("engine-standin")
 
     @app.post("/v1/responses")
@@ -54,11 +54,11 @@
         engine.cancel(generation)
         return _json({"id": generation.id, "status": generation.state.value})
 
-    _add_load(app, engine)
+    _add_internal_routes(app, engine)
     return app
 
 
-def _add_load(app: QuartTrio, engine: LiveEngine) -> None:
+def _add_internal_routes(app: QuartTrio, engine: LiveEngine) -> None:
     @app.get("/cache-events")
     async def cache_events() -> Response:
         events = engine.cache_events(int(request.args.get("after", "0")))
@@ -79,15 +79,15 @@
             return Response(b"", status=409)
         return _json({"models": list(engine.models)})
 
-    readings = Counter()
+    read_counts = Counter()
 
     @app.get("/readings")
-    async def count() -> Response:
-        return _json(readings)
+    async def get_readings() -> Response:
+        return _json(read_counts)
 
     @app.get("/metrics")
     async def metrics() -> Response:
-        readings["load"] += 1
+        read_counts["load"] += 1
         return Response(_metrics_text(engine), content_type="text/plain; version=0.0.4")
 
 
@@ -111,12 +111,12 @@
 
 
 def _stream(generation: Generation, after: int) -> Response:
-    response = Response(_lines(generation, after), content_type="text/event-stream")
+    response = Response(_event_stream(generation, after), content_type="text/event-stream")
     response.timeout = None
     return response
 
 
-async def _lines(generation: Generation, after: int) -> AsyncIterator[bytes]:
+async def _event_stream(generation: Generation, after: int) -> AsyncIterator[bytes]:
     position = after + 1
     while True:
         changed = generation.changed
--- a/standins/gate.py
+++ b/standins/gate.py
@@ -1,10 +1,11 @@
-"""A gate that every outside call of one process passes: it freezes, kills and observes it.
-
-Models SIGSTOP and SIGKILL inside one process: what a frozen process would send or receive waits
-at the gate until the thaw. A call that was about to leave when the freeze struck leaves at the
-thaw before any timer of the process can take it back, as after a pause between the last check
-and the first byte. Not modelled: the process's memory and timers go on during the freeze, so
-it counts timeouts that a stopped process would not. Process tests use the real signal.
+"""A gate for all external calls of one simulated process: pauses, kills and observes it.
+
+Models SIGSTOP and SIGKILL inside one process: data that a paused process would send or receive
+waits at the gate until the process is resumed. A call that was about to be sent when the pause
+began is sent on resumption, before any timer of the process can cancel it, like a real pause
+between the last check and the first byte. Not modelled: the memory and the timers of the process
+stay active during the pause, so it counts timeouts that a stopped process would not. Process tests
+use the real signals.
 """
 
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -22,66 +23,66 @@
 
 
 class Seam(Enum):
-    """A place at the edge of a process where a test can strike."""
+    """A point in the external calls of a process at which a test can inject a fault."""
 
-    STORE_WRITE = "a write to the object API is about to leave"
+    STORE_WRITE = "a write to the object API is about to be sent"
     STORE_WRITTEN = "a write to the object API was answered"
-    ENGINE_REQUESTED = "a new generation is about to be asked for"
+    ENGINE_REQUESTED = "a request for a new generation is about to be sent"
     ENGINE_ACCEPTED = "an engine accepted a generation"
-    CALL_SENT = "a call to a plain service is about to leave"
-    CALL_RAN = "a plain service carried a call out; its answer is on the way"
-    ORDER_SENT = "an order to an engine is about to leave"
-    ORDER_ACCEPTED = "an engine took an order"
+    CALL_SENT = "a call to a plain service is about to be sent"
+    CALL_RAN = "a plain service executed a call; its answer has not arrived yet"
+    ORDER_SENT = "an order to an engine is about to be sent"
+    ORDER_ACCEPTED = "an engine accepted an order"
 
 
 Observer = Callable[["Gate", Seam, object], None]
-"""Told of the process, the place, and its subject: a write, a prompt, a call, an order."""
+"""Called with the gate, the seam, and its subject: a write, a prompt, a call or an order."""
 
 
 @dataclass(frozen=True)
 class Write:
-    """The object that a write to the object API is for."""
+    """Identifies the object of a write to the object API."""
 
     kind: ObjectKind
     name: str
 
 
 class ProcessKilled(BaseException):
-    """Ends the tasks of a killed process, also the ones that are shielded from cancellation."""
+    """Ends the tasks of a killed process, including those shielded from cancellation."""
 
 
 class Gate:
-    """The gate of one process; `observers` belong to the whole world."""
+    """The gate of one process; `observers` are shared by all processes of the deployment."""
 
     def __init__(self, process: str, observers: list[Observer]) -> None:
         self.process = process
         self.dead = False
         self._observers = observers
-        self._opened = trio.Event()
-        self._opened.set()
+        self._resumed = trio.Event()
+        self._resumed.set()
 
     @property
     def paused(self) -> bool:
-        """Tell whether the process is frozen."""
-        return not self._opened.is_set()
+        """Return whether the process is paused."""
+        return not self._resumed.is_set()
 
     def pause(self) -> None:
-        """Hold everything that passes, until `thaw`."""
+        """Hold everything that passes the gate until `resume`."""
         if not self.paused:
-            self._opened = trio.Event()
+            self._resumed = trio.Event()
 
     def resume(self) -> None:
-        """Let everything pass again."""
-        self._opened.set()
+        """Let held calls and data pass."""
+        self._resumed.set()
 
     async def wait(self) -> None:
-        """Pass; a killed process never does."""
-        await self._opened.wait()
+        """Wait until the process is not paused. Raises ProcessKilled if it was killed."""
+        await self._resumed.wait()
         if self.dead:
             raise ProcessKilled(self.process)
 
     async def call(self, call: Callable[[], Awaitable[T]]) -> T:
-        """Make a call; its answer or its error passes the gate as well."""
+        """Make a call; its result or error has to pass the gate as well."""
         await self.wait()
         try:
             result = await call()
@@ -92,14 +93,14 @@
         return result
 
     async def notify(self, seam: Seam, subject: object) -> None:
-        """Tell the observers, then let what they did take effect."""
-        self._tell(seam, subject)
+        """Notify the observers, then wait if they paused the process."""
+        self._call_observers(seam, subject)
         await self.wait()
 
     async def send(self, seam: Seam, subject: object, call: Callable[[], Awaitable[T]]) -> T:
-        """Make a call after telling the observers; a freeze strikes just before it leaves."""
+        """Notify the observers, then make a call; a pause takes effect just before it is sent."""
         await self.wait()
-        self._tell(seam, subject)
+        self._call_observers(seam, subject)
         if self.dead:
             raise ProcessKilled(self.process)
         if not self.paused:
@@ -108,13 +109,13 @@
             await self.wait()
             return await call()
 
-    def _tell(self, seam: Seam, subject: object) -> None:
+    def _call_observers(self, seam: Seam, subject: object) -> None:
         for observer in list(self._observers):
             observer(self, seam, subject)
 
 
 class GatedObjectApi(ObjectApi):
-    """The object API as one process reaches it."""
+    """The client of the object API in one process."""
 
     def __init__(self, inner: InProcessObjectApi, gate: Gate) -> None:
         self.inner = inner
@@ -122,12 +123,12 @@
 
     @property
     def store(self) -> ObjectStore:
-        """Give the store behind it."""
+        """Return the store that it uses."""
         return self.inner.store
 
     @property
     def cut(self) -> bool:
-        """Tell whether this process alone is cut off; set it to do so."""
+        """Whether only this process is disconnected from the store."""
         return self.inner.cut
 
     @cut.setter
@@ -135,11 +136,11 @@
         self.inner.cut = cut
 
     async def get(self, kind: ObjectKind, name: str) -> StoredObject | None:
-        """Read one object."""
+        """Return one object; None if it does not exist."""
         return await self._gate.call(lambda: self.inner.get(kind, name))
 
     async def list(self, kind: ObjectKind) -> list[StoredObject]:
-        """Read all objects of a kind."""
+        """Return all objects of a kind."""
         return await self._gate.call(lambda: self.inner.list(kind))
 
     async def create(self, kind: ObjectKind, name: str, spec: dict) -> StoredObject:
@@ -160,7 +161,7 @@
     async def watch(
         self, kind: ObjectKind, since: str | None, life_s: float = WATCH_LIFE_S
     ) -> AsyncIterator[AsyncIterator[WatchChange]]:
-        """Follow changes."""
+        """Watch the changes of a kind."""
         await self._gate.wait()
         async with self.inner.watch(kind, since, life_s) as changes:
             yield self._changes(changes)
--- a/standins/live_engine.py
+++ b/standins/live_engine.py
@@ -1,4 +1,4 @@
-"""An engine stand-in that runs on trio's clock: the model of an engine plus its generations."""
+"""An engine stand-in on trio's clock: an engine model and the generations that it runs."""
 
 import random
 import re
@@ -23,13 +23,13 @@
 )
 
 CHARACTERS_PER_TOKEN = 4
-FORGET_AFTER_S = 120.0
+RETENTION_S = 120.0
 CACHE_EVENT_DELAY_S = 1.0
 CACHE_EVENT_LOSS = 0.2
 PREFIX_CHARACTERS = 256
 _LENGTH = re.compile(r"tokens:(\d+)")
 _WORDS = ("wind", "road", "shift", "ferry", "child", "note", "house", "hill", "seat", "rain")
-_FINAL = {
+_FINAL_EVENT_BY_STATE = {
     GenerationState.COMPLETED: EngineEventKind.COMPLETED,
     GenerationState.CANCELLED: EngineEventKind.CANCELLED,
     GenerationState.FAILED: EngineEventKind.FAILED,
@@ -37,12 +37,12 @@
 
 
 def prompt_tokens(prompt: str) -> int:
-    """Count a prompt's tokens, roughly."""
+    """Estimate the number of tokens of a prompt."""
     return max(1, len(prompt) // CHARACTERS_PER_TOKEN)
 
 
 def output_length(prompt: str, limit: int) -> int:
-    """Give the length an answer will have: as `tokens:N` in the prompt says, or drawn from it."""
+    """Return the output length: N if the prompt has `tokens:N`, else drawn from its checksum."""
     match = _LENGTH.search(prompt)
     if match:
         return max(1, min(int(match.group(1)), limit))
@@ -52,7 +52,7 @@
 
 @dataclass
 class Generation:
-    """One generation: its events so far, and who waits for more."""
+    """One generation: its events so far, and the trigger for its readers."""
 
     id: GenerationId
     prompt: str
@@ -62,20 +62,20 @@
     ended_s: float | None = None
 
     def add(self, kind: EngineEventKind, text: str = "") -> None:
-        """Append an event and wake who waits."""
+        """Append an event and wake the waiting readers."""
         self.events.append(EngineEvent(self.id, len(self.events), kind, text))
         self.changed.set()
         self.changed = trio.Event()
 
     def end(self, state: GenerationState, now_s: float) -> None:
-        """Append the last event."""
+        """Set the final state and append the last event."""
         self.state = state
         self.ended_s = now_s
-        self.add(_FINAL[state])
+        self.add(_FINAL_EVENT_BY_STATE[state])
 
 
 class LiveEngine:
-    """Runs an engine model in real or mock time; start `run` in a nursery."""
+    """Runs an engine model on the real or a mock clock; start `run` in a nursery."""
 
     def __init__(
         self,
@@ -90,15 +90,15 @@
         self.by_id: dict[GenerationId, Generation] = {}
         self.orders: list[Order] = []
         self.on_start: Callable[[Generation], None] = _ignore
-        """Told of each generation that the engine accepts."""
+        """Called with each generation that the engine accepts."""
         self.text: Callable[[Generation], str] = _word
-        """Gives the text of a generation's next token."""
+        """Returns the text of a generation's next token."""
         self.leaving = False
         self._checks_fencing = checks_fencing
         self._fencing = 0
         self._rng = random.Random(seed)
-        self._work = trio.Event()
-        self._cache_log: list[tuple[float, CacheEvent]] = []
+        self._submitted = trio.Event()
+        self._cache_events: list[tuple[float, CacheEvent]] = []
         self._cached: set[str] = set()
 
     def start(self, request: GenerationRequest) -> Generation:
@@ -115,17 +115,17 @@
             prefix=request.prompt[:PREFIX_CHARACTERS],
             priority=request.priority,
         )
-        self._work.set()
+        self._submitted.set()
         return generation
 
     def cancel(self, generation: Generation) -> None:
-        """End a generation that runs still."""
+        """Cancel a generation unless it has ended."""
         if generation.ended_s is None:
             self.model.cancel(generation.id)
             generation.end(GenerationState.CANCELLED, trio.current_time())
 
     def order(self, order: Order) -> None:
-        """Carry an order out; an engine that checks fencing refuses an old number."""
+        """Execute an order. Raises OrderRefused for an old fencing number, if those are checked."""
         if self._checks_fencing and order.fencing < self._fencing:
             raise OrderRefused(order.id)
         self._fencing = max(self._fencing, order.fencing)
@@ -133,7 +133,7 @@
         self.orders.append(order)
 
     def load(self) -> LoadReport:
-        """Give the lagging load report."""
+        """Return the engine's load report, which lags behind."""
         now_s = trio.current_time()
         snapshot = self.model.report(now_s)
         return LoadReport(
@@ -147,18 +147,18 @@
         )
 
     def cache_events(self, after: int) -> list[CacheEvent]:
-        """Give cache events, late and with gaps."""
+        """Return cache events after a number; they are delayed, and some are missing."""
         ready_s = trio.current_time() - CACHE_EVENT_DELAY_S
-        return [e for at_s, e in self._cache_log if at_s <= ready_s and e.number > after]
+        return [e for at_s, e in self._cache_events if at_s <= ready_s and e.number > after]
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Step the model for ever."""
+        """Step the model forever."""
         task_status.started()
         while True:
             at_s = self.model.next_step_s()
             if at_s is None:
-                self._work = trio.Event()
-                await self._work.wait()
+                self._submitted = trio.Event()
+                await self._submitted.wait()
                 continue
             await trio.sleep_until(at_s)
             self._step()
@@ -172,25 +172,25 @@
                 generation.add(EngineEventKind.TOKEN, self.text(generation))
             elif output.kind is OutputKind.FINISHED:
                 generation.end(GenerationState.COMPLETED, now_s)
-        self._note_cache(now_s)
-        self._forget(now_s)
+        self._record_cache_events(now_s)
+        self._forget_expired(now_s)
 
-    def _note_cache(self, now_s: float) -> None:
+    def _record_cache_events(self, now_s: float) -> None:
         cached = set(self.model.cached_prefixes())
         for prefix in sorted(cached ^ self._cached):
-            number = len(self._cache_log) + 1
+            number = len(self._cache_events) + 1
             if self._rng.random() >= CACHE_EVENT_LOSS:
                 event = CacheEvent(number, prefix, prefix in cached)
-                self._cache_log.append((now_s, event))
+                self._cache_events.append((now_s, event))
         self._cached = cached
 
-    def _forget(self, now_s: float) -> None:
-        old = [
-            one.id
-            for one in self.by_id.values()
-            if one.ended_s is not None and now_s - one.ended_s > FORGET_AFTER_S
+    def _forget_expired(self, now_s: float) -> None:
+        expired = [
+            generation.id
+            for generation in self.by_id.values()
+            if generation.ended_s is not None and now_s - generation.ended_s > RETENTION_S
         ]
-        for generation_id in old:
+        for generation_id in expired:
             del self.by_id[generation_id]
 
 
--- a/standins/object_store.py
+++ b/standins/object_store.py
@@ -1,4 +1,4 @@
-"""The platform's object API as a stand-in: versions, conditional updates, watches and faults."""
+"""A stand-in for the platform's object API: versions, conditional updates, watches and faults."""
 
 import json
 from collections import Counter
@@ -26,7 +26,7 @@
 
 @dataclass
 class Faults:
-    """Faults that are switched on. `delay_s` slows each call; counts run down as they strike."""
+    """Active faults. `delay_s` delays each call; the counts are the calls still to be lost."""
 
     down: bool = False
     delay_s: float = 0.0
@@ -37,7 +37,7 @@
 
 @dataclass
 class ObjectStore:
-    """The objects, their versions, and the history that watches read."""
+    """The objects, their versions, and the history of changes for watches."""
 
     by_place: dict[tuple[ObjectKind, str], StoredObject] = field(default_factory=dict)
     history: list[tuple[int, WatchChange]] = field(default_factory=list)
@@ -48,7 +48,7 @@
     waiting_watches: int = 0
 
     def put(self, kind: ObjectKind, name: str, spec: dict, version: str | None) -> StoredObject:
-        """Create (version None) or replace; raise Conflict."""
+        """Create (if `version` is None) or replace an object. Raises Conflict."""
         found = self.by_place.get((kind, name))
         if (found.version if found else None) != version:
             raise Conflict(name)
@@ -56,64 +56,64 @@
         copy = json.loads(json.dumps(spec))
         stored = StoredObject(kind, name, str(self.version), copy)
         self.by_place[kind, name] = stored
-        self._record(WatchKind.MODIFIED if found else WatchKind.ADDED, stored)
+        self._record_change(WatchKind.MODIFIED if found else WatchKind.ADDED, stored)
         return stored
 
     def remove(self, kind: ObjectKind, name: str, version: str) -> None:
-        """Delete; raise Conflict."""
+        """Delete an object. Raises Conflict."""
         found = self.by_place.get((kind, name))
         if found is None or found.version != version:
             raise Conflict(name)
         self.version += 1
         del self.by_place[kind, name]
-        gone = StoredObject(kind, name, str(self.version), found.spec)
-        self._record(WatchKind.DELETED, gone)
+        deleted = StoredObject(kind, name, str(self.version), found.spec)
+        self._record_change(WatchKind.DELETED, deleted)
 
     def of_kind(self, kind: ObjectKind) -> list[StoredObject]:
-        """Give all objects of a kind."""
-        return [one for (found, _), one in self.by_place.items() if found is kind]
+        """Return all objects of a kind."""
+        return [stored for (other, _), stored in self.by_place.items() if other is kind]
 
     def changes_since(self, kind: ObjectKind, version: int) -> list[tuple[int, WatchChange]]:
-        """Give the changes after a version; raise WatchLost where the history is too short."""
+        """Return the changes after a version. Raises WatchLost if the history is too short."""
         if self.history and version < self.history[0][0] - 1:
             raise WatchLost("too old")
         return [row for row in self.history if row[0] > version and row[1].object.kind is kind]
 
     def snapshot(self) -> dict:
-        """Copy the objects, for a test that restores an older state."""
+        """Return a copy of the objects, for a test that restores an older state."""
         return dict(self.by_place)
 
     def restore(self, snapshot: dict) -> None:
-        """Put an older copy of the objects in place, as a restore from a backup does."""
+        """Replace the objects by an older copy, as a restore from a backup does."""
         self.by_place = dict(snapshot)
         self.history.clear()
         self.version += 1
-        self._wake()
+        self._notify_watches()
 
-    def _record(self, kind: WatchKind, stored: StoredObject) -> None:
+    def _record_change(self, kind: WatchKind, stored: StoredObject) -> None:
         self.history.append((self.version, WatchChange(kind, stored)))
         del self.history[:-HISTORY_LENGTH]
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self.changed.set()
         self.changed = trio.Event()
 
 
 class InProcessObjectApi(ObjectApi):
-    """The store as seen by one client. `cut` cuts this client alone off."""
+    """The client of the store in one process. `cut` disconnects only this client."""
 
     def __init__(self, store: ObjectStore) -> None:
         self.store = store
         self.cut = False
 
     async def get(self, kind: ObjectKind, name: str) -> StoredObject | None:
-        """Read one object."""
+        """Return one object; None if it does not exist."""
         await self._call("get", kind)
         return self.store.by_place.get((kind, name))
 
     async def list(self, kind: ObjectKind) -> list[StoredObject]:
-        """Read all objects of a kind."""
+        """Return all objects of a kind."""
         await self._call("list", kind)
         return self.store.of_kind(kind)
 
@@ -144,7 +144,7 @@
     async def watch(
         self, kind: ObjectKind, since: str | None, life_s: float = WATCH_LIFE_S
     ) -> AsyncIterator[AsyncIterator[WatchChange]]:
-        """Follow changes."""
+        """Watch the changes of a kind."""
         await self._call("watch", kind)
         start = self.store.version if since is None else int(since)
         self.store.changes_since(kind, start)
@@ -169,8 +169,8 @@
                 await changed.wait()
                 continue
             if not self.store.faults.silent_watches:
-                mark = StoredObject(kind, "", str(self.store.version), {})
-                yield WatchChange(WatchKind.BOOKMARK, mark)
+                bookmark = StoredObject(kind, "", str(self.store.version), {})
+                yield WatchChange(WatchKind.BOOKMARK, bookmark)
                 return
             await trio.sleep_forever()
 
--- a/standins/plain_service.py
+++ b/standins/plain_service.py
@@ -1,4 +1,4 @@
-"""A plain service stand-in: seat holds and lookups, in a test or as a process."""
+"""A plain service stand-in with seat holds and lookups, inside a test or as a process."""
 
 import json
 from collections import Counter
@@ -25,7 +25,7 @@
 
 @dataclass
 class PlainServiceState:
-    """What the service has done: how often each idempotency key ran."""
+    """State and faults of the service, including how often each idempotency key ran."""
 
     delay_s: float = 0.0
     offers_lookup: bool = False
@@ -37,49 +37,49 @@
     lose_answers: int = 0
 
     async def handle(self, method: str, path: str, headers: dict[str, str]) -> CallResponse:
-        """Carry out one call."""
+        """Execute one call."""
         if method == "GET" and path.startswith("/outcomes/"):
             return self._outcome(headers)
         await trio.sleep(self.delay_s)
         if method == "GET":
             return _answer(200, {"path": path, "free_seats": 12})
         key = headers.get(KEY_HEADER, "")
-        refused = self._fence(headers)
-        if refused is not None:
-            return refused
-        self.ran.add(_scope(headers))
+        refusal = self._check_fencing(headers)
+        if refusal is not None:
+            return refusal
+        self.ran.add(_key_scope(headers))
         self.runs_by_key[key] += 1
         hold = f"hold-{sum(self.runs_by_key.values())}"
         return _answer(201, {"path": path, "hold": hold, "padding": "x" * self.padding})
 
     def _outcome(self, headers: dict[str, str]) -> CallResponse:
-        """Answer a look-up; its fencing number shuts out older ones from then on."""
+        """Answer a lookup; older fencing numbers are refused from then on."""
         if not self.offers_lookup:
             return _answer(404, {})
-        refused = self._fence(headers)
-        if refused is not None:
-            return refused
-        return _answer(200, {"ran": _scope(headers) in self.ran})
+        refusal = self._check_fencing(headers)
+        if refusal is not None:
+            return refusal
+        return _answer(200, {"ran": _key_scope(headers) in self.ran})
 
-    def _fence(self, headers: dict[str, str]) -> CallResponse | None:
-        """Keep the highest number of a key, and refuse a lower one."""
+    def _check_fencing(self, headers: dict[str, str]) -> CallResponse | None:
+        """Refuse a fencing number below the highest seen for the key, which is stored."""
         if not self.checks_fencing:
             return None
-        scope = _scope(headers)
+        scope = _key_scope(headers)
         number = int(headers.get(FENCING_HEADER, "0"))
-        seen = self.fencing_by_scope.get(scope, 0)
-        self.fencing_by_scope[scope] = max(number, seen)
-        if number >= seen:
+        highest = self.fencing_by_scope.get(scope, 0)
+        self.fencing_by_scope[scope] = max(number, highest)
+        if number >= highest:
             return None
-        refused = _answer(409, {"refused": "old fencing number"})
-        return replace(refused, headers=(*refused.headers, ("Egret-Fencing", str(seen))))
+        refusal = _answer(409, {"refused": "old fencing number"})
+        return replace(refusal, headers=(*refusal.headers, ("Egret-Fencing", str(highest))))
 
 
 class InProcessPlainService(PlainService):
-    """The book as one runner, with faults.
+    """A runner of the service, with faults.
 
-    `down` refuses connections. `connecting` and `sending` are waited for where they are set:
-    before the connection is made, and between the sender's last check and the first byte.
+    `down` refuses connections. `connecting` and `sending`, if set, are events that a call waits
+    for: before the connection is made, and between the sender's last check and the first byte.
     """
 
     def __init__(self, state: PlainServiceState) -> None:
@@ -107,7 +107,8 @@
         if self.sending is None:
             answer = await self.state.handle(request.method, request.path, headers)
         else:
-            # A frozen process keeps no time: when it thaws its bytes leave before its timers run.
+            # A paused process runs no timers: once it is resumed, its bytes are sent before any
+            # timeout fires.
             with trio.CancelScope(shield=True):
                 await self.sending.wait()
                 answer = await self.state.handle(request.method, request.path, headers)
@@ -131,7 +132,7 @@
     return app
 
 
-def _scope(headers: dict[str, str]) -> tuple[str, str]:
+def _key_scope(headers: dict[str, str]) -> tuple[str, str]:
     return headers.get(ACCOUNT_HEADER, ""), headers.get(KEY_HEADER, "")
 
 
--- a/standins/platform_http.py
+++ b/standins/platform_http.py
@@ -1,4 +1,4 @@
-"""The platform stand-in as an HTTP process: object API, instance list and weight store."""
+"""The platform stand-in as an HTTP process: object API, instance list and model weight store."""
 
 import json
 from collections.abc import AsyncIterator
@@ -12,7 +12,7 @@
 from standins.object_store import Faults, ObjectStore
 
 _API = "/apis/egretstack.dev/v1/namespaces/<namespace>"
-_LISTS = "/apis/discovery.k8s.io/v1/namespaces/<namespace>/endpointslices"
+_INSTANCE_LIST = "/apis/discovery.k8s.io/v1/namespaces/<namespace>/endpointslices"
 
 
 class ListedServices:
@@ -23,25 +23,25 @@
         self.reads = 0
 
     def body(self) -> dict[str, object]:
-        """Give the list as EndpointSlices."""
+        """Return the list as EndpointSlices."""
         return {"kind": "EndpointSliceList", "items": list(self.by_service.values())}
 
 
 def make_platform_app(store: ObjectStore, listed: ListedServices) -> QuartTrio:
     """Build the app."""
     app = QuartTrio("platform-standin")
-    _add_objects(app, store)
-    _add_watch(app, store)
-    _add_controls(app, store, listed)
+    _add_object_routes(app, store)
+    _add_watch_route(app, store)
+    _add_control_routes(app, store, listed)
     return app
 
 
-def _add_objects(app: QuartTrio, store: ObjectStore) -> None:
+def _add_object_routes(app: QuartTrio, store: ObjectStore) -> None:
     @app.get(_API + "/<kind>/<name>")
     async def get(namespace: str, kind: str, name: str) -> Response:
-        refused = await _enter(store, "get", kind)
-        if refused:
-            return refused
+        error = await _begin_call(store, "get", kind)
+        if error:
+            return error
         found = store.by_place.get((ObjectKind(kind), name))
         return Response(b"", status=404) if found is None else _json(_item(found))
 
@@ -59,9 +59,9 @@
     @app.delete(_API + "/<kind>/<name>")
     async def delete(namespace: str, kind: str, name: str) -> Response:
         body = await request.get_json(force=True)
-        refused = await _enter(store, "delete", kind)
-        if refused:
-            return refused
+        error = await _begin_call(store, "delete", kind)
+        if error:
+            return error
         try:
             store.remove(ObjectKind(kind), name, body["preconditions"]["resourceVersion"])
         except Conflict:
@@ -69,15 +69,15 @@
         return _json({})
 
 
-def _add_watch(app: QuartTrio, store: ObjectStore) -> None:
+def _add_watch_route(app: QuartTrio, store: ObjectStore) -> None:
     @app.get(_API + "/<kind>")
     async def list_or_watch(namespace: str, kind: str) -> Response:
         watching = request.args.get("watch") == "true"
-        refused = await _enter(store, "watch" if watching else "list", kind)
-        if refused:
-            return refused
+        error = await _begin_call(store, "watch" if watching else "list", kind)
+        if error:
+            return error
         if not watching:
-            items = [_item(one) for one in store.of_kind(ObjectKind(kind))]
+            items = [_item(stored) for stored in store.of_kind(ObjectKind(kind))]
             return _json({"metadata": {"resourceVersion": str(store.version)}, "items": items})
         since = int(request.args.get("resourceVersion", store.version))
         life_s = float(request.args.get("timeoutSeconds", "30"))
@@ -90,8 +90,8 @@
         return response
 
 
-def _add_controls(app: QuartTrio, store: ObjectStore, listed: ListedServices) -> None:
-    @app.get(_LISTS)
+def _add_control_routes(app: QuartTrio, store: ObjectStore, listed: ListedServices) -> None:
+    @app.get(_INSTANCE_LIST)
     async def instances(namespace: str) -> Response:
         listed.reads += 1
         return _json(listed.body())
@@ -124,8 +124,8 @@
         return _json({"versions": ["1"]})
 
 
-async def _enter(store: ObjectStore, verb: str, kind: str) -> Response | None:
-    if kind not in {one.value for one in ObjectKind}:
+async def _begin_call(store: ObjectStore, verb: str, kind: str) -> Response | None:
+    if kind not in {known.value for known in ObjectKind}:
         return Response(b"", status=404)
     store.calls[verb, ObjectKind(kind)] += 1
     await trio.sleep(store.faults.delay_s)
@@ -135,9 +135,9 @@
 async def _write(
     store: ObjectStore, verb: str, kind: str, name: str, body: dict, version: str | None
 ) -> Response:
-    refused = await _enter(store, verb, kind)
-    if refused:
-        return refused
+    error = await _begin_call(store, verb, kind)
+    if error:
+        return error
     if store.faults.lose_requests:
         store.faults.lose_requests -= 1
         await trio.sleep_forever()
@@ -174,7 +174,7 @@
                     return
                 if rows and not store.faults.silent_watches:
                     after = rows[-1][0]
-                    yield b"".join(_line(change) for _, change in rows)
+                    yield b"".join(_watch_line(change) for _, change in rows)
                 await changed.wait()
         bookmark = {"metadata": {"resourceVersion": str(store.version)}}
         yield json.dumps({"type": "BOOKMARK", "object": bookmark}).encode() + b"\n"
@@ -182,6 +182,6 @@
         store.waiting_watches -= 1
 
 
-def _line(change: WatchChange) -> bytes:
+def _watch_line(change: WatchChange) -> bytes:
     row = {"type": change.kind.value, "object": _item(change.object)}
     return json.dumps(row).encode() + b"\n"
--- a/standins/world.py
+++ b/standins/world.py
@@ -1,6 +1,7 @@
-"""A small world inside one process: entries, engines, plain services and the platform.
+"""A simulated deployment in one process: instances, engines, plain services and the platform.
 
-Runs the same services as the programs do, on trio's mock clock, with stand-ins outside.
+Runs the same services as the real programs, on trio's mock clock, against stand-ins of everything
+external.
 """
 
 from contextlib import asynccontextmanager
@@ -43,14 +44,14 @@
 
 
 class ListedInstances(InstanceList):
-    """The instance list; `hidden_s` makes it lag and `down` makes it fail."""
+    """The instance list; reading it fails while `down` is set."""
 
     def __init__(self) -> None:
         self.by_id: dict[str, Member] = {}
         self.down = False
 
     async def members(self) -> list[Member]:
-        """Read every member."""
+        """Return every member. Raises PlatformAway."""
         await trio.lowlevel.checkpoint()
         if self.down:
             raise PlatformAway("down")
@@ -59,7 +60,7 @@
 
 @dataclass
 class World:
-    """All that is outside the programs, shared by the processes of a test."""
+    """The simulated deployment: all external systems, shared by the processes of a test."""
 
     store: ObjectStore = field(default_factory=ObjectStore)
     listed: ListedInstances = field(default_factory=ListedInstances)
@@ -69,9 +70,9 @@
     plain_faults_by_id: dict[str, PlainFaults] = field(default_factory=dict)
     http: HttpNetwork = field(default_factory=HttpNetwork)
     observers: list[Observer] = field(default_factory=list)
-    """Told of every place that a process reaches at its edge."""
+    """Called at every seam that a process reaches in its external calls."""
     settings: dict[Program, dict[str, dict[str, str]]] = field(default_factory=dict)
-    """Settings of a program's processes that differ from the defaults, by section and key."""
+    """Settings of a program's processes that override the defaults, by section and key."""
     nursery: trio.Nursery | None = None
     _host_by_name: dict[str, str] = field(default_factory=dict)
 
@@ -84,58 +85,62 @@
         *,
         checks_fencing: bool = True,
     ) -> EngineStandin:
-        """Start an engine and list it."""
+        """Start an engine and add it to the instance list."""
         names = tuple(ModelName(model) for model in models)
         live = LiveEngine(parameters, names, checks_fencing=checks_fencing)
         self.engine_by_id[name] = EngineStandin(live, EngineFaults())
         self.nursery.start_soon(live.run)
-        self._list(name, service, f"10.1.0.{len(self.engine_by_id)}", {"http": 8000}, "a")
+        self._add_to_list(name, service, f"10.1.0.{len(self.engine_by_id)}", {"http": 8000}, "a")
         return self.engine_by_id[name]
 
     def add_plain(self, name: str, service: str, state: PlainServiceState) -> InProcessPlainService:
-        """Add a runner of a plain service and list it."""
+        """Add a runner of a plain service, also to the instance list."""
         self.plain_by_id[name] = InProcessPlainService(state)
         self.plain_faults_by_id[name] = PlainFaults()
-        self._list(name, service, f"10.2.0.{len(self.plain_by_id)}", {"http": 8000}, "a")
+        self._add_to_list(name, service, f"10.2.0.{len(self.plain_by_id)}", {"http": 8000}, "a")
         return self.plain_by_id[name]
 
     def set_state(self, name: str, state: MemberState) -> None:
-        """Change what the list says of a member."""
+        """Change the state of a listed member."""
         old = self.listed.by_id[name]
         self.listed.by_id[name] = Member(old.id, old.service, old.zone, old.host, old.ports, state)
 
     def listed_host(self, name: str) -> str:
-        """Give the IP number of a member that is or was listed."""
+        """Return the IP address of a member that is or was listed."""
         return self._host_by_name[name]
 
     async def configure(self, **sections_by_part: dict[str, dict[str, str]]) -> int:
-        """Accept parts, named like `contract__acme`; give the revision."""
+        """Apply configuration parts, named like `contract__acme`; return the new revision."""
         parts = {name.replace("__", "."): value for name, value in sections_by_part.items()}
         store = ConfigurationStore(InProcessObjectApi(self.store))
         change = Change(ChangeId(f"change-{self.store.version}"), parts, {})
         return (await store.apply(change)).revision
 
     async def start(self, name: str, program: Program, zone: str = "a") -> "Process":
-        """Start one process of an instance and wait until it is up."""
-        host = self._host(name, zone)
+        """Start one process of an instance and wait until it has started."""
+        host = self._ensure_listed(name, zone)
         kernel = Kernel(_settings(name, program, host, zone, self.settings.get(program, {})))
         label = name if program is Program.ENTRY else f"{name}.steward"
         access = InProcessAccess(kernel, self, host, Gate(label, self.observers))
         kernel.add(access)
         names = ENTRY_SERVICES if program is Program.ENTRY else STEWARD_SERVICES
-        wanted = [one for one in names if one != access.name]
-        load_services(kernel, tuple(wanted))
+        services = [service for service in names if service != access.name]
+        load_services(kernel, tuple(services))
         process = Process(name, host, kernel, access)
         await self.nursery.start(process.run)
         return process
 
-    def _host(self, name: str, zone: str) -> str:
+    def _ensure_listed(self, name: str, zone: str) -> str:
         if name not in self.listed.by_id:
-            number = sum(1 for one in self.listed.by_id.values() if one.service == ENTRY_SERVICE)
-            self._list(name, ENTRY_SERVICE, f"10.0.0.{number + 1}", PORTS, zone)
+            number = sum(
+                1 for other in self.listed.by_id.values() if other.service == ENTRY_SERVICE
+            )
+            self._add_to_list(name, ENTRY_SERVICE, f"10.0.0.{number + 1}", PORTS, zone)
         return self.listed.by_id[name].host
 
-    def _list(self, name: str, service: str, host: str, ports: dict[str, int], zone: str) -> None:
+    def _add_to_list(
+        self, name: str, service: str, host: str, ports: dict[str, int], zone: str
+    ) -> None:
         self._host_by_name[name] = host
         self.listed.by_id[name] = Member(
             name, ServiceName(service), ZoneName(zone), host, ports, MemberState.LIVE
@@ -144,7 +149,7 @@
 
 @dataclass
 class Process:
-    """One running program of the system."""
+    """One process of an instance that runs a program."""
 
     name: str
     host: str
@@ -164,23 +169,23 @@
             self.stopped.set()
 
     def kill(self) -> None:
-        """End the process at once; nothing that it would do while stopping reaches outside."""
+        """Kill the process: none of its external calls while stopping takes effect."""
         self.access.gate.dead = True
         self.access.gate.resume()
         self.access.store_client.cut = True
         self.scope.cancel()
 
     def pause(self) -> None:
-        """Stop the process until `thaw`, as SIGSTOP does."""
+        """Pause the process until `resume`, as SIGSTOP does."""
         self.access.gate.pause()
 
     def resume(self) -> None:
-        """Let the process go on."""
+        """Resume the process, as SIGCONT does."""
         self.access.gate.resume()
 
 
 def _settings(
-    name: str, program: Program, host: str, zone: str, given: dict[str, dict[str, str]]
+    name: str, program: Program, host: str, zone: str, overrides: dict[str, dict[str, str]]
 ) -> Settings:
     steward = program is Program.STEWARD
     sections = {
@@ -195,14 +200,14 @@
     }
     if not steward:
         sections["caller"] = {"address": f"{host}:{PORTS['caller']}"}
-    for section, values in given.items():
+    for section, values in overrides.items():
         sections[section] = sections.get(section, {}) | values
     return schema_of(program).check(name, sections)
 
 
 @asynccontextmanager
 async def open_world():
-    """Give a world whose tasks end with the block."""
+    """Open a simulated deployment whose tasks end with the block."""
     async with trio.open_nursery() as nursery:
         world = World(nursery=nursery)
         yield world
