--- a/tests/test_platform_bad_input.py
+++ b/tests/test_platform_bad_input.py
@@ -1,4 +1,4 @@
-"""What clients may send wrong at the front, and what the store may answer wrong."""
+"""Invalid requests of clients to an instance, and invalid answers of the store."""
 
 import trio
 
@@ -14,8 +14,8 @@
 HEAD = f"host: {HOST}\r\nattempt-id: a-1\r\nauthorization: Bearer {KEY}\r\n".encode()
 
 
-async def raw(site, *parts, gap_s=0.0):
-    """Send bytes as they are, and give the status and whether the connection ended."""
+async def send_raw(site, *parts, gap_s=0.0):
+    """Send raw bytes and return the status of the first answer; None if there is none."""
     host, _, port = site.settings(0).front_address.rpartition(":")
     stream = await trio.open_tcp_stream(host, int(port))
     async with stream:
@@ -33,9 +33,9 @@
 
 
 @on_real_clock
-async def test_bad_requests_get_a_clear_answer_and_nothing_is_passed_on():
-    # A second request hidden in the first would run under another client's name, and a client that
-    # sends slowly or too much would hold what others need.
+async def test_invalid_requests_are_rejected_and_not_forwarded():
+    # Guards against request smuggling, where a second request hidden in the first runs as another
+    # client, and against clients that hold resources by sending slowly or too much.
     async with platform_site() as site:
         post = b"POST /holds/1 HTTP/1.1\r\n" + HEAD
         cases = {
@@ -57,32 +57,32 @@
             "slow body": (408, (post + b"content-length: 5\r\n\r\nab",)),
         }
         for name, (status, parts) in cases.items():
-            check.assertEqual(await raw(site, *parts), status, name)
-        check.assertEqual(sum(len(one.heads) for one in site.plain), 0)
+            check.assertEqual(await send_raw(site, *parts), status, name)
+        check.assertEqual(sum(len(runner.heads) for runner in site.plain), 0)
         head, _ = await site.call("/notes/1", "a-2")
         check.assertEqual(head.status, 200)
 
 
 @on_real_clock
-async def test_requests_sent_ahead_get_their_answers_in_order():
+async def test_pipelined_requests_are_answered():
     async with platform_site() as site:
-        one = b"GET /notes/1 HTTP/1.1\r\n" + HEAD + b"\r\n"
-        two = b"GET /notes/2 HTTP/1.1\r\n" + HEAD + b"connection: close\r\n\r\n"
-        check.assertEqual(await raw(site, one + two), 200)
-        check.assertEqual(sum(len(one.heads) for one in site.plain), 2)
+        first = b"GET /notes/1 HTTP/1.1\r\n" + HEAD + b"\r\n"
+        second = b"GET /notes/2 HTTP/1.1\r\n" + HEAD + b"connection: close\r\n\r\n"
+        check.assertEqual(await send_raw(site, first + second), 200)
+        check.assertEqual(sum(len(runner.heads) for runner in site.plain), 2)
 
 
 class HostileStore(StandInServer):
-    """Answers with whatever it is told to."""
+    """Answers every call with a configured status and body."""
 
     def __init__(self, address):
         super().__init__(address)
         self.status = 200
         self.body = b""
-        self.cut = False
+        self.breaks_off = False
 
     async def answer(self, connection: ClientConnection, head: RequestHead, body: bytes) -> None:
-        if self.cut:
+        if self.breaks_off:
             await connection.start_stream(ResponseHead(200, b"", ()), b'{"items": [')
             connection.abort()
             return
@@ -90,7 +90,7 @@
 
 
 @on_real_clock
-async def test_hostile_answers_of_the_store_count_as_away():
+async def test_invalid_answers_of_the_store_count_as_unavailable():
     async with trio.open_nursery() as nursery:
         server = HostileStore(f"127.{free_loopback_net()}.5.1:8742")
         await nursery.start(server.run)
@@ -112,7 +112,7 @@
             server.status = status
             with check.assertRaises(StoreAway):
                 await store.list(ObjectKind.CONFIGURATION)
-        server.cut = True
+        server.breaks_off = True
         with check.assertRaises(StoreAway):
             await store.list(ObjectKind.CONFIGURATION)
         store.close()
@@ -120,9 +120,10 @@
 
 
 @on_real_clock
-async def test_many_large_bodies_at_once_do_not_fill_the_memory():
-    # The instance would be killed for its memory, and every stream on it cut: one body is bounded,
-    # and some dozens of them in progress at once were not. The one too many is told to come back.
+async def test_memory_for_concurrent_bodies_is_bounded():
+    # Guards against an instance that is killed for running out of memory, which breaks all its
+    # streams: the size of one body is bounded, but dozens of concurrent bodies were not. A body
+    # beyond the total bound is answered 503, so that the client retries.
     async with platform_site() as site:
         front = site.kernels[0].get(FrontPort)
         front.body_memory = BodyMemory(50_000)
@@ -131,26 +132,24 @@
         async with await trio.open_tcp_stream(host, int(port)) as first:
             await first.send_all(post + b"z" * 39_999)
             await site.until(lambda: front.body_memory.held_bytes >= 39_999)
-            check.assertEqual(await raw(site, post + b"z" * 40_000), 503)
-            check.assertEqual(sum(len(one.heads) for one in site.plain), 0)
+            check.assertEqual(await send_raw(site, post + b"z" * 40_000), 503)
+            check.assertEqual(sum(len(runner.heads) for runner in site.plain), 0)
             await first.send_all(b"z")
             check.assertIn(b" 200 ", await first.receive_some(100))
         await site.until(lambda: front.body_memory.held_bytes == 0)
         last = post.replace(b"\r\n\r\n", b"\r\nconnection: close\r\n\r\n")
-        check.assertEqual(await raw(site, last + b"z" * 40_000), 200)
+        check.assertEqual(await send_raw(site, last + b"z" * 40_000), 200)
 
 
 @on_real_clock
-async def test_bodies_one_after_another_on_the_directorys_port():
-    # A counter that is never given back there would refuse the second question, with an error that
-    # nobody catches and that ends the process.
+async def test_directory_port_releases_the_memory_of_each_body():
+    # Guards against body memory that is not released on this port: the next request would then be
+    # refused with an error that is not handled and ends the process.
     async with platform_site() as site:
         host, _, port = site.settings(0).directory_address.rpartition(":")
         body = b"z" * 900
-        question = (
-            b"GET /egretstack/resolve?name=x HTTP/1.1\r\nhost: d\r\ncontent-length: 900\r\n\r\n"
-        )
+        query = b"GET /egretstack/resolve?name=x HTTP/1.1\r\nhost: d\r\ncontent-length: 900\r\n\r\n"
         async with await trio.open_tcp_stream(host, int(port)) as stream:
             for _ in range(6):
-                await stream.send_all(question + body)
+                await stream.send_all(query + body)
                 check.assertIn(b"HTTP/1.1", await stream.receive_some(4_000))
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -1,4 +1,4 @@
-"""What the platform writes, decoded into the product's types; what is wrong with it, told."""
+"""Decoding of the platform's formats into the types of the system, and errors of invalid input."""
 
 import json
 import tempfile
@@ -50,15 +50,15 @@
 """
 
 
-def read(text):
+def read_settings(text):
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "node.conf"
         path.write_text(text)
         return read_node_settings(path)
 
 
-def test_a_settings_file_is_read_and_unknown_fields_are_left_alone():
-    settings = read(NODE)
+def test_settings_file_is_read_and_unknown_fields_are_ignored():
+    settings = read_settings(NODE)
     check.assertEqual(settings.instance, "edge-leon-a-1")
     check.assertEqual(settings.bounds.runner_drain_s, 2.5)
     check.assertEqual(settings.bounds.grace_s, 8)
@@ -67,33 +67,33 @@
     check.assertEqual(settings.seeds, ("10.1.0.19:8748", "10.2.0.13:8748"))
 
 
-def test_each_fault_of_a_settings_file_is_named_by_file_and_key():
-    for change, word in (
+def test_settings_errors_name_the_file_and_the_key():
+    for line, name in (
         ("node-name=edge-leon-a-1", "node-name"),
         ("listen.front=10.1.0.19:8740", "listen.front"),
         ("internal-ports=7200,7215", "internal-ports"),
         ("platform.address=10.200.1.7:8742", "platform.address"),
     ):
-        key = change.partition("=")[0]
+        key = line.partition("=")[0]
         for bad in ("", f"{key}=", f"{key}=nonsense"):
-            text = NODE.replace(change, bad)
+            text = NODE.replace(line, bad)
             if key == "node-name" and bad.endswith("nonsense"):
                 continue
             with check.assertRaises(UserError) as caught:
-                read(text)
-            check.assertIn(word, str(caught.exception))
+                read_settings(text)
+            check.assertIn(name, str(caught.exception))
             check.assertIn("node.conf", str(caught.exception))
     with check.assertRaises(UserError):
-        read(NODE.replace("drain-ms=2500", "drain-ms=-1"))
+        read_settings(NODE.replace("drain-ms=2500", "drain-ms=-1"))
 
 
-def test_a_missing_file_is_one_clear_error():
+def test_missing_settings_file_is_a_clear_error():
     with check.assertRaises(UserError) as caught:
         read_node_settings(Path("nowhere/node.conf"))
     check.assertIn("nowhere/node.conf", str(caught.exception))
 
 
-def table(**more):
+def routing_table(**overrides):
     spec = configuration(
         7,
         [
@@ -103,27 +103,27 @@
         ],
         (KEY,),
     )
-    return RoutingTable(decode_configuration(spec | more))
+    return RoutingTable(decode_configuration(spec | overrides))
 
 
-def test_the_longest_prefix_of_the_host_wins():
-    found = table()
-    check.assertIs(found.route("ficu.example", "/a/x").kind, RouteKind.IDEMPOTENT)
-    check.assertIs(found.route("FICU.example:8740", "/a/b/x").kind, RouteKind.NON_IDEMPOTENT)
-    check.assertIsNone(found.route("ficu.example", "/a"))
-    check.assertIsNone(found.route("other.example", "/a/x"))
+def test_longest_path_prefix_of_the_host_wins():
+    table = routing_table()
+    check.assertIs(table.route("ficu.example", "/a/x").kind, RouteKind.IDEMPOTENT)
+    check.assertIs(table.route("FICU.example:8740", "/a/b/x").kind, RouteKind.NON_IDEMPOTENT)
+    check.assertIsNone(table.route("ficu.example", "/a"))
+    check.assertIsNone(table.route("other.example", "/a/x"))
 
 
-def test_keys_are_kept_as_digests_only():
-    found = table()
-    check.assertEqual(found.account(KEY).name, "nineras")
-    check.assertIsNone(found.account("wrong"))
-    check.assertNotIn(KEY, repr(found.configuration))
+def test_api_keys_are_stored_only_as_digests():
+    table = routing_table()
+    check.assertEqual(table.account(KEY).name, "nineras")
+    check.assertIsNone(table.account("wrong"))
+    check.assertNotIn(KEY, repr(table.configuration))
 
 
-def test_a_configuration_that_cannot_be_read_is_refused_whole():
+def test_invalid_configuration_is_rejected_completely():
     good = configuration(1, [route("a", "idempotent", "desk")], (KEY,))
-    for spoil in (
+    for invalid in (
         {"version": "x"},
         {"routes": [{"name": "a"}]},
         {"routes": "x"},
@@ -131,10 +131,10 @@
         {"tenants": [{"name": "a", "api-keys": "x"}]},
     ):
         with check.assertRaises(BadBody):
-            decode_configuration(good | spoil)
+            decode_configuration(good | invalid)
 
 
-def test_a_runners_entry():
+def test_decoding_a_runner_entry():
     spec = runner_spec("llm", "10.1.1.1:80")
     ready = decode_runner(StoredObject("i-1", 3, spec))
     leaving = decode_runner(StoredObject("i-1", 4, spec | {"state": "draining"}))
@@ -150,8 +150,9 @@
     )
 
 
-def test_what_only_the_system_may_say_is_never_passed_on():
-    # A client that sets them itself would jump the queue, pin memory, or act as another account.
+def test_headers_reserved_for_the_system_are_not_forwarded():
+    # A client that sets them itself would get a higher priority, pin memory, or act as another
+    # account.
     forged = [
         (name, b"forged")
         for name in (
@@ -182,7 +183,7 @@
     check.assertEqual(sent.target, b"/a/1?q=1")
 
 
-def test_a_continued_run_names_its_copy_and_the_last_event():
+def test_continued_run_names_its_copy_and_last_event():
     terms = SendTerms(
         RunnerName("i-2"), 3.0, None, 4, "10.1.1.3:80", ContinueFrom("10.1.1.1:80", "h-9", "12")
     )
@@ -193,29 +194,29 @@
     check.assertEqual(values[b"request-priority"], b"4")
 
 
-def test_hints_that_cannot_be_read_count_as_not_given():
-    odd = request((b"deadline-ms", b"soon"), (b"token-count", b"many"), (b"length-hint", b"-4"))
-    check.assertIsNone(odd.time_left_s)
-    check.assertIsNone(odd.generation)
+def test_unreadable_hints_count_as_missing():
+    invalid = request((b"deadline-ms", b"soon"), (b"token-count", b"many"), (b"length-hint", b"-4"))
+    check.assertIsNone(invalid.time_left_s)
+    check.assertIsNone(invalid.generation)
     sized = request((b"token-count", b"10,20"), (b"prompt-prefix", b"a:7,bad,b:x"))
     check.assertEqual(sized.generation.max_output_tokens, 20)
     check.assertEqual([part.id for part in sized.generation.prompt_parts], ["a"])
 
 
-def test_an_answer_says_what_it_is_worth():
-    def head(status, *headers):
+def test_decoding_the_head_of_an_answer():
+    def answer(status, *headers):
         return runner_answer(ResponseHead(status, b"", headers))
 
-    check.assertTrue(head(421).rejected)
-    check.assertTrue(head(503, (b"not-executed", b"1")).rejected)
-    check.assertFalse(head(503).rejected)
-    check.assertTrue(head(200, (b"runner-seal", b"x")).sealed)
-    check.assertIsNone(head(200, (b"runner-load", b"1,x,2")).load)
-    passed = client_head(head(200, (b"runner-seal", b"x"), (b"runner-load", b"1,2,3")))
-    check.assertEqual(passed.headers, ((b"runner-seal", b"x"),))
+    check.assertTrue(answer(421).rejected)
+    check.assertTrue(answer(503, (b"not-executed", b"1")).rejected)
+    check.assertFalse(answer(503).rejected)
+    check.assertTrue(answer(200, (b"runner-seal", b"x")).sealed)
+    check.assertIsNone(answer(200, (b"runner-load", b"1,x,2")).load)
+    forwarded = client_head(answer(200, (b"runner-seal", b"x"), (b"runner-load", b"1,2,3")))
+    check.assertEqual(forwarded.headers, ((b"runner-seal", b"x"),))
 
 
-def test_answers_to_copies():
+def test_decoding_answers_to_copy_requests():
     check.assertIs(move_answer(200, b'{"handle": "h"}').outcome, MoveOutcome.COPIED)
     check.assertEqual(move_answer(503, b'{"handle": "h"}').handle, "h")
     check.assertIs(move_answer(404, b"").outcome, MoveOutcome.NO_SUCH_RUN)
@@ -226,7 +227,7 @@
 
 @settings(deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(st.binary(max_size=200))
-def test_no_bytes_of_the_platform_break_the_reader(data):
+def test_arbitrary_bytes_raise_only_bad_body(data):
     for decode in (parse_object, runner_report):
         try:
             decode(data)
@@ -246,22 +247,23 @@
 @given(
     st.dictionaries(st.sampled_from(["version", "routes", "services", "limits", "tenants"]), _json)
 )
-def test_no_shape_of_a_configuration_breaks_the_reader(spec):
+def test_arbitrary_configurations_raise_only_bad_body(spec):
     try:
         decode_configuration(spec)
     except BadBody:
         return
 
 
-def test_a_route_without_a_target_is_in_time_until_its_timeout():
-    # Every stream of the route would be refused at once: no time at all was left to wait for room.
+def test_latency_target_defaults_to_the_timeout():
+    # Guards against a target of 0, which left no time to wait for capacity, so that every stream of
+    # the route was refused immediately.
     row = route("plans", "streaming", "llm")
     del row["target-latency-ms"]
-    found = decode_configuration(configuration(1, [row], (KEY,)))
-    check.assertEqual(found.routes[0].target_latency_s, found.routes[0].timeout_s)
+    decoded = decode_configuration(configuration(1, [row], (KEY,)))
+    check.assertEqual(decoded.routes[0].target_latency_s, decoded.routes[0].timeout_s)
 
 
-def test_a_wrong_configuration_file_is_told_by_its_field():
+def test_configuration_file_errors_name_the_field():
     good = configuration(1, [route("plans", "streaming", "llm")], (KEY,))
     bad = configuration(1, [route("notes", "often", "desk")], (KEY,))
     with tempfile.TemporaryDirectory() as folder:
@@ -280,8 +282,8 @@
             read_configuration(Path(folder) / "none.json")
 
 
-def test_a_limit_is_a_bounded_decimal_number():
-    # Guards against words of a runner that stop or free it by a slip of its own.
+def test_runner_limit_is_a_bounded_decimal_number():
+    # Guards against a malformed limit header of a runner that would stop it or lift its limit.
     def limit(value):
         headers = () if value is None else ((b"server-limit", value),)
         return runner_answer(ResponseHead(200, b"", headers)).limit_per_s
@@ -292,19 +294,19 @@
         check.assertIsNone(limit(text))
 
 
-def test_a_rest_is_what_a_runner_that_turns_a_request_away_asks_for():
-    # Guards against rests by a slip of a runner, and against ones that last for good.
-    def rest(status, value):
+def test_backoff_is_read_only_from_rejections():
+    # Guards against backoffs from a malformed header, and against ones that never end.
+    def backoff_s(status, value):
         return runner_answer(ResponseHead(status, b"", ((b"retry-after", value),))).rest_s
 
-    check.assertEqual(rest(503, b"3"), 3.0)
-    check.assertEqual(rest(503, b"0.25"), 0.25)
+    check.assertEqual(backoff_s(503, b"3"), 3.0)
+    check.assertEqual(backoff_s(503, b"0.25"), 0.25)
     for status, value in ((200, b"3"), (429, b"3"), (503, b"soon"), (503, b"-1"), (503, b"1e9")):
-        check.assertIsNone(rest(status, value))
-    check.assertEqual(rest(503, b"999999"), 3600.0)
+        check.assertIsNone(backoff_s(status, value))
+    check.assertEqual(backoff_s(503, b"999999"), 3600.0)
 
 
-def test_a_runner_leaves_if_it_says_so():
+def test_runner_is_leaving_if_its_header_is_1():
     def leaving(*headers):
         return runner_answer(ResponseHead(200, b"", headers)).leaving
 
