--- a/tests/matrix/faults.py
+++ b/tests/matrix/faults.py
@@ -132,7 +132,7 @@
         """Go away."""
         site.history.add(StoreAway)
         site.world.store.faults.down = True
-        site.world.store._wake()
+        site.world.store._notify_watches()
 
     async def heal(self, site: Site, target: Target) -> None:
         """Come back."""
