--- a/tests/crash_site.py
+++ b/tests/crash_site.py
@@ -15,14 +15,14 @@
 def end_runners_on_request(site, after=0):
     """Make every runner end when it runs the ending request; engines do after `after` events."""
     for runner in (*site.plain, *site.engines):
-        runner.ends_under = ENDING
+        runner.fatal_body = ENDING
     for engine in site.engines:
-        engine.ends_after = after
+        engine.fatal_after_events = after
 
 
 def started_runs(site):
     """Return how many runs of the ending request started, over all runners that ever existed."""
-    return sum(runner.begun_of_ending for runner in (*site.plain, *site.engines))
+    return sum(runner.fatal_runs for runner in (*site.plain, *site.engines))
 
 
 def crash_table(site, entry=0):
@@ -54,12 +54,12 @@
         ("llm", EngineStandIn, site.engines),
     ):
         for runner in list(runners):
-            if not runner.begun_of_ending or runner.runner_id.endswith("-over"):
+            if not runner.fatal_runs or runner.runner_id.endswith("-over"):
                 continue
             site.store.remove("servers", runner.runner_id)
             new = kind(runner.address, f"{runner.runner_id}.{tag}")
             runner.runner_id += "-over"
-            new.ends_under = ENDING
+            new.fatal_body = ENDING
             runners.append(new)
             await site.nursery.start(new.run)
             site.register(new.runner_id, service, new.address)
--- a/tests/test_crash_sharing.py
+++ b/tests/test_crash_sharing.py
@@ -170,7 +170,7 @@
         await until_refused(site)
         await site.until(lambda: stored_record(site) is not None)
         for engine in site.engines:
-            engine.ends_under = None
+            engine.fatal_body = None
         site.store.remove(KIND, content_of(PATH))
         await site.until(
             lambda: not any(
--- a/tests/test_ledger_faults.py
+++ b/tests/test_ledger_faults.py
@@ -31,7 +31,7 @@
         before_s = trio.current_time()
         check.assertIs(await call(entries[0]), ErrorKind.PLATFORM_AWAY)
         check.assertLess(trio.current_time() - before_s, 1)
-        check.assertEqual(runner.book.runs_by_key["k"], 0)
+        check.assertEqual(runner.state.runs_by_key["k"], 0)
         contract = entries[0].kernel.get(Configuration).state.contract_by_account["acme"]
         body = GenerationBody(ModelName("story"), "a story tokens:20", False, 100)
         session = await entries[0].kernel.get(SessionHost).open(contract, body)
@@ -48,7 +48,7 @@
         before_s = trio.current_time()
         check.assertIs(await call(entries[0]), ErrorKind.PLATFORM_AWAY)
         check.assertLess(trio.current_time() - before_s, 4)
-        check.assertEqual(runner.book.runs_by_key["k"], 0)
+        check.assertEqual(runner.state.runs_by_key["k"], 0)
 
 
 async def test_a_lost_answer_to_the_intent_is_settled_by_reading_back():
@@ -57,7 +57,7 @@
     async with deployment() as (world, entries, runner):
         world.store.faults.lose_answers = 1
         check.assertEqual(await call(entries[0]), 201)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
 
 
 async def test_an_intent_that_lands_after_its_refusal_blocks_nobody():
@@ -77,14 +77,14 @@
         check.assertEqual(await call(entries[1]), 201)
         api.cut = False
         await trio.sleep(10)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
         found = await call(entries[0])
         if found is ErrorKind.RATE_LIMITED:
             # The limits home may have granted this entry nothing yet; the caller retries as told.
             await trio.sleep(1)
             found = await call(entries[0])
         check.assertEqual(found, 201)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
 
 
 async def test_a_write_that_would_land_after_the_read_back_is_refused():
@@ -101,7 +101,7 @@
         await trio.sleep(10)
         check.assertEqual(api.deliver_all(), 0)
         check.assertEqual(open_rows(world), [])
-        check.assertEqual(runner.book.runs_by_key["k"], 0)
+        check.assertEqual(runner.state.runs_by_key["k"], 0)
         check.assertEqual(await call(entries[1]), 201)
 
 
@@ -119,7 +119,7 @@
         check.assertIs(await call(entries[1]), ErrorKind.IN_PROGRESS)
         await trio.sleep(60)
         check.assertIs(await call(entries[1]), ErrorKind.OUTCOME_UNKNOWN)
-        check.assertEqual(runner.book.runs_by_key["k"], 0)
+        check.assertEqual(runner.state.runs_by_key["k"], 0)
 
 
 async def unresponsive_sender(fencing, lookup):
@@ -137,7 +137,7 @@
         late = await call(entries[1], request)
         held.set()
         await trio.sleep(2)
-        return early, late, answers, runner.book.runs_by_key["k"]
+        return early, late, answers, runner.state.runs_by_key["k"]
 
 
 async def test_an_unresponsive_sender_keeps_its_key_if_the_upstream_checks_nothing():
@@ -183,12 +183,12 @@
     # answers "in progress", and the next repeat runs the call.
     async with deployment(fencing="checked", lookup="/outcomes") as (world, entries, runner):
         held, answers = await pause_before_first_byte(world, entries[0], runner)
-        runner.book.fencing_by_scope["acme", "k"] = open_rows(world)[0].fence + 1
+        runner.state.fencing_by_scope["acme", "k"] = open_rows(world)[0].fence + 1
         held.set()
         await trio.sleep(1)
         check.assertEqual(answers, [ErrorKind.IN_PROGRESS])
         check.assertEqual(await call(entries[1]), 201)
-        check.assertEqual(runner.book.runs_by_key["k"], 1)
+        check.assertEqual(runner.state.runs_by_key["k"], 1)
 
 
 async def test_a_look_up_finds_a_call_that_ran_before_its_entry_died():
@@ -197,11 +197,11 @@
     async with deployment(lookup="/outcomes") as (world, entries, runner):
         await pause_before_first_byte(world, entries[0], runner)
         entries[0].kill()
-        runner.book.ran.add(("acme", "k"))
+        runner.state.ran.add(("acme", "k"))
         contract = entries[1].kernel.get(Configuration).state.contract_by_account["acme"]
         answer = await entries[1].kernel.get(Calls).call(contract, ServiceName("holds"), post())
         check.assertIn(("Egret-Replay", "ran-answer-unknown"), answer.headers)
-        check.assertEqual(runner.book.runs_by_key["k"], 0)
+        check.assertEqual(runner.state.runs_by_key["k"], 0)
 
 
 async def test_the_owner_of_an_attempt_is_known_to_have_ended_once_it_restarts():
@@ -223,7 +223,7 @@
         for number in range(20):
             check.assertEqual(await call(entries[0], post(f"k{number}")), 201)
             await trio.sleep(0.2)
-        return runner.book.runs_by_key.total()
+        return runner.state.runs_by_key.total()
 
 
 async def test_calls_continue_while_the_ledger_home_of_their_shard_is_dead():
--- a/tests/test_runner_crashes.py
+++ b/tests/test_runner_crashes.py
@@ -212,7 +212,7 @@
     async with platform_site(plain=3) as site:
         end_runners_on_request(site)
         for plain in site.plain:
-            plain.starts_again_at_once = True
+            plain.restarts_immediately = True
         for number in range(3):
             await send_ending_request(site, "/notes/1", f"e-{number}")
             for plain in site.plain:
@@ -249,7 +249,7 @@
         content = content_of("/notes/1")
         await site.until(lambda: all(crash_table(site, n).is_suspected(content) for n in range(2)))
         for plain in site.plain:
-            plain.ends_under = None
+            plain.fatal_body = None
         check.assertEqual((await send_ending_request(site, "/notes/1", "e-9", 1))[0], 200)
         await site.until(
             lambda: not any(crash_table(site, n).is_suspected(content) for n in range(2))
--- a/tests/test_runner_rests.py
+++ b/tests/test_runner_rests.py
@@ -34,7 +34,7 @@
 def max_in_backoff(runner, entries=1):
     """Return the maximum number of requests to a runner during a backoff of their instance."""
     maximum = 0
-    for requested_s, rejected in runner.rests:
+    for requested_s, rejected in runner.backoffs:
         begin_s, end_s, instance = (
             requested_s + GRACE_S,
             requested_s + BACKOFF_S,
@@ -50,7 +50,7 @@
     # Guards against first and second sends to a runner that wants none from this instance.
     async with platform_site(entries=2, plain=2) as site:
         backing_off, other = site.plain
-        backing_off.rest_s = BACKOFF_S
+        backing_off.backoff_s = BACKOFF_S
         answers = await send_steadily(site, "/notes/1", 100, 0.05, method=b"POST")
         check.assertEqual(max_in_backoff(backing_off, len(site.kernels)), 0)
         check.assertEqual({answer.status for answer in answers}, {200})
@@ -62,10 +62,10 @@
     # Guards against rejected calls that are sent on to a runner that asked for backoff.
     async with platform_site(entries=2, plain=2) as site:
         for plain in site.plain:
-            plain.rest_s = BACKOFF_S
+            plain.backoff_s = BACKOFF_S
         await send_steadily(site, "/notes/1", 100, 0.05, method=b"POST")
         for plain in site.plain:
-            check.assertGreater(len(plain.rests), 1)
+            check.assertGreater(len(plain.backoffs), 1)
             check.assertEqual(max_in_backoff(plain, len(site.kernels)), 0)
 
 
@@ -74,7 +74,7 @@
     # Guards against a wait until the deadline, and against a retry time within the backoff.
     async with platform_site(entries=1, plain=2, engines=2) as site:
         for runner in (*site.plain, *site.engines):
-            runner.rest_s = BACKOFF_S
+            runner.backoff_s = BACKOFF_S
         for path, more in (("/holds/1", {}), ("/plans/1", {"headers": GENERATION})):
             await send_steadily(site, path, 3, 0.05, tag=f"a{path}", method=b"POST", **more)
             began_s = trio.current_time()
@@ -95,9 +95,9 @@
         backing_off = site.plain[0]
         for plain in site.plain:
             plain.delay_s = 0.02
-        backing_off.rest_s = 0.5
+        backing_off.backoff_s = 0.5
         await send_steadily(site, "/holds/1", 10, 0.02, method=b"POST")
-        backing_off.rest_s = None
+        backing_off.backoff_s = None
         await trio.sleep(0.6)
         before = len(backing_off.arrived_s)
         await send_steadily(site, "/holds/1", 60, 0.02, tag="u", method=b"POST")
@@ -112,7 +112,7 @@
         backing_off, other = site.engines
         for engine in site.engines:
             engine.events = 2
-        backing_off.rest_s = BACKOFF_S
+        backing_off.backoff_s = BACKOFF_S
         site.store.fault = StoreFault.SILENT
         more = {"method": b"POST", "headers": SMALL_GENERATION}
         answers = await send_steadily(site, "/plans/1", 100, 0.05, **more)
@@ -130,9 +130,9 @@
             engine.events = 500
         for number in range(20):
             await start_reader(site, f"s-{number}", 1, deadline_ms=60_000, headers=SMALL_GENERATION)
-        backing_off.rest_s = BACKOFF_S
+        backing_off.backoff_s = BACKOFF_S
         number = 0
-        while not backing_off.rests:
+        while not backing_off.backoffs:
             number += 1
             reader = await start_reader(site, f"t-{number}", 1, headers=SMALL_GENERATION)
             reader.scope.cancel()
@@ -150,9 +150,9 @@
             engine.events = 400
         reader = await start_reader(site, "s-1", 1, deadline_ms=60_000, headers=LONG_GENERATION)
         backing_off = next(one for one in site.engines if "s-1" in one.copies)
-        backing_off.rest_s = BACKOFF_S
+        backing_off.backoff_s = BACKOFF_S
         number = 0
-        while not backing_off.rests:
+        while not backing_off.backoffs:
             number += 1
             other = await start_reader(site, f"t-{number}", 1, headers=SMALL_GENERATION)
             other.scope.cancel()
