--- a/egretstack/configuration/__init__.py
+++ b/egretstack/configuration/__init__.py
@@ -1,6 +1,6 @@
 """Configuration: accepted by one conditional update of a head object, and never going back."""
 
-from egretstack.configuration._fanout import FanOut, watchers
+from egretstack.configuration._fanout import FanOut, choose_stewards
 from egretstack.configuration._messages import (
     ConfigAsk,
     ConfigFar,
@@ -20,7 +20,7 @@
     part_digest,
     part_name,
 )
-from egretstack.configuration._state import Behind, ConfigurationState, Offer
+from egretstack.configuration._state import ConfigurationState, NoDelta, OfferResult
 from egretstack.configuration._store import (
     Accepted,
     ApplyConflict,
@@ -30,17 +30,17 @@
 from egretstack.configuration._transfer import (
     SnapshotBuilder,
     TransferError,
+    delta_message,
     is_sections,
-    piece,
-    tell,
-    told_delta,
+    parse_delta,
+    snapshot_piece,
 )
 
 __all__ = [
     "Accepted",
     "ApplyConflict",
     "ApplyUnknown",
-    "Behind",
+    "NoDelta",
     "Change",
     "ConfigAsk",
     "ConfigFar",
@@ -52,7 +52,7 @@
     "Delta",
     "FanOut",
     "Head",
-    "Offer",
+    "OfferResult",
     "PartKind",
     "Snapshot",
     "SnapshotAsk",
@@ -63,8 +63,8 @@
     "is_sections",
     "part_digest",
     "part_name",
-    "piece",
-    "tell",
-    "told_delta",
-    "watchers",
+    "snapshot_piece",
+    "delta_message",
+    "parse_delta",
+    "choose_stewards",
 ]
--- a/egretstack/configuration/_fanout.py
+++ b/egretstack/configuration/_fanout.py
@@ -10,14 +10,16 @@
 from egretstack.ids import InstanceId
 from egretstack.objectapi import Member, MemberState
 
-WATCHERS = 3
+WATCHER_COUNT = 3
 """Stewards that watch the platform; the number does not grow with the fleet."""
 
 FAN_OUT = 4
 """Stewards that one steward tells in each tree."""
 
 
-def watchers(members: list[Member], count: int = WATCHERS, duty: str = "watch") -> list[InstanceId]:
+def choose_stewards(
+    members: list[Member], count: int = WATCHER_COUNT, duty: str = "watch"
+) -> list[InstanceId]:
     """Choose the stewards for a duty, in different availability zones as far as there are any."""
     live = [one for one in members if one.state is MemberState.LIVE]
     ranked = sorted(live, key=lambda one: _weight(duty, one.id))
@@ -44,7 +46,7 @@
 
     def update(self, members: list[Member]) -> None:
         """Work out watchers and children from the instance list."""
-        self.watchers = watchers(members)
+        self.watchers = choose_stewards(members)
         child_by_id: dict[str, Member] = {}
         for root in self.watchers:
             for child in self._children_under(root, members):
--- a/egretstack/configuration/_head_object.py
+++ b/egretstack/configuration/_head_object.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Self
 
-from egretstack.configuration._model import RECENT_KEPT, Head, Sections, head_digest
+from egretstack.configuration._model import MAX_RECENT_CHANGES, Head, Sections, head_digest
 from egretstack.configuration._transfer import is_sections
 from egretstack.ids import ChangeId, Revision
 from egretstack.objectapi import PlatformAway, Spec
@@ -41,7 +41,7 @@
                 change_id=change_id,
                 manifest=str(spec["manifest"]),
                 since={str(part): _digest(one) for part, one in spec["since"].items()},
-                recent=tuple(ChangeId(str(one)) for one in spec["recent"])[-RECENT_KEPT:],
+                recent=tuple(ChangeId(str(one)) for one in spec["recent"])[-MAX_RECENT_CHANGES:],
                 inline={part: one for part, one in inline.items() if is_sections(one)},
             )
         except (KeyError, ValueError, TypeError, AttributeError) as error:
--- a/egretstack/configuration/_model.py
+++ b/egretstack/configuration/_model.py
@@ -12,7 +12,7 @@
 DIGEST_LENGTH = 16
 """Hexadecimal digits of a part's digest that name its version."""
 
-RECENT_KEPT = 256
+MAX_RECENT_CHANGES = 256
 """Change ids kept in the head: over an hour at the target rate of changes."""
 
 
@@ -55,7 +55,7 @@
     recent: tuple[ChangeId, ...] = ()
     inline: dict[str, Sections] = field(default_factory=dict, compare=False)
 
-    def id_at(self, revision: int) -> ChangeId | None:
+    def change_id_at(self, revision: int) -> ChangeId | None:
         """Give the change that made an earlier revision; None where it is not kept."""
         if revision == self.revision:
             return self.change_id
--- a/egretstack/configuration/_parts.py
+++ b/egretstack/configuration/_parts.py
@@ -15,7 +15,7 @@
     contract_by_account: dict[AccountId, Contract] = field(default_factory=dict)
     service_by_name: dict[ServiceName, ServiceSpec] = field(default_factory=dict)
 
-    def changed(self, sections_by_part: dict[str, Sections | None]) -> "PartTable":
+    def with_changes(self, sections_by_part: dict[str, Sections | None]) -> "PartTable":
         """Give a table with some parts read anew or removed; raise UserError.
 
         Reading all parts again for each change would hold up the process's one loop, and with
--- a/egretstack/configuration/_state.py
+++ b/egretstack/configuration/_state.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 from egretstack.configuration._model import (
-    RECENT_KEPT,
+    MAX_RECENT_CHANGES,
     Delta,
     Head,
     Sections,
@@ -20,7 +20,7 @@
 """Largest text of a delta; an instance further behind takes the snapshot in pieces."""
 
 
-class Offer(Enum):
+class OfferResult(Enum):
     """What became of a head, snapshot or delta that was offered."""
 
     NEWER = "newer"
@@ -36,11 +36,11 @@
     """A delta that does not start from what is in force, or does not lead to what it says."""
 
 
-class Behind(Enum):
+class NoDelta(Enum):
     """Why there is no delta for an asker."""
 
-    LEVEL = "level"
-    FAR = "far"
+    UP_TO_DATE = "level"
+    TOO_OLD = "far"
     FORKED = "forked"
 
 
@@ -77,79 +77,79 @@
         """Give the services in force."""
         return self._table.service_by_name
 
-    def judge(self, head: Head) -> Offer:
+    def compare(self, head: Head) -> OfferResult:
         """Tell what would become of a head: NEWER, SAME, OLDER or FORKED."""
         if self.snapshot is None:
-            return Offer.NEWER
+            return OfferResult.NEWER
         known = self.snapshot.head
         if head.revision > known.revision:
             # A store restored from an older copy counts up again from there: when it has passed
             # the revision in force, only the ids show that accepted changes are missing.
-            same_history = head.id_at(known.revision) in (None, known.change_id)
-            return Offer.NEWER if same_history else Offer.FORKED
-        if known.id_at(head.revision) not in (None, head.change_id):
-            return Offer.FORKED
+            same_history = head.change_id_at(known.revision) in (None, known.change_id)
+            return OfferResult.NEWER if same_history else OfferResult.FORKED
+        if known.change_id_at(head.revision) not in (None, head.change_id):
+            return OfferResult.FORKED
         # Taking an older one would undo an accepted change on this instance alone.
-        return Offer.SAME if head.revision == known.revision else Offer.OLDER
+        return OfferResult.SAME if head.revision == known.revision else OfferResult.OLDER
 
-    def offer(self, snapshot: Snapshot) -> Offer:
+    def offer(self, snapshot: Snapshot) -> OfferResult:
         """Put a newer snapshot in force; refuse an older, foreign or faulty one."""
-        judged = self.judge(snapshot.head)
-        if judged is not Offer.NEWER:
+        judged = self.compare(snapshot.head)
+        if judged is not OfferResult.NEWER:
             return judged
         return self._apply(snapshot, _difference(self.snapshot, snapshot))
 
-    def offer_delta(self, delta: Delta) -> Offer:
+    def offer_delta(self, delta: Delta) -> OfferResult:
         """Put in force what changed since the present revision."""
         if self.snapshot is None:
-            return Offer.GAP
+            return OfferResult.GAP
         known = self.snapshot.head
         if delta.revision <= known.revision:
-            return Offer.SAME
+            return OfferResult.SAME
         if delta.base_revision != known.revision:
-            return Offer.GAP
+            return OfferResult.GAP
         if delta.base_change_id != known.change_id:
-            return Offer.FORKED
+            return OfferResult.FORKED
         snapshot = _advanced(self.snapshot, delta)
         if head_digest(snapshot.head.digest_by_part) != delta.digest:
             # The sender never saw a part that came and went between its own revisions, so its
             # delta leaves that part here; only the digest over the whole shows it.
-            return Offer.GAP
+            return OfferResult.GAP
         return self._apply(snapshot, delta.sections_by_part)
 
-    def delta_since(self, revision: int, change_id: str) -> Delta | Behind:
+    def delta_since(self, revision: int, change_id: str) -> Delta | NoDelta:
         """Give what changed since an asker's revision, or why it cannot be given."""
         if self.snapshot is None or revision > self.revision:
-            return Behind.LEVEL
+            return NoDelta.UP_TO_DATE
         head = self.snapshot.head
-        known_id = head.id_at(revision)
+        known_id = head.change_id_at(revision)
         if known_id is not None and revision > 0 and known_id != change_id:
-            return Behind.FORKED
+            return NoDelta.FORKED
         if revision == head.revision:
-            return Behind.LEVEL
+            return NoDelta.UP_TO_DATE
         if known_id is None or revision < self._floor:
-            return Behind.FAR
+            return NoDelta.TOO_OLD
         changed = {part for part, at in self._changed_at.items() if at > revision}
         sections = {part: self.snapshot.sections_by_part.get(part) for part in sorted(changed)}
         if len(str(sections)) > MAX_DELTA_CHARACTERS:
-            return Behind.FAR
+            return NoDelta.TOO_OLD
         ids = head.recent[len(head.recent) - (head.revision - revision) :]
         digest = head_digest(head.digest_by_part)
         return Delta(Revision(revision), ChangeId(change_id), ids, digest, sections)
 
-    def _apply(self, snapshot: Snapshot, changed: dict[str, Sections | None]) -> Offer:
+    def _apply(self, snapshot: Snapshot, changed: dict[str, Sections | None]) -> OfferResult:
         try:
-            table = self._table.changed(changed)
+            table = self._table.with_changes(changed)
         except UserError as error:
             self.fault = str(error)
-            return Offer.BAD
+            return OfferResult.BAD
         self._note_changed(snapshot, changed)
         self._table = table
         self.account_by_digest = table.account_by_digest()
         self.service_by_model = table.service_by_model()
         self.snapshot = snapshot
         self.fault = ""
-        return Offer.APPLIED
+        return OfferResult.APPLIED
 
     def _note_changed(self, snapshot: Snapshot, changed: dict[str, Sections | None]) -> None:
         revision = snapshot.head.revision
@@ -157,7 +157,7 @@
             self._floor = revision
             return
         self._changed_at |= dict.fromkeys(changed, revision)
-        oldest = revision - RECENT_KEPT
+        oldest = revision - MAX_RECENT_CHANGES
         self._changed_at = {part: at for part, at in self._changed_at.items() if at > oldest}
 
 
@@ -182,5 +182,5 @@
             digests[part] = part_digest(sections)
             sections_by_part[part] = sections
     recent = (known.head.recent or (known.head.change_id,)) + delta.change_ids
-    head = Head(delta.revision, delta.change_ids[-1], digests, recent[-RECENT_KEPT:])
+    head = Head(delta.revision, delta.change_ids[-1], digests, recent[-MAX_RECENT_CHANGES:])
     return Snapshot(head, sections_by_part)
--- a/egretstack/configuration/_store.py
+++ b/egretstack/configuration/_store.py
@@ -13,7 +13,7 @@
 
 from egretstack.configuration._head_object import NO_MANIFEST, HeadObject
 from egretstack.configuration._model import (
-    RECENT_KEPT,
+    MAX_RECENT_CHANGES,
     Change,
     Head,
     Sections,
@@ -53,10 +53,10 @@
 class ApplyConflict(Exception):
     """Another operator changed a part first; carries what stands there now."""
 
-    def __init__(self, part: str, theirs: Sections | None) -> None:
+    def __init__(self, part: str, current_sections: Sections | None) -> None:
         super().__init__(f"{part} was changed by someone else")
         self.part = part
-        self.theirs = theirs
+        self.current_sections = current_sections
 
 
 class ApplyUnknown(Exception):
@@ -102,9 +102,9 @@
     async def head(self, known: Snapshot | None = None) -> Head | None:
         """Read the head. Raises PlatformAway."""
         stored = await self._api.get(ObjectKind.CONFIG_HEAD, HEAD_NAME)
-        return None if stored is None else await self.head_of(stored, known)
+        return None if stored is None else await self.parse_head(stored, known)
 
-    async def head_of(self, stored: StoredObject, known: Snapshot | None = None) -> Head:
+    async def parse_head(self, stored: StoredObject, known: Snapshot | None = None) -> Head:
         """Read a head object; the manifest only where `known` is not it. Raises PlatformAway."""
         found = HeadObject.read(stored.spec)
         return found.head(await self._versions(found.manifest, known))
@@ -112,9 +112,9 @@
     async def snapshot(self, known: Snapshot | None = None) -> Snapshot | None:
         """Read the head and every part that `known` does not hold. Raises PlatformAway."""
         head = await self.head(known)
-        return None if head is None else await self.complete(head, known)
+        return None if head is None else await self.load_snapshot(head, known)
 
-    async def complete(self, head: Head, known: Snapshot | None) -> Snapshot:
+    async def load_snapshot(self, head: Head, known: Snapshot | None) -> Snapshot:
         """Read the parts of a head that `known` does not hold. Raises PlatformAway."""
         sections_by_part: dict[str, Sections] = {}
         for part, digest in head.digest_by_part.items():
@@ -156,13 +156,13 @@
             raise PlatformAway("others change the configuration too fast; nothing was accepted")
         raise ApplyUnknown(change.id)
 
-    async def settle(self, change_id: ChangeId) -> Accepted | None:
+    async def find_accepted(self, change_id: ChangeId) -> Accepted | None:
         """Find what became of a change; None if no recent one has the id. Raises PlatformAway."""
         head = await self.head()
         revision = None if head is None else head.revision_of(change_id)
         return None if revision is None else Accepted(revision, change_id)
 
-    async def put_back(self, snapshot: Snapshot) -> list[ChangeId]:
+    async def recover(self, snapshot: Snapshot) -> list[ChangeId]:
         """Make a store that was restored from an older copy hold a snapshot that is in force.
 
         Gives the ids of the changes that the store alone held. Raises UserError where the store
@@ -182,8 +182,8 @@
         if stored is None:
             await self._api.create(ObjectKind.CONFIG_HEAD, HEAD_NAME, spec)
             return []
-        head = await self.head_of(stored)
-        if head.id_at(snapshot.head.revision) == snapshot.head.change_id:
+        head = await self.parse_head(stored)
+        if head.change_id_at(snapshot.head.revision) == snapshot.head.change_id:
             raise UserError("the store holds this revision or a later one of the same history")
         await self._api.replace(ObjectKind.CONFIG_HEAD, HEAD_NAME, spec, stored.version)
         return [one for one in head.recent if one not in snapshot.head.recent]
@@ -266,7 +266,7 @@
             digests.pop(part, None)
         else:
             digests[part] = part_digest(sections)
-    recent = (*current.recent, change.id)[-RECENT_KEPT:]
+    recent = (*current.recent, change.id)[-MAX_RECENT_CHANGES:]
     inline = {part: one for part, one in change.sections_by_part.items() if one is not None}
     if len(json.dumps(inline)) > MAX_INLINE_CHARACTERS:
         inline = {}
--- a/egretstack/configuration/_transfer.py
+++ b/egretstack/configuration/_transfer.py
@@ -2,7 +2,7 @@
 
 from egretstack.configuration._messages import ConfigTell, SnapshotPiece
 from egretstack.configuration._model import (
-    RECENT_KEPT,
+    MAX_RECENT_CHANGES,
     Delta,
     Head,
     Sections,
@@ -24,7 +24,7 @@
     """What a peer sent is no configuration, or not the one it said."""
 
 
-def tell(delta: Delta) -> ConfigTell:
+def delta_message(delta: Delta) -> ConfigTell:
     """Make the message of a delta."""
     return ConfigTell(
         delta.base_revision,
@@ -35,7 +35,7 @@
     )
 
 
-def told_delta(message: ConfigTell) -> Delta:
+def parse_delta(message: ConfigTell) -> Delta:
     """Read a delta; raise TransferError."""
     ids = _ids(message.change_ids)
     if not ids:
@@ -51,7 +51,7 @@
     )
 
 
-def piece(snapshot: Snapshot, after: str) -> SnapshotPiece:
+def snapshot_piece(snapshot: Snapshot, after: str) -> SnapshotPiece:
     """Give the piece of a snapshot that follows a part's name; empty for the first."""
     head = snapshot.head
     names = sorted(name for name in snapshot.sections_by_part if name > after)
@@ -127,7 +127,7 @@
 
 
 def _ids(values: list) -> tuple[ChangeId, ...]:
-    if len(values) > RECENT_KEPT:
+    if len(values) > MAX_RECENT_CHANGES:
         raise TransferError("more change ids than are kept")
     if not all(isinstance(one, str) and len(one) <= MAX_ID_LENGTH for one in values):
         raise TransferError("a change id of another shape")
--- a/egretstack/contracts/_service_schema.py
+++ b/egretstack/contracts/_service_schema.py
@@ -4,13 +4,13 @@
 
 from egretstack.schema import (
     Choice,
+    Choices,
     Key,
     Name,
     Names,
     Number,
     Schema,
     UrlPath,
-    Words,
     reference_rows,
 )
 
@@ -46,21 +46,21 @@
         Key(
             "engine",
             "kv_capacity_tokens",
-            Number(1, 100_000_000, "tokens", whole=True),
+            Number(1, 100_000_000, "tokens", integer=True),
             "Memory of one engine, taken until its first load report.",
             "60000",
         ),
         Key(
             "engine",
             "max_batch",
-            Number(1, 4096, "sequences", whole=True),
+            Number(1, 4096, "sequences", integer=True),
             "Most sequences one engine decodes together.",
             "64",
         ),
         Key(
             "calls",
             "repeatable",
-            Words(_METHODS),
+            Choices(_METHODS),
             "Methods that may be repeated; every other call runs at most once.",
             "GET,HEAD,OPTIONS",
         ),
--- a/egretstack/kernel/_kernel.py
+++ b/egretstack/kernel/_kernel.py
@@ -12,7 +12,7 @@
 from egretstack.kernel._service import Service, ServiceFailed
 
 S = TypeVar("S", bound=Service)
-FAREWELL_S = 2.0
+ANNOUNCE_STOP_TIMEOUT_S = 2.0
 
 
 class Kernel:
@@ -56,9 +56,9 @@
             log(Event.DRAIN_BEGUN)
             for name in reversed(order):
                 await self._by_name[name].drain()
-            with trio.move_on_after(FAREWELL_S):
+            with trio.move_on_after(ANNOUNCE_STOP_TIMEOUT_S):
                 for name in reversed(order):
-                    await self._by_name[name].farewell()
+                    await self._by_name[name].announce_stop()
             for scope in reversed(scopes):
                 scope.cancel()
         log(Event.STOPPED)
--- a/egretstack/kernel/_service.py
+++ b/egretstack/kernel/_service.py
@@ -37,7 +37,7 @@
     async def drain(self) -> None:  # noqa: B027 - most services have nothing in progress
         """Return once nothing this service has in progress would be cut by a stop."""
 
-    async def farewell(self) -> None:  # noqa: B027 - most services have nobody to tell
+    async def announce_stop(self) -> None:  # noqa: B027 - most services have nobody to tell
         """Tell others that this process ends; every service has drained, and none is stopped.
 
         The kernel waits for it for a short time only.
--- a/egretstack/objectapi/__init__.py
+++ b/egretstack/objectapi/__init__.py
@@ -12,7 +12,7 @@
     MemberState,
 )
 from egretstack.objectapi._object_api import (
-    WATCH_LIFE_S,
+    DEFAULT_WATCH_DURATION_S,
     Conflict,
     ObjectApi,
     ObjectKind,
@@ -29,7 +29,7 @@
 
 __all__ = [
     "ENTRY_SERVICE",
-    "WATCH_LIFE_S",
+    "DEFAULT_WATCH_DURATION_S",
     "Breaker",
     "BreakerState",
     "BudgetedObjectApi",
--- a/egretstack/objectapi/_breaker.py
+++ b/egretstack/objectapi/_breaker.py
@@ -4,8 +4,8 @@
 from random import Random
 
 FAILURES_TO_OPEN = 5
-FIRST_OPEN_S = 0.25
-LONGEST_OPEN_S = 2.0
+INITIAL_OPEN_S = 0.25
+MAX_OPEN_S = 2.0
 _JITTER = 0.5
 
 
@@ -28,7 +28,7 @@
         self.state = BreakerState.CLOSED
         self._rng = rng
         self._failures = 0
-        self._open_s = FIRST_OPEN_S
+        self._open_s = INITIAL_OPEN_S
         self._until_s = 0.0
         self._probing = False
 
@@ -40,29 +40,29 @@
             return self._open_s
         return max(0.0, self._until_s - now_s)
 
-    def begin(self, now_s: float) -> None:
+    def record_call(self, now_s: float) -> None:
         """Note that a call is made, which `wait_s` allowed; when open, it is the probe."""
         if self.state is not BreakerState.CLOSED:
             self.state = BreakerState.HALF_OPEN
             self._probing = True
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Note an answer of the platform, of any content."""
         self.state = BreakerState.CLOSED
         self._failures = 0
-        self._open_s = FIRST_OPEN_S
+        self._open_s = INITIAL_OPEN_S
         self._probing = False
 
-    def failed(self, now_s: float) -> None:
+    def record_failure(self, now_s: float) -> None:
         """Note a call without an answer."""
         self._failures += 1
         if self.state is BreakerState.HALF_OPEN:
-            self._open_s = min(LONGEST_OPEN_S, self._open_s * 2)
+            self._open_s = min(MAX_OPEN_S, self._open_s * 2)
             self._open(now_s)
         elif self.state is BreakerState.CLOSED and self._failures >= FAILURES_TO_OPEN:
             self._open(now_s)
 
-    def given_up(self) -> None:
+    def record_cancelled(self) -> None:
         """Note that the caller went away before an answer; another probe may be made."""
         self._probing = False
 
--- a/egretstack/objectapi/_budget.py
+++ b/egretstack/objectapi/_budget.py
@@ -87,7 +87,7 @@
             one: TokenBucket(*_share(one, 1), now_s) for one in FLEET_RATE_BY_CLASS
         }
 
-    def share_among(self, instances: int, now_s: float) -> None:
+    def set_fleet_size(self, instances: int, now_s: float) -> None:
         """Size every bucket for a fleet of so many instances."""
         for one, bucket in self._bucket_by_class.items():
             bucket.resize(*_share(one, max(1, instances)), now_s)
--- a/egretstack/objectapi/_budgeted.py
+++ b/egretstack/objectapi/_budgeted.py
@@ -12,7 +12,7 @@
 from egretstack.objectapi._breaker import Breaker, BreakerState
 from egretstack.objectapi._budget import CLASS_BY_KIND, CallBudget
 from egretstack.objectapi._object_api import (
-    WATCH_LIFE_S,
+    DEFAULT_WATCH_DURATION_S,
     Conflict,
     ObjectApi,
     ObjectKind,
@@ -27,7 +27,7 @@
 
 READ_ATTEMPTS = 3
 RETRY_BASE_S = 0.05
-LONGEST_BUDGET_WAIT_S = 1.0
+MAX_BUDGET_WAIT_S = 1.0
 WATCH_GRACE_S = 0.5
 """Seconds after the end of a watch's life in which its last bookmark has to come."""
 
@@ -76,15 +76,15 @@
 
     @asynccontextmanager
     async def watch(
-        self, kind: ObjectKind, since: str | None, life_s: float = WATCH_LIFE_S
+        self, kind: ObjectKind, since: str | None, duration_s: float = DEFAULT_WATCH_DURATION_S
     ) -> AsyncIterator[AsyncIterator[WatchChange]]:
         """Follow changes for `life_s`, bounded. Raises PlatformAway, WatchLost."""
         async with AsyncExitStack() as stack:
 
             async def enter() -> AsyncIterator[WatchChange]:
-                return await stack.enter_async_context(self._inner.watch(kind, since, life_s))
+                return await stack.enter_async_context(self._inner.watch(kind, since, duration_s))
 
-            deadline_s = trio.current_time() + life_s + WATCH_GRACE_S
+            deadline_s = trio.current_time() + duration_s + WATCH_GRACE_S
             changes = await self._call("watch", kind, enter, PlatformAway)
             gauge = self._metrics.platform_watches.labels(CLASS_BY_KIND[kind].value)
             gauge.inc()
@@ -116,7 +116,7 @@
     ) -> T:
         await self._admit(kind)
         outcome = "given_up"
-        self.breaker.begin(trio.current_time())
+        self.breaker.record_call(trio.current_time())
         try:
             result = await self._bounded(call, on_timeout)
             outcome = "answered"
@@ -144,7 +144,7 @@
         if closed_s > 0:
             raise PlatformAway("the platform has been failing", closed_s)
         wait_s = self.budget.wait_s(call_class, now_s)
-        if wait_s > LONGEST_BUDGET_WAIT_S:
+        if wait_s > MAX_BUDGET_WAIT_S:
             raise PlatformAway(f"the budget for {call_class.value} is spent", wait_s)
         self.budget.spend(call_class, now_s)
         if wait_s > 0:
@@ -156,11 +156,11 @@
     def _note(self, verb: str, kind: ObjectKind, outcome: str) -> None:
         before = self.breaker.state
         if outcome == "answered":
-            self.breaker.succeeded()
+            self.breaker.record_success()
         elif outcome == "failed":
-            self.breaker.failed(trio.current_time())
+            self.breaker.record_failure(trio.current_time())
         else:
-            self.breaker.given_up()
+            self.breaker.record_cancelled()
         labels = (CLASS_BY_KIND[kind].value, verb, outcome)
         self._metrics.platform_calls.labels(*labels).inc()
         after = self.breaker.state
--- a/egretstack/objectapi/_http_object_api.py
+++ b/egretstack/objectapi/_http_object_api.py
@@ -7,8 +7,8 @@
 import httpx
 
 from egretstack.objectapi._object_api import (
+    DEFAULT_WATCH_DURATION_S,
     MAX_OBJECT_BYTES,
-    WATCH_LIFE_S,
     Conflict,
     ObjectApi,
     ObjectKind,
@@ -71,17 +71,17 @@
 
     @asynccontextmanager
     async def watch(
-        self, kind: ObjectKind, since: str | None, life_s: float = WATCH_LIFE_S
+        self, kind: ObjectKind, since: str | None, duration_s: float = DEFAULT_WATCH_DURATION_S
     ) -> AsyncIterator[AsyncIterator[WatchChange]]:
         """Follow changes after the version `since`. Raises PlatformAway, WatchLost."""
         params = {
             "watch": "true",
             "allowWatchBookmarks": "true",
-            "timeoutSeconds": f"{life_s:g}",
+            "timeoutSeconds": f"{duration_s:g}",
         }
         if since is not None:
             params["resourceVersion"] = since
-        timeout = httpx.Timeout(self._client.timeout.connect, read=life_s + _WATCH_GRACE_S)
+        timeout = httpx.Timeout(self._client.timeout.connect, read=duration_s + _WATCH_GRACE_S)
         try:
             async with self._client.stream(
                 "GET", f"{self._base}/{kind.value}", params=params, timeout=timeout
--- a/egretstack/objectapi/_object_api.py
+++ b/egretstack/objectapi/_object_api.py
@@ -13,7 +13,7 @@
 MAX_OBJECT_BYTES = 1_048_576
 """Largest object the platform holds."""
 
-WATCH_LIFE_S = 30.0
+DEFAULT_WATCH_DURATION_S = 30.0
 """How long one watch stays open unless its caller says otherwise, in seconds.
 
 An open watch can go silent for good when something on the way forgets the connection; ending
@@ -115,7 +115,7 @@
 
     @abstractmethod
     def watch(
-        self, kind: ObjectKind, since: str | None, life_s: float = WATCH_LIFE_S
+        self, kind: ObjectKind, since: str | None, duration_s: float = DEFAULT_WATCH_DURATION_S
     ) -> AbstractAsyncContextManager[AsyncIterator[WatchChange]]:
         """Follow changes after the version `since` for `life_s`, which a bookmark ends.
 
--- a/egretstack/operators/__init__.py
+++ b/egretstack/operators/__init__.py
@@ -5,15 +5,15 @@
     apply_file,
     check_file,
     diff_text,
+    part_in_force,
     read_part_file,
     remove_part,
     sections_diff,
-    shown,
 )
 from egretstack.operators._keys import new_account_key, new_session_key
 from egretstack.operators._recovery import (
     check_not_older,
-    listed_instance,
+    find_instance,
     refuse_older_store,
     snapshot_in_force,
 )
@@ -28,13 +28,13 @@
     "diff_text",
     "drain_instance",
     "fleet_status",
-    "listed_instance",
+    "find_instance",
     "new_account_key",
     "new_session_key",
     "read_part_file",
     "refuse_older_store",
     "remove_part",
     "sections_diff",
-    "shown",
+    "part_in_force",
     "snapshot_in_force",
 ]
--- a/egretstack/operators/_changes.py
+++ b/egretstack/operators/_changes.py
@@ -50,7 +50,7 @@
     return read_part_file(path, kind).name
 
 
-async def shown(store: ConfigurationStore, kind: PartKind, name: str) -> Sections | None:
+async def part_in_force(store: ConfigurationStore, kind: PartKind, name: str) -> Sections | None:
     """Give the part in force, or None. Raises PlatformAway."""
     head = await store.head()
     return None if head is None else await _part(store, head, part_name(kind, name))
@@ -58,7 +58,7 @@
 
 async def diff_text(store: ConfigurationStore, file: PartFile) -> str:
     """Give the difference a file would make, empty for none. Raises PlatformAway."""
-    theirs = await shown(store, file.kind, file.name)
+    theirs = await part_in_force(store, file.kind, file.name)
     return sections_diff(theirs, file.sections, "in force", str(file.path))
 
 
--- a/egretstack/operators/_recovery.py
+++ b/egretstack/operators/_recovery.py
@@ -15,7 +15,7 @@
 from egretstack.objectapi import ENTRY_SERVICE, InstanceList, Member
 from egretstack.operators._status import OPERATOR_PORT, InstanceStatus, fleet_status
 
-ASKED_BEFORE_A_CHANGE = 8
+MAX_INSTANCES_CHECKED = 8
 
 
 async def refuse_older_store(
@@ -26,7 +26,7 @@
     A change accepted by such a store would be refused by every instance, while the operator was
     told that it is accepted.
     """
-    statuses = await fleet_status(client, listed, ASKED_BEFORE_A_CHANGE)
+    statuses = await fleet_status(client, listed, MAX_INSTANCES_CHECKED)
     # The store is read after the instances, so a change accepted in between is no false alarm.
     head = await store.head()
     check_not_older(statuses, Revision(0) if head is None else head.revision)
@@ -43,7 +43,7 @@
             )
 
 
-async def listed_instance(listed: InstanceList, instance: str) -> Member:
+async def find_instance(listed: InstanceList, instance: str) -> Member:
     """Find an instance by name. Raises UserError, PlatformAway."""
     for member in await listed.members():
         if member.service == ENTRY_SERVICE and member.id == instance:
--- a/egretstack/operators/_status.py
+++ b/egretstack/operators/_status.py
@@ -11,7 +11,7 @@
 
 OPERATOR_PORT = "operator"
 STEWARD_OPERATOR_PORT = "steward-operator"
-ASKED_AT_ONCE = 32
+MAX_CONCURRENT_REQUESTS = 32
 
 
 @dataclass(frozen=True)
@@ -25,17 +25,17 @@
 
 
 async def fleet_status(
-    client: httpx.AsyncClient, listed: InstanceList, most: int | None = None
+    client: httpx.AsyncClient, listed: InstanceList, max_instances: int | None = None
 ) -> list[InstanceStatus]:
     """Ask every process of every listed instance, or of `most` of them drawn at random.
 
     Raises PlatformAway for the list.
     """
     members = [one for one in await listed.members() if one.service == ENTRY_SERVICE]
-    if most is not None:
-        members = random.sample(members, min(most, len(members)))
+    if max_instances is not None:
+        members = random.sample(members, min(max_instances, len(members)))
     found: list[InstanceStatus] = []
-    limit = trio.CapacityLimiter(ASKED_AT_ONCE)
+    limit = trio.CapacityLimiter(MAX_CONCURRENT_REQUESTS)
 
     async def ask(member: Member, port: str) -> None:
         async with limit:
--- a/egretstack/peers/__init__.py
+++ b/egretstack/peers/__init__.py
@@ -12,8 +12,8 @@
     PeerKeys,
     PeerLink,
     PeerRefused,
+    accept_peer,
     connect_peer,
-    greet_peer,
 )
 
 __all__ = [
@@ -27,5 +27,5 @@
     "connect_peer",
     "decode",
     "encode",
-    "greet_peer",
+    "accept_peer",
 ]
--- a/egretstack/peers/_link.py
+++ b/egretstack/peers/_link.py
@@ -15,7 +15,7 @@
 from egretstack.messages import Hello, Message, MessageError, decode, encode
 
 PROTOCOL_VERSION = 1
-SEAL_LIFE_S = 60
+SEAL_TTL_S = 60
 MAX_MESSAGE_BYTES = 4_194_304
 READ_BYTES = 65_536
 HELLO_TIMEOUT_S = 5.0
@@ -36,17 +36,17 @@
         self._box = MultiFernet([Fernet(key) for key in keys])
         self._epoch = epoch
 
-    def hello(self, instance: InstanceId) -> Hello:
+    def make_hello(self, instance: InstanceId) -> Hello:
         """Make the hello of this process."""
         seal = self._box.encrypt_at_time(instance.encode(), int(self._epoch.now()))
         return Hello(PROTOCOL_VERSION, instance, seal)
 
-    def check(self, hello: Message) -> InstanceId:
+    def verify_hello(self, hello: Message) -> InstanceId:
         """Give the peer's name; raise PeerRefused."""
         if not isinstance(hello, Hello) or hello.version != PROTOCOL_VERSION:
             raise PeerRefused("another protocol version")
         try:
-            name = self._box.decrypt_at_time(hello.seal, SEAL_LIFE_S, int(self._epoch.now()))
+            name = self._box.decrypt_at_time(hello.seal, SEAL_TTL_S, int(self._epoch.now()))
         except InvalidToken as error:
             raise PeerRefused("a seal that is not ours or too old") from error
         if name.decode() != hello.instance:
@@ -85,7 +85,7 @@
             except (ValueError, MessageError) as error:
                 raise PeerRefused(repr(error)) from error
 
-    async def ask(self, message: Message) -> Message:
+    async def request(self, message: Message) -> Message:
         """Send a message and receive its answer. Raises PeerGone, PeerRefused."""
         await self.send(message)
         return await self.receive()
@@ -115,19 +115,19 @@
     try:
         with trio.fail_after(HELLO_TIMEOUT_S):
             link = PeerLink(await opener())
-            link.peer = keys.check(await link.ask(keys.hello(instance)))
+            link.peer = keys.verify_hello(await link.request(keys.make_hello(instance)))
             return link
     except (OSError, trio.TooSlowError) as error:
         raise PeerGone(repr(error)) from error
 
 
-async def greet_peer(stream: trio.abc.Stream, keys: PeerKeys, instance: InstanceId) -> PeerLink:
+async def accept_peer(stream: trio.abc.Stream, keys: PeerKeys, instance: InstanceId) -> PeerLink:
     """Accept a link. Raises PeerGone, PeerRefused."""
     link = PeerLink(stream)
     try:
         with trio.fail_after(HELLO_TIMEOUT_S):
-            link.peer = keys.check(await link.receive())
-            await link.send(keys.hello(instance))
+            link.peer = keys.verify_hello(await link.receive())
+            await link.send(keys.make_hello(instance))
             return link
     except trio.TooSlowError as error:
         raise PeerGone("no hello") from error
--- a/egretstack/programs/_ctl_common.py
+++ b/egretstack/programs/_ctl_common.py
@@ -42,7 +42,7 @@
             await work()
         except ApplyConflict as error:
             print(f"conflict: {error}; in force now:", file=sys.stderr)
-            print(json.dumps(error.theirs, indent=2), file=sys.stderr)
+            print(json.dumps(error.current_sections, indent=2), file=sys.stderr)
             sys.exit(ExitCode.CONFLICT)
         except ApplyUnknown as error:
             print(f"outcome unknown: {error}", file=sys.stderr)
--- a/egretstack/programs/_ctl_parts.py
+++ b/egretstack/programs/_ctl_parts.py
@@ -11,11 +11,11 @@
     apply_file,
     check_file,
     diff_text,
+    part_in_force,
     read_part_file,
     refuse_older_store,
     remove_part,
     sections_diff,
-    shown,
 )
 from egretstack.programs._ctl_common import Namespace, PlatformUrl, open_platform, run_command
 from egretstack.programs._running import exit_with
@@ -40,7 +40,7 @@
 
         async def work() -> None:
             async with open_platform(platform, namespace) as (_, api, _listed):
-                sections = await shown(ConfigurationStore(api), kind, name)
+                sections = await part_in_force(ConfigurationStore(api), kind, name)
             if sections is None:
                 raise UserError(f"no {kind.value} of {name} is in force")
             print(json.dumps(sections, indent=2))
@@ -91,7 +91,9 @@
                 try:
                     accepted = await apply_file(store, part, base)
                 except ApplyConflict as error:
-                    print(sections_diff(error.theirs, part.sections, "in force", str(file)))
+                    print(
+                        sections_diff(error.current_sections, part.sections, "in force", str(file))
+                    )
                     raise
             print(f"{part.part}: {_accepted(accepted)}")
 
--- a/egretstack/programs/ctl.py
+++ b/egretstack/programs/ctl.py
@@ -15,8 +15,8 @@
 from egretstack.events import catalogue_page
 from egretstack.operators import (
     drain_instance,
+    find_instance,
     fleet_status,
-    listed_instance,
     new_account_key,
     new_session_key,
     snapshot_in_force,
@@ -167,7 +167,7 @@
 
     async def work() -> None:
         async with open_platform(platform, namespace) as (_, api, _listed):
-            accepted = await ConfigurationStore(api).settle(change_id)
+            accepted = await ConfigurationStore(api).find_accepted(change_id)
         if accepted is None:
             print(f"change {change_id} is not among the latest changes accepted")
             sys.exit(ExitCode.UNKNOWN)
@@ -185,8 +185,8 @@
 
     async def work() -> None:
         async with open_platform(platform, namespace) as (client, api, listed):
-            snapshot = await snapshot_in_force(client, await listed_instance(listed, instance))
-            given_up = await ConfigurationStore(api).put_back(snapshot)
+            snapshot = await snapshot_in_force(client, await find_instance(listed, instance))
+            given_up = await ConfigurationStore(api).recover(snapshot)
         head = snapshot.head
         print(f"revision {head.revision}, change {head.change_id}, is back in the store")
         print(f"changes given up: {', '.join(given_up) or 'none'}")
@@ -200,7 +200,7 @@
 
     async def work() -> None:
         async with open_platform(platform, namespace) as (client, _, listed):
-            await drain_instance(client, await listed_instance(listed, instance))
+            await drain_instance(client, await find_instance(listed, instance))
         print(f"{instance} is draining")
 
     run_command(work)
--- a/egretstack/replay/_site.py
+++ b/egretstack/replay/_site.py
@@ -17,7 +17,7 @@
 
 
 def _whole(name: str, high: int, meaning: str, default: str | None) -> Key:
-    return Key("engine", name, Number(1, high, _TOKENS, whole=True), meaning, default)
+    return Key("engine", name, Number(1, high, _TOKENS, integer=True), meaning, default)
 
 
 def _time(name: str, low: float, meaning: str, default: str) -> Key:
@@ -29,7 +29,7 @@
         Key("engine", "service", Name(), "Service the engine belongs to."),
         Key("engine", "models", Names(), "Models it serves."),
         Key("engine", "zone", Name(), "Availability zone."),
-        Key("engine", "count", Number(1, MAX_ENGINES, "engines", whole=True), "How many.", "1"),
+        Key("engine", "count", Number(1, MAX_ENGINES, "engines", integer=True), "How many.", "1"),
         _whole("kv_capacity_tokens", 100_000_000, "Memory.", None),
         _whole("max_batch", 4096, "Most sequences decoded together.", "64"),
         _time("step_base_s", 0.0001, "Time of a step.", "0.02"),
@@ -50,7 +50,7 @@
         Key(
             "service",
             "max_output_tokens",
-            Number(1, 200_000, _TOKENS, whole=True),
+            Number(1, 200_000, _TOKENS, integer=True),
             "Longest output asked for.",
             "32000",
         ),
@@ -122,7 +122,7 @@
 def _terms(document: Document) -> ServiceTerms:
     return ServiceTerms(
         start_deadline_s=document.number("service", "start_deadline_s"),
-        max_output_tokens=document.whole("service", "max_output_tokens"),
+        max_output_tokens=document.integer("service", "max_output_tokens"),
         stall_weight=document.number("service", "stall"),
         preemption_weight=document.number("service", "preemptions"),
         tail_weight=document.number("service", "tail"),
@@ -130,7 +130,7 @@
 
 
 def _engines(where: str, name: str, document: Document) -> list[EngineSpec]:
-    count = document.whole("engine", "count")
+    count = document.integer("engine", "count")
     names = [name] if count == 1 else [f"{name}-{number + 1}" for number in range(count)]
     reclaimed_at_s = document.number("engine", "reclaimed_at_s")
     back_at_s = document.number("engine", "back_at_s")
@@ -154,20 +154,20 @@
         service=ServiceName(document.text("engine", "service")),
         zone=ZoneName(document.text("engine", "zone")),
         models=tuple(ModelName(one) for one in document.names("engine", "models")),
-        kv_capacity_tokens=document.whole("engine", "kv_capacity_tokens"),
-        max_batch=document.whole("engine", "max_batch"),
+        kv_capacity_tokens=document.integer("engine", "kv_capacity_tokens"),
+        max_batch=document.integer("engine", "max_batch"),
     )
 
 
 def _parameters(document: Document) -> EngineParameters:
     return EngineParameters(
-        kv_capacity_tokens=document.whole("engine", "kv_capacity_tokens"),
-        max_batch=document.whole("engine", "max_batch"),
+        kv_capacity_tokens=document.integer("engine", "kv_capacity_tokens"),
+        max_batch=document.integer("engine", "max_batch"),
         step_base_s=document.number("engine", "step_base_s"),
         step_per_sequence_s=document.number("engine", "step_per_sequence_s"),
-        prefill_tokens_per_s=document.whole("engine", "prefill_tokens_per_s"),
-        prefill_step_tokens=document.whole("engine", "prefill_step_tokens"),
-        prefix_cache_tokens=document.whole("engine", "prefix_cache_tokens"),
+        prefill_tokens_per_s=document.integer("engine", "prefill_tokens_per_s"),
+        prefill_step_tokens=document.integer("engine", "prefill_step_tokens"),
+        prefix_cache_tokens=document.integer("engine", "prefix_cache_tokens"),
         report_period_s=document.number("engine", "report_period_s"),
         report_lag_s=document.number("engine", "report_lag_s"),
     )
--- a/egretstack/schema/__init__.py
+++ b/egretstack/schema/__init__.py
@@ -6,6 +6,7 @@
 from egretstack.schema._values import (
     Address,
     Choice,
+    Choices,
     Digests,
     Flag,
     Name,
@@ -15,7 +16,6 @@
     Url,
     UrlPath,
     ValueKind,
-    Words,
 )
 
 __all__ = [
@@ -33,7 +33,7 @@
     "Url",
     "UrlPath",
     "ValueKind",
-    "Words",
+    "Choices",
     "read_ini",
     "reference_rows",
 ]
--- a/egretstack/schema/_document.py
+++ b/egretstack/schema/_document.py
@@ -40,7 +40,7 @@
         """Give a value that may have a fraction."""
         return self.get(section, name, float)
 
-    def whole(self, section: str, name: str) -> int:
+    def integer(self, section: str, name: str) -> int:
         """Give a value that is a whole number."""
         return self.get(section, name, int)
 
--- a/egretstack/schema/_key.py
+++ b/egretstack/schema/_key.py
@@ -13,7 +13,7 @@
     section: str
     name: str
     kind: ValueKind
-    meaning: str
+    description: str
     default: str | None = None
     """Text taken where the document has none; None makes the key required."""
 
@@ -25,5 +25,5 @@
 
 def _row(key: Key) -> str:
     default = "required" if key.default is None else f"`{key.default}`"
-    cells = (key.section, key.name, key.kind.allowed(), default, key.meaning)
+    cells = (key.section, key.name, key.kind.allowed(), default, key.description)
     return "| " + " | ".join(cells) + " |\n"
--- a/egretstack/schema/_values.py
+++ b/egretstack/schema/_values.py
@@ -23,11 +23,11 @@
 class Number(ValueKind):
     """A number within bounds, in a unit."""
 
-    def __init__(self, low: float, high: float, unit: str, *, whole: bool = False) -> None:
+    def __init__(self, low: float, high: float, unit: str, *, integer: bool = False) -> None:
         self._low = low
         self._high = high
         self._unit = unit
-        self._whole = whole
+        self._whole = integer
 
     def allowed(self) -> str:
         """Say what is allowed, with the unit."""
@@ -148,7 +148,7 @@
         return digests
 
 
-class Words(ValueKind):
+class Choices(ValueKind):
     """Words from a closed list, separated by commas."""
 
     def __init__(self, allowed: tuple[str, ...]) -> None:
--- a/egretstack/services/caller_api.py
+++ b/egretstack/services/caller_api.py
@@ -44,7 +44,7 @@
         """Serve until the kernel stops this service."""
         settings = self.kernel.settings
         limits = CallerLimits(
-            settings.whole("caller", "max_body_bytes"), settings.number("caller", "heartbeat_s")
+            settings.integer("caller", "max_body_bytes"), settings.number("caller", "heartbeat_s")
         )
         generations = Generations(self.kernel.get(SessionHost), limits.heartbeat_s)
         app = self._requests.around(make_caller_app(self, generations, limits))
--- a/egretstack/services/configuration.py
+++ b/egretstack/services/configuration.py
@@ -13,7 +13,6 @@
 import trio
 
 from egretstack.configuration import (
-    Behind,
     ConfigAsk,
     ConfigFar,
     ConfigForked,
@@ -23,15 +22,16 @@
     ConfigurationStore,
     Delta,
     Head,
-    Offer,
+    NoDelta,
+    OfferResult,
     Snapshot,
     SnapshotAsk,
     SnapshotBuilder,
     SnapshotPiece,
     TransferError,
-    piece,
-    tell,
-    told_delta,
+    delta_message,
+    parse_delta,
+    snapshot_piece,
 )
 from egretstack.events import Event, log
 from egretstack.ids import InstanceId, Revision
@@ -119,7 +119,7 @@
         """Wait until another revision is in force."""
         await self._changed.wait()
 
-    def offer(self, snapshot: Snapshot) -> Offer:
+    def offer(self, snapshot: Snapshot) -> OfferResult:
         """Put a snapshot in force if it is newer."""
         offer = self.state.offer(snapshot)
         self._on_offer(offer, snapshot.head.revision, snapshot.head.change_id)
@@ -136,17 +136,17 @@
                 if known > 0:
                     self._alarm(Event.CONFIG_REFUSED_OLDER, 0, "")
                 return
-            if self.state.judge(head) is Offer.OLDER and head.revision >= known:
+            if self.state.compare(head) is OfferResult.OLDER and head.revision >= known:
                 return
             await self.apply_head(head)
 
-    async def apply_head(self, head: Head) -> Offer:
+    async def apply_head(self, head: Head) -> OfferResult:
         """Put a head of the platform in force if it is newer. Raises PlatformAway."""
-        judged = self.state.judge(head)
-        if judged is not Offer.NEWER:
+        judged = self.state.compare(head)
+        if judged is not OfferResult.NEWER:
             self._on_offer(judged, head.revision, head.change_id)
             return judged
-        return self.offer(await self.store.complete(head, self.state.snapshot))
+        return self.offer(await self.store.load_snapshot(head, self.state.snapshot))
 
     async def sample_platform(self) -> None:
         """Read the head, with a probability that keeps the rate of the whole fleet's reads
@@ -202,15 +202,15 @@
         try:
             answer = await self._query(member, port, query)
             if isinstance(answer, ConfigTell):
-                delta = told_delta(answer)
+                delta = parse_delta(answer)
                 offer = self.state.offer_delta(delta)
                 self._on_offer(offer, delta.revision, delta.change_ids[-1])
-                if offer is Offer.GAP and delta.base_revision == self.state.revision:
+                if offer is OfferResult.GAP and delta.base_revision == self.state.revision:
                     await self._pull_snapshot(member, port)
             elif isinstance(answer, ConfigFar):
                 await self._pull_snapshot(member, port)
             elif isinstance(answer, ConfigForked):
-                self._on_offer(Offer.FORKED, answer.revision, answer.change_id)
+                self._on_offer(OfferResult.FORKED, answer.revision, answer.change_id)
         except (PeerGone, PeerRefused):
             return False
         except TransferError as error:
@@ -264,18 +264,18 @@
     async def _answer(self, message: ConfigAsk) -> Message:
         found = self.state.delta_since(message.revision, message.change_id)
         if isinstance(found, Delta):
-            return tell(found)
-        if found is Behind.FAR:
+            return delta_message(found)
+        if found is NoDelta.TOO_OLD:
             return ConfigFar(self.state.revision)
-        if found is Behind.FORKED:
-            self._on_offer(Offer.FORKED, message.revision, message.change_id)
-            known = self.state.snapshot.head.id_at(message.revision)
+        if found is NoDelta.FORKED:
+            self._on_offer(OfferResult.FORKED, message.revision, message.change_id)
+            known = self.state.snapshot.head.change_id_at(message.revision)
             return ConfigForked(message.revision, known)
         return Nothing()
 
     async def _answer_snapshot(self, message: SnapshotAsk) -> Message:
         snapshot = self.state.snapshot
-        return Nothing() if snapshot is None else piece(snapshot, message.after)
+        return Nothing() if snapshot is None else snapshot_piece(snapshot, message.after)
 
     async def _on_news(self, message: ConfigNews) -> Message:
         self._enqueue_pull(
@@ -293,19 +293,19 @@
             with suppress(trio.WouldBlock):
                 self._announced_send.send_nowait(newer)
 
-    def _on_offer(self, offer: Offer, revision: int, change_id: str) -> None:
-        if offer is Offer.APPLIED:
+    def _on_offer(self, offer: OfferResult, revision: int, change_id: str) -> None:
+        if offer is OfferResult.APPLIED:
             log(Event.CONFIG_APPLIED, revision=revision)
             self.kernel.get(PlatformAccess).metrics.revision.set(revision)
             if self.kernel.has(Membership):
                 self.kernel.get(Membership).set_revision(self.state.revision)
             self._changed.set()
             self._changed = trio.Event()
-        elif offer is Offer.BAD:
+        elif offer is OfferResult.BAD:
             self._alarm(Event.CONFIG_BAD, revision, self.state.fault)
-        elif offer is Offer.OLDER:
+        elif offer is OfferResult.OLDER:
             self._alarm(Event.CONFIG_REFUSED_OLDER, revision, change_id)
-        elif offer is Offer.FORKED:
+        elif offer is OfferResult.FORKED:
             self._alarm(Event.CONFIG_FORKED, revision, change_id)
 
     def _alarm(self, event: Event, revision: int, detail: str) -> None:
@@ -319,4 +319,4 @@
 
     def _update_budget_share(self) -> None:
         access = self.kernel.get(PlatformAccess)
-        access.object_api.budget.share_among(len(self._members()), trio.current_time())
+        access.object_api.budget.set_fleet_size(len(self._members()), trio.current_time())
--- a/egretstack/services/configuration_watch.py
+++ b/egretstack/services/configuration_watch.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from egretstack.configuration import FanOut, Offer
+from egretstack.configuration import FanOut, OfferResult
 from egretstack.events import Event, log
 from egretstack.ids import InstanceId
 from egretstack.kernel import Kernel, Service
@@ -92,8 +92,8 @@
     async def _apply(self, kind: WatchKind, stored: StoredObject) -> None:
         configuration = self.kernel.get(Configuration)
         if kind is not WatchKind.DELETED:
-            head = await configuration.store.head_of(stored, configuration.state.snapshot)
-            if configuration.state.judge(head) in (Offer.NEWER, Offer.SAME):
+            head = await configuration.store.parse_head(stored, configuration.state.snapshot)
+            if configuration.state.compare(head) in (OfferResult.NEWER, OfferResult.SAME):
                 await configuration.apply_head(head)
                 return
         # A peer may have been faster than the watch: only a new read proves that the store is
--- a/egretstack/services/duties.py
+++ b/egretstack/services/duties.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from egretstack.configuration import watchers
+from egretstack.configuration import choose_stewards
 from egretstack.contracts import ServiceKind, ServiceSpec
 from egretstack.duties import (
     ORDER_TIMEOUT_S,
@@ -97,7 +97,7 @@
     def _is_candidate(self, hashed: str) -> bool:
         members = self.kernel.get(Instances).members(ENTRY_SERVICE)
         stewards = [one for one in members if STEWARD_PORT in one.ports]
-        return self.kernel.get(Configuration).own in watchers(stewards, CANDIDATES, hashed)
+        return self.kernel.get(Configuration).own in choose_stewards(stewards, CANDIDATES, hashed)
 
 
 class _Orders(LeasedDuty):
--- a/egretstack/services/fleet_port.py
+++ b/egretstack/services/fleet_port.py
@@ -159,7 +159,7 @@
                 nursery.start_soon(self._report_periodically)
                 task_status.started()
 
-    async def farewell(self) -> None:
+    async def announce_stop(self) -> None:
         """Send a last report, which tells the others that this instance ends."""
         self._send_report()
 
--- a/egretstack/services/membership.py
+++ b/egretstack/services/membership.py
@@ -72,7 +72,7 @@
                 self._send_due(nursery)
                 await trio.sleep(TICK_S)
 
-    async def farewell(self) -> None:
+    async def announce_stop(self) -> None:
         """Announce that this instance has ended, so that no neighbour has to detect it."""
         self._state.stop()
         async with trio.open_nursery() as nursery:
--- a/egretstack/services/peer_port.py
+++ b/egretstack/services/peer_port.py
@@ -17,8 +17,8 @@
     PeerGone,
     PeerLink,
     PeerRefused,
+    accept_peer,
     connect_peer,
-    greet_peer,
 )
 from egretstack.services.platform_access import PlatformAccess
 
@@ -116,7 +116,7 @@
         try:
             if link.peer != peer:
                 raise PeerRefused(f"{link.peer} answers in place of {peer}")
-            answer = await link.ask(message)
+            answer = await link.request(message)
         except BaseException:
             # A link left in the middle of an exchange would give the next request this answer. And
             # a link that stopped answering for good must not be used again: the next request opens
@@ -158,7 +158,7 @@
         self._accepted += 1
         try:
             keys = self.kernel.get(PlatformAccess).peer_keys
-            link = await greet_peer(stream, keys, self._own())
+            link = await accept_peer(stream, keys, self._own())
             await self._serve_link(link)
         except PeerGone:
             return
--- a/egretstack/settings/_read.py
+++ b/egretstack/settings/_read.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 from egretstack.schema import Document, read_ini
-from egretstack.settings._schema import Program, schema_of
+from egretstack.settings._schema import Program, schema_for
 
 Settings = Document
 """The checked settings of one process."""
@@ -11,6 +11,6 @@
 
 def read_settings(path: Path, program: Program) -> Settings:
     """Read and check the settings of `program`; raise UserError with every fault found."""
-    settings = schema_of(program).check(str(path), read_ini(path))
+    settings = schema_for(program).check(str(path), read_ini(path))
     settings.folder = path.parent
     return settings
--- a/egretstack/settings/_schema.py
+++ b/egretstack/settings/_schema.py
@@ -68,7 +68,7 @@
     Key(
         "caller",
         "max_body_bytes",
-        Number(1024, 16_777_216, "bytes", whole=True),
+        Number(1024, 16_777_216, "bytes", integer=True),
         "Largest request body.",
         "1048576",
     ),
@@ -133,7 +133,7 @@
 """
 
 
-def schema_of(program: Program) -> Schema:
+def schema_for(program: Program) -> Schema:
     """Give the schema of one program's settings."""
     return _SCHEMAS[program]
 
--- a/scripts/slopes_accounts.py
+++ b/scripts/slopes_accounts.py
@@ -7,12 +7,12 @@
     ConfigurationState,
     Delta,
     Head,
-    Offer,
+    OfferResult,
     Snapshot,
+    delta_message,
     head_digest,
     part_digest,
-    piece,
-    tell,
+    snapshot_piece,
 )
 from egretstack.ids import ChangeId, Revision
 from egretstack.metrics import Metrics
@@ -61,7 +61,7 @@
     total = 0
     after = ""
     while True:
-        told = piece(whole, after)
+        told = snapshot_piece(whole, after)
         total += len(encode(told))
         if not told.more:
             return total
@@ -85,7 +85,7 @@
 
 def apply_delta(state: ConfigurationState, deltas: Iterator[Delta]) -> None:
     """Put the next of several deltas in force."""
-    if state.offer_delta(next(deltas)) is not Offer.APPLIED:
+    if state.offer_delta(next(deltas)) is not OfferResult.APPLIED:
         raise RuntimeError("the delta was not applied")
 
 
@@ -122,7 +122,7 @@
     show(fit("configuration_memory", "bytes", "account", held))
     wire = {size: snapshot_bytes(size) for size in sizes}
     show(fit("configuration_snapshot_wire", "bytes", "account", wire))
-    changed = {size: len(encode(tell(change_of_one(size)))) for size in sizes}
+    changed = {size: len(encode(delta_message(change_of_one(size)))) for size in sizes}
     show(fit("configuration_change_wire", "bytes", "account", changed))
     started = {size: cpu_us(partial(apply, snapshot(size))) for size in sizes}
     show(fit("configuration_start_cpu", "us", "account", started))
--- a/scripts/slopes_configuration.py
+++ b/scripts/slopes_configuration.py
@@ -32,10 +32,10 @@
     FanOut,
     Head,
     Snapshot,
+    delta_message,
+    parse_delta,
     part_digest,
-    piece,
-    tell,
-    told_delta,
+    snapshot_piece,
 )
 from egretstack.configuration._head_object import HeadObject
 from egretstack.ids import ChangeId, InstanceId, Revision, ZoneName
@@ -92,7 +92,7 @@
     state = ConfigurationState()
     state.offer(first)
     state.offer(changed(first, 0))
-    delta = len(encode(tell(state.delta_since(first.head.revision, first.head.change_id))))
+    delta = len(encode(delta_message(state.delta_since(first.head.revision, first.head.change_id))))
     snapshot = sum(len(json.dumps(one)) for one in first.sections_by_part.values())
     before = HeadObject(first.head.revision, first.head.change_id, "0" * 16)
     since = dict(list(first.head.digest_by_part.items())[:63])
@@ -105,7 +105,7 @@
         delta=delta,
         news=len(encode(ConfigNews("instance-417", 5000))),
         ask=len(encode(ConfigAsk(5000, "0" * 16))),
-        first_piece=len(encode(piece(first, ""))),
+        first_piece=len(encode(snapshot_piece(first, ""))),
         snapshot=snapshot,
         largest_head=head,
         manifest=manifest,
@@ -129,7 +129,7 @@
         start = time.process_time()
         delta = sender.delta_since(base.revision, base.change_id)
         made = time.process_time()
-        receiver.offer_delta(told_delta(tell(delta)))
+        receiver.offer_delta(parse_delta(delta_message(delta)))
         applied = time.process_time()
         took["make_delta"].append(made - start)
         took["apply_delta"].append(applied - made)
@@ -223,7 +223,7 @@
         found = sender.state.delta_since(ask.revision, ask.change_id)
         if not isinstance(found, Delta):
             return
-        sender.send(tell(found))
+        sender.send(delta_message(found))
         await trio.sleep(DELAY_S)
         before = self.state.revision
         self.state.offer_delta(found)
--- a/standins/gate.py
+++ b/standins/gate.py
@@ -15,7 +15,13 @@
 
 import trio
 
-from egretstack.objectapi import WATCH_LIFE_S, ObjectApi, ObjectKind, StoredObject, WatchChange
+from egretstack.objectapi import (
+    DEFAULT_WATCH_DURATION_S,
+    ObjectApi,
+    ObjectKind,
+    StoredObject,
+    WatchChange,
+)
 from standins.object_store import InProcessObjectApi, ObjectStore
 
 T = TypeVar("T")
@@ -158,11 +164,11 @@
 
     @asynccontextmanager
     async def watch(
-        self, kind: ObjectKind, since: str | None, life_s: float = WATCH_LIFE_S
+        self, kind: ObjectKind, since: str | None, duration_s: float = DEFAULT_WATCH_DURATION_S
     ) -> AsyncIterator[AsyncIterator[WatchChange]]:
         """Follow changes."""
         await self._gate.wait()
-        async with self.inner.watch(kind, since, life_s) as changes:
+        async with self.inner.watch(kind, since, duration_s) as changes:
             yield self._changes(changes)
 
     async def _changes(self, changes: AsyncIterator[WatchChange]) -> AsyncIterator[WatchChange]:
--- a/standins/object_store.py
+++ b/standins/object_store.py
@@ -9,7 +9,7 @@
 import trio
 
 from egretstack.objectapi import (
-    WATCH_LIFE_S,
+    DEFAULT_WATCH_DURATION_S,
     Conflict,
     ObjectApi,
     ObjectKind,
@@ -142,7 +142,7 @@
 
     @asynccontextmanager
     async def watch(
-        self, kind: ObjectKind, since: str | None, life_s: float = WATCH_LIFE_S
+        self, kind: ObjectKind, since: str | None, duration_s: float = DEFAULT_WATCH_DURATION_S
     ) -> AsyncIterator[AsyncIterator[WatchChange]]:
         """Follow changes."""
         await self._call("watch", kind)
@@ -150,7 +150,7 @@
         self.store.since(kind, start)
         self.store.waiting_watches += 1
         try:
-            yield self._changes(kind, start, trio.current_time() + life_s)
+            yield self._changes(kind, start, trio.current_time() + duration_s)
         finally:
             self.store.waiting_watches -= 1
 
--- a/standins/world.py
+++ b/standins/world.py
@@ -15,7 +15,7 @@
 from egretstack.programs.entry import SERVICES as ENTRY_SERVICES
 from egretstack.programs.steward import SERVICES as STEWARD_SERVICES
 from egretstack.replay import EngineParameters
-from egretstack.settings import Program, Settings, schema_of
+from egretstack.settings import Program, Settings, schema_for
 from standins.access import InProcessAccess, PlainFaults
 from standins.engine_client import EngineFaults
 from standins.gate import Gate, Observer, ProcessKilled
@@ -197,7 +197,7 @@
         sections["caller"] = {"address": f"{host}:{PORTS['caller']}"}
     for section, values in given.items():
         sections[section] = sections.get(section, {}) | values
-    return schema_of(program).check(name, sections)
+    return schema_for(program).check(name, sections)
 
 
 @asynccontextmanager
--- a/tests/configuration_fixtures.py
+++ b/tests/configuration_fixtures.py
@@ -18,7 +18,7 @@
 from standins.world import open_world
 from tests.support import check
 
-IN_FORCE_S = 5.0
+IN_FORCE_TIMEOUT_S = 5.0
 HEALTHY_ZONES = ("a", "b", "c")
 
 
@@ -53,7 +53,7 @@
 
 
 @asynccontextmanager
-async def site(stewards, entries=0):
+async def open_deployment(stewards, entries=0):
     """Give a world of instances in three availability zones with a first configuration."""
     async with open_world() as world:
         await world.configure(contract__acme=contract("acme"))
@@ -72,14 +72,14 @@
         yield world, started
 
 
-def freeze(world, process):
+def pause_instance(world, process):
     """Make an instance as others see it when it is frozen: connections hang, nothing moves."""
     for host in {one.host for one in world.listed.by_id.values()} - {process.host}:
         world.network.cut(process.host, host)
     process.access.store_client.cut = True
 
 
-async def wait_in_force(processes, revision, limit_s=IN_FORCE_S):
+async def wait_in_force(processes, revision, limit_s=IN_FORCE_TIMEOUT_S):
     """Wait until a revision is in force on all; fail after the limit. Give the seconds."""
     start_s = trio.current_time()
     while True:
--- a/tests/process/test_listening.py
+++ b/tests/process/test_listening.py
@@ -11,7 +11,7 @@
 from egretstack.errors import EgretError, ErrorKind
 from egretstack.kernel import Kernel
 from egretstack.services.platform_access import PlatformAccess
-from egretstack.settings import Program, schema_of
+from egretstack.settings import Program, schema_for
 from standins.access import SESSION_KEY
 from tests.support import check, on_real_clock, tests_of
 
@@ -56,7 +56,7 @@
     # Another entry died and its callers connect here in the same instant, while the loop is busy
     # and accepts none. The kernel has to hold them all: where its queue is too short it drops
     # what a caller sends first, and the caller tries again after seconds.
-    access = KeyedAccess(Kernel(schema_of(Program.STEWARD).check("test", _SETTINGS)))
+    access = KeyedAccess(Kernel(schema_for(Program.STEWARD).check("test", _SETTINGS)))
     port = free_port()
     stop = trio.Event()
     with ExitStack() as callers:
@@ -96,7 +96,7 @@
     # The caller's next request would end without an answer, and it could not know whether it ran:
     # the refusal goes out when the head has come and the body has not, and the server, which
     # cannot tell where the next request begins, closes the connection without having said so.
-    access = KeyedAccess(Kernel(schema_of(Program.STEWARD).check("test", _SETTINGS)))
+    access = KeyedAccess(Kernel(schema_for(Program.STEWARD).check("test", _SETTINGS)))
     port = free_port()
     stop = trio.Event()
     app = make_caller_app(RefusingLinks(), None, CallerLimits(1_000_000, 5.0))
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -127,7 +127,7 @@
     # The session keys seal peers' names too. A one-letter name read as a session id is a
     # number where a list is expected; without the check it is a bug to the caller, not "none".
     async with caller_of_site() as (entry, client):
-        seal = entry.kernel.get(PlatformAccess).peer_keys.hello("a").seal.decode()
+        seal = entry.kernel.get(PlatformAccess).peer_keys.make_hello("a").seal.decode()
         check_problem(await client.get(f"/v1/responses/resp_{seal}"), ErrorKind.NOT_FOUND)
 
 
--- a/tests/test_configuration_state.py
+++ b/tests/test_configuration_state.py
@@ -5,20 +5,20 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from egretstack.configuration import (
-    Behind,
     ConfigurationState,
     Delta,
     FanOut,
-    Offer,
+    NoDelta,
+    OfferResult,
     SnapshotBuilder,
     TransferError,
+    choose_stewards,
+    delta_message,
+    parse_delta,
     part_digest,
-    piece,
-    tell,
-    told_delta,
-    watchers,
+    snapshot_piece,
 )
-from egretstack.configuration._model import RECENT_KEPT
+from egretstack.configuration._model import MAX_RECENT_CHANGES
 from egretstack.ids import InstanceId, ZoneName
 from egretstack.objectapi import ENTRY_SERVICE, Member, MemberState
 from tests.configuration_fixtures import snapshot_of
@@ -36,20 +36,20 @@
 
 def state_at(snapshot):
     state = ConfigurationState()
-    check.assertIs(state.offer(snapshot), Offer.APPLIED)
+    check.assertIs(state.offer(snapshot), OfferResult.APPLIED)
     return state
 
 
 def test_an_older_snapshot_is_refused():
     state = state_at(snapshot_of(2, {"ada": 2}))
-    check.assertIs(state.offer(snapshot_of(1, {"ada": 1})), Offer.OLDER)
+    check.assertIs(state.offer(snapshot_of(1, {"ada": 1})), OfferResult.OLDER)
     check.assertEqual(marks_of(state), {"ada": 2})
 
 
 def test_the_same_revision_by_another_change_is_a_fork():
     state = state_at(snapshot_of(2, {"ada": 2}))
     other = snapshot_of(2, {"ada": 9}, ["c1", "x2"])
-    check.assertIs(state.offer(other), Offer.FORKED)
+    check.assertIs(state.offer(other), OfferResult.FORKED)
     check.assertEqual(marks_of(state), {"ada": 2})
 
 
@@ -58,20 +58,20 @@
     # higher revision would undo an accepted change without a word.
     state = state_at(snapshot_of(2, {"ada": 2}))
     other = snapshot_of(4, {"ada": 9}, ["c1", "x2", "x3", "x4"])
-    check.assertIs(state.offer(other), Offer.FORKED)
+    check.assertIs(state.offer(other), OfferResult.FORKED)
     check.assertEqual(marks_of(state), {"ada": 2})
 
 
 def test_an_older_revision_of_another_history_is_a_fork():
     state = state_at(snapshot_of(3, {"ada": 3}))
-    check.assertIs(state.offer(snapshot_of(2, {"ada": 9}, ["c1", "x2"])), Offer.FORKED)
+    check.assertIs(state.offer(snapshot_of(2, {"ada": 9}, ["c1", "x2"])), OfferResult.FORKED)
 
 
 def test_a_peer_of_another_history_gets_no_delta():
     state = state_at(snapshot_of(2, {"ada": 2}))
     state.offer(snapshot_of(3, {"ada": 3}))
-    check.assertIs(state.delta_since(2, "x2"), Behind.FORKED)
-    check.assertIs(state.delta_since(3, "x3"), Behind.FORKED)
+    check.assertIs(state.delta_since(2, "x2"), NoDelta.FORKED)
+    check.assertIs(state.delta_since(3, "x3"), NoDelta.FORKED)
     check.assertIsInstance(state.delta_since(2, "c2"), Delta)
 
 
@@ -79,7 +79,7 @@
     sender = state_at(snapshot_of(2, {"ada": 2}))
     sender.offer(snapshot_of(3, {"ada": 3}))
     receiver = state_at(snapshot_of(2, {"ada": 9}, ["c1", "x2"]))
-    check.assertIs(receiver.offer_delta(sender.delta_since(2, "c2")), Offer.FORKED)
+    check.assertIs(receiver.offer_delta(sender.delta_since(2, "c2")), OfferResult.FORKED)
     check.assertEqual(marks_of(receiver), {"ada": 9})
 
 
@@ -96,7 +96,7 @@
     sender = state_at(snapshot_of(1, {"ada": 1}))
     sender.offer(snapshot_of(3, {"ada": 1}))
     receiver = state_at(snapshot_of(2, {"ada": 1, "bo": 2}))
-    check.assertIs(receiver.offer_delta(sender.delta_since(2, "c2")), Offer.GAP)
+    check.assertIs(receiver.offer_delta(sender.delta_since(2, "c2")), OfferResult.GAP)
     check.assertEqual(marks_of(receiver), {"ada": 1, "bo": 2})
 
 
@@ -104,10 +104,10 @@
     state = state_at(snapshot_of(1, {"ada": 1}))
     bad = snapshot_of(2, {"ada": 2, "bo": 2})
     bad.sections_by_part["contract.bo"] = {"contract": {"account": "bo"}}
-    check.assertIs(state.offer(bad), Offer.BAD)
+    check.assertIs(state.offer(bad), OfferResult.BAD)
     check.assertIn("key_sha256", state.fault)
     check.assertEqual(marks_of(state), {"ada": 1})
-    check.assertIs(state.offer(snapshot_of(3, {"ada": 3})), Offer.APPLIED)
+    check.assertIs(state.offer(snapshot_of(3, {"ada": 3})), OfferResult.APPLIED)
 
 
 def test_a_part_that_describes_another_name_is_bad():
@@ -115,17 +115,17 @@
     bad = snapshot_of(2, {"ada": 1})
     bad.sections_by_part["contract.bo"] = bad.sections_by_part["contract.ada"]
     bad.head.digest_by_part["contract.bo"] = bad.head.digest_by_part["contract.ada"]
-    check.assertIs(state.offer(bad), Offer.BAD)
+    check.assertIs(state.offer(bad), OfferResult.BAD)
 
 
 def test_an_asker_further_behind_than_the_ids_kept_is_told_to_take_the_snapshot():
     state = state_at(snapshot_of(1, {"ada": 1}))
-    for revision in range(2, RECENT_KEPT + 3):
-        ids = [f"c{n}" for n in range(1, revision + 1)][-RECENT_KEPT:]
+    for revision in range(2, MAX_RECENT_CHANGES + 3):
+        ids = [f"c{n}" for n in range(1, revision + 1)][-MAX_RECENT_CHANGES:]
         state.offer(snapshot_of(revision, {"ada": revision}, ids))
-    check.assertIs(state.delta_since(1, "c1"), Behind.FAR)
-    check.assertIs(state.delta_since(0, ""), Behind.FAR)
-    check.assertIsInstance(state.delta_since(RECENT_KEPT, f"c{RECENT_KEPT}"), Delta)
+    check.assertIs(state.delta_since(1, "c1"), NoDelta.TOO_OLD)
+    check.assertIs(state.delta_since(0, ""), NoDelta.TOO_OLD)
+    check.assertIsInstance(state.delta_since(MAX_RECENT_CHANGES, f"c{MAX_RECENT_CHANGES}"), Delta)
 
 
 def big_snapshot():
@@ -143,7 +143,7 @@
     pieces = 0
     whole = None
     while whole is None:
-        one = piece(snapshot, builder.after)
+        one = snapshot_piece(snapshot, builder.after)
         check.assertLess(len(str(one.sections_by_part)), 300_000)
         whole = builder.add(one)
         pieces += 1
@@ -153,7 +153,7 @@
 
 def test_a_snapshot_that_lacks_a_part_is_refused():
     snapshot = snapshot_of(1, {"ada": 1, "bo": 2})
-    message = piece(snapshot, "")
+    message = snapshot_piece(snapshot, "")
     del message.sections_by_part["contract.bo"]
     with check.assertRaises(TransferError):
         SnapshotBuilder().add(message)
@@ -162,21 +162,21 @@
 def test_pieces_of_two_revisions_never_make_one_snapshot():
     first, second = big_snapshot(), snapshot_of(2, {"zz": 1})
     builder = SnapshotBuilder()
-    check.assertIsNone(builder.add(piece(first, "")))
+    check.assertIsNone(builder.add(snapshot_piece(first, "")))
     with check.assertRaises(TransferError):
-        builder.add(piece(second, builder.after))
+        builder.add(snapshot_piece(second, builder.after))
 
 
 def test_a_message_of_another_shape_is_refused():
     sender = state_at(snapshot_of(1, {"ada": 1}))
     sender.offer(snapshot_of(2, {"ada": 2}))
-    good = tell(sender.delta_since(1, "c1"))
+    good = delta_message(sender.delta_since(1, "c1"))
     for field, value in {
-        "change_ids": ["c"] * (RECENT_KEPT + 1),
+        "change_ids": ["c"] * (MAX_RECENT_CHANGES + 1),
         "sections_by_part": {"contract.ada": {"contract": {"account": 7}}},
     }.items():
         with check.assertRaises(TransferError):
-            told_delta(type(good)(**(vars(good) | {field: value})))
+            parse_delta(type(good)(**(vars(good) | {field: value})))
 
 
 class Configurations(RuleBasedStateMachine):
@@ -192,7 +192,7 @@
 
     def _snapshot(self, place):
         ids, marks = self.accepted[place]
-        return snapshot_of(len(ids), marks, ids[-RECENT_KEPT:])
+        return snapshot_of(len(ids), marks, ids[-MAX_RECENT_CHANGES:])
 
     @rule(name=st.sampled_from(NAMES), mark=st.none() | st.integers(0, 9))
     def accept(self, name, mark):
@@ -223,11 +223,11 @@
         target, source = self.states[receiver], self.states[sender]
         found = source.delta_since(target.revision, target.change_id)
         if isinstance(found, Delta):
-            offer = target.offer_delta(told_delta(tell(found)))
-            if offer is not Offer.GAP:
+            offer = target.offer_delta(parse_delta(delta_message(found)))
+            if offer is not OfferResult.GAP:
                 return
-        if found is Behind.FAR or isinstance(found, Delta):
-            target.offer(SnapshotBuilder().add(piece(source.snapshot, "")))
+        if found is NoDelta.TOO_OLD or isinstance(found, Delta):
+            target.offer(SnapshotBuilder().add(snapshot_piece(source.snapshot, "")))
 
     @invariant()
     def each_instance_has_one_whole_accepted_revision(self):
@@ -263,7 +263,7 @@
 def test_the_number_of_watchers_does_not_grow_and_they_are_in_different_zones():
     for count in (3, 6, 420):
         listed = members(count)
-        chosen = watchers(listed)
+        chosen = choose_stewards(listed)
         zones = {one.zone for one in listed if one.id in chosen}
         check.assertEqual((len(chosen), len(zones)), (3, 3))
 
@@ -276,7 +276,7 @@
         fan_out.update(listed)
         children[one.id] = [child.id for child in fan_out.children]
     check.assertLessEqual(max(map(len, children.values())), 12)
-    heard = {watchers(listed)[0]}
+    heard = {choose_stewards(listed)[0]}
     for _ in range(5):
         heard |= {child for one in heard for child in children[one]}
     check.assertEqual(len(heard), 420)
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -70,7 +70,7 @@
     await one.apply(change_of("ada", 2, "theirs", base))
     with check.assertRaises(ApplyConflict) as caught:
         await one.apply(change_of("ada", 3, "mine", base))
-    check.assertEqual(caught.exception.theirs, contract("ada", 2))
+    check.assertEqual(caught.exception.current_sections, contract("ada", 2))
     check.assertEqual((await one.head()).change_id, "theirs")
 
 
@@ -92,8 +92,8 @@
     head = await one.head()
     check.assertEqual(head.revision, 4)
     check.assertEqual(head.digest_by_part["contract.ada"], part_digest(contract("ada", 7)))
-    check.assertEqual((await one.settle(ChangeId("mine"))).revision, 2)
-    check.assertIsNone(await one.settle(ChangeId("never")))
+    check.assertEqual((await one.find_accepted(ChangeId("mine"))).revision, 2)
+    check.assertIsNone(await one.find_accepted(ChangeId("never")))
 
 
 async def test_an_outcome_is_unknown_while_the_platform_stays_away_after_the_write():
@@ -107,7 +107,7 @@
     with check.assertRaises(ApplyUnknown):
         await mine.apply(change_of("bo", 2, "mine"))
     store.faults.down = False
-    check.assertEqual((await one.settle(ChangeId("mine"))).revision, 2)
+    check.assertEqual((await one.find_accepted(ChangeId("mine"))).revision, 2)
 
 
 async def test_a_conflict_with_ones_own_lost_update_leaves_the_outcome_unknown():
@@ -132,7 +132,7 @@
     with check.assertRaises(ApplyUnknown):
         await ConfigurationStore(Late(store)).apply(change_of("bo", 1, "mine"))
     store.faults.down = False
-    check.assertEqual((await one.settle(ChangeId("mine"))).revision, 2)
+    check.assertEqual((await one.find_accepted(ChangeId("mine"))).revision, 2)
 
 
 async def test_a_change_that_never_left_is_said_not_accepted():
@@ -142,7 +142,7 @@
     with check.assertRaises(PlatformAway):
         await one.apply(change_of("bo", 2, "mine"))
     store.faults.down = False
-    check.assertIsNone(await one.settle(ChangeId("mine")))
+    check.assertIsNone(await one.find_accepted(ChangeId("mine")))
 
 
 async def test_a_change_of_two_parts_is_accepted_whole():
@@ -162,7 +162,7 @@
     found = store.by_place[ObjectKind.CONFIG_PART, name]
     store.put(ObjectKind.CONFIG_PART, name, {"sections": contract("ada", 9)}, found.version)
     with check.assertRaises(PlatformAway):
-        await one.complete(head, None)
+        await one.load_snapshot(head, None)
 
 
 async def test_a_store_restored_from_a_copy_is_put_right_from_what_is_in_force():
@@ -175,10 +175,10 @@
     in_force = await one.snapshot()
     store.restore(copy)
     await one.apply(change_of("ada", 5, "foreign", part_digest(contract("ada", 1))))
-    check.assertEqual(await one.put_back(in_force), ["foreign"])
+    check.assertEqual(await one.recover(in_force), ["foreign"])
     check.assertEqual(await one.head(), in_force.head)
     with check.assertRaises(UserError):
-        await one.put_back(in_force)
+        await one.recover(in_force)
 
 
 def test_a_change_is_refused_while_an_instance_has_a_newer_revision_than_the_store():
@@ -219,7 +219,7 @@
 
     with check.assertRaises(PlatformAway):
         await ConfigurationStore(Overtaken(store)).apply(change_of("cy", 1, "mine"))
-    check.assertIsNone(await one.settle(ChangeId("mine")))
+    check.assertIsNone(await one.find_accepted(ChangeId("mine")))
 
 
 async def test_a_head_of_another_shape_is_refused():
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -11,7 +11,7 @@
 from egretstack.upstreams import Order
 from standins.engine_client import InProcessEngine
 from standins.world import open_world
-from tests.configuration_fixtures import freeze
+from tests.configuration_fixtures import pause_instance
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
@@ -94,7 +94,7 @@
     # first must have stopped by then, by its own clock, though nothing told it so.
     async with engine_site("ignored") as (world, stewards):
         first = holders(stewards)[0]
-        freeze(world, first)
+        pause_instance(world, first)
         at_most = 0
         for _ in range(400):
             await trio.sleep(0.1)
--- a/tests/test_membership_services.py
+++ b/tests/test_membership_services.py
@@ -19,7 +19,7 @@
 from egretstack.services.peer_port import IDLE_LINK_S, PeerPort
 from egretstack.services.runners import Runners
 from egretstack.services.session_host import SessionHost
-from egretstack.settings import Program, schema_of
+from egretstack.settings import Program, schema_for
 from standins.world import open_world
 from tests.support import check, tests_of
 from tests.test_world import (
@@ -385,6 +385,6 @@
             "platform": {"object_api": "http://unused"},
             "caller": {"address": "10.0.0.9:8080"},
         }
-        kernel = Kernel(schema_of(Program.ENTRY).check("entry-x", sections))
+        kernel = Kernel(schema_for(Program.ENTRY).check("entry-x", sections))
         with check.assertRaises(UserError):
             Membership(kernel)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,8 +9,8 @@
 from egretstack.clock import EpochClock
 from egretstack.delivery import TokenBox
 from egretstack.ids import InstanceId
-from egretstack.peers import PeerGone, PeerKeys, PeerLink, PeerRefused, connect_peer, greet_peer
-from egretstack.peers._link import MAX_MESSAGE_BYTES, SEAL_LIFE_S
+from egretstack.peers import PeerGone, PeerKeys, PeerLink, PeerRefused, accept_peer, connect_peer
+from egretstack.peers._link import MAX_MESSAGE_BYTES, SEAL_TTL_S
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
@@ -26,7 +26,7 @@
 
     async def greet():
         try:
-            link = await greet_peer(far, PeerKeys(far_keys, epoch), InstanceId("far"))
+            link = await accept_peer(far, PeerKeys(far_keys, epoch), InstanceId("far"))
             seen.append(link.peer)
         except PeerRefused:
             await far.aclose()
@@ -59,14 +59,14 @@
 
 async def test_an_old_seal_and_a_foreign_name_are_refused():
     keys = PeerKeys([OLD], EpochClock.start())
-    hello = keys.hello(InstanceId("near"))
-    check.assertEqual(keys.check(hello), "near")
+    hello = keys.make_hello(InstanceId("near"))
+    check.assertEqual(keys.verify_hello(hello), "near")
     other = type(hello)(hello.version, "far", hello.seal)
     with check.assertRaises(PeerRefused):
-        keys.check(other)
-    await trio.sleep(SEAL_LIFE_S + 2)
+        keys.verify_hello(other)
+    await trio.sleep(SEAL_TTL_S + 2)
     with check.assertRaises(PeerRefused):
-        keys.check(hello)
+        keys.verify_hello(hello)
 
 
 async def test_a_message_that_is_too_large_is_refused():
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -18,7 +18,7 @@
     WatchKind,
     WatchLost,
 )
-from egretstack.objectapi._breaker import FAILURES_TO_OPEN, LONGEST_OPEN_S
+from egretstack.objectapi._breaker import FAILURES_TO_OPEN, MAX_OPEN_S
 from egretstack.objectapi._budget import FLEET_RATE_BY_CLASS, SHARE_HEADROOM
 from egretstack.objectapi._budgeted import WATCH_GRACE_S
 from standins.object_store import InProcessObjectApi, ObjectStore
@@ -55,7 +55,7 @@
 
 def test_a_class_that_has_spent_its_share_takes_nothing_from_another():
     budget = CallBudget(0.0)
-    budget.share_among(420, 0.0)
+    budget.set_fleet_size(420, 0.0)
     while budget.wait_s(CallClass.CONFIGURATION, 0.0) == 0:
         budget.spend(CallClass.CONFIGURATION, 0.0)
     check.assertGreater(budget.wait_s(CallClass.CONFIGURATION, 0.0), 0)
@@ -65,7 +65,7 @@
 def test_the_share_of_a_process_shrinks_as_the_fleet_grows():
     for instances in (5, 20, 80, 320):
         budget = CallBudget(0.0)
-        budget.share_among(instances, 0.0)
+        budget.set_fleet_size(instances, 0.0)
         spent, now_s = 0, 0.0
         while now_s < 100.0:
             wait_s = budget.wait_s(CallClass.LEDGER, now_s)
@@ -80,15 +80,15 @@
 def test_an_open_breaker_lets_one_probe_through_at_a_time():
     breaker = Breaker(Random(1))
     for _ in range(FAILURES_TO_OPEN):
-        breaker.begin(0.0)
-        breaker.failed(0.0)
+        breaker.record_call(0.0)
+        breaker.record_failure(0.0)
     check.assertIs(breaker.state, BreakerState.OPEN)
     check.assertGreater(breaker.wait_s(0.0), 0)
     now_s = breaker.wait_s(0.0)
-    breaker.begin(now_s)
+    breaker.record_call(now_s)
     check.assertIs(breaker.state, BreakerState.HALF_OPEN)
     check.assertGreater(breaker.wait_s(now_s), 0)
-    breaker.succeeded()
+    breaker.record_success()
     check.assertEqual(breaker.wait_s(now_s), 0)
 
 
@@ -97,9 +97,9 @@
     # as under way, no call of this process would ever reach the platform again.
     breaker = Breaker(Random(1))
     for _ in range(FAILURES_TO_OPEN):
-        breaker.failed(0.0)
-    breaker.begin(10.0)
-    breaker.given_up()
+        breaker.record_failure(0.0)
+    breaker.record_call(10.0)
+    breaker.record_cancelled()
     check.assertEqual(breaker.wait_s(10.0), 0)
 
 
@@ -116,8 +116,8 @@
             await client.get(HEAD, "x")
         check.assertEqual(trio.current_time(), start_s)
         check.assertEqual(store.calls.total(), sent)
-        check.assertLessEqual(caught.exception.retry_after_s, LONGEST_OPEN_S * 1.5)
-    await trio.sleep(LONGEST_OPEN_S * 1.5)
+        check.assertLessEqual(caught.exception.retry_after_s, MAX_OPEN_S * 1.5)
+    await trio.sleep(MAX_OPEN_S * 1.5)
     check.assertIsNone(await client.get(HEAD, "x"))
     check.assertIs(client.breaker.state, BreakerState.CLOSED)
 
