--- a/egretstack/messages/_messages.py
+++ b/egretstack/messages/_messages.py
@@ -64,7 +64,7 @@
     kind = _CLASS_BY_NUMBER[row[0]]
     declared_fields = fields(kind)
     if len(row) != len(declared_fields) + 1:
-        raise MessageError(f"{kind.__name__} with the wrong number of fields: {len(row) - 1}")
+        raise MessageError(f"a {kind.__name__} with {len(row) - 1} fields")
     for field, value in zip(declared_fields, row[1:], strict=True):
         if not isinstance(value, field.type):
             raise MessageError(f"{kind.__name__}.{field.name} has a wrong type")
