--- a/tests/configuration_fixtures.py
+++ b/tests/configuration_fixtures.py
@@ -1,4 +1,4 @@
-"""Configuration changes and sites of several instances, for tests."""
+"""Fixtures: configuration changes and simulated deployments of several instances."""
 
 from contextlib import asynccontextmanager
 
@@ -23,70 +23,73 @@
 
 
 def contract(name, mark=0):
-    """Give a contract's sections; each `mark` gives another text."""
+    """Return a contract's sections; each `mark` results in a different text."""
     return {"contract": {"account": name, "key_sha256": f"{mark:064x}"}}
 
 
 def snapshot_of(revision, parts, recent=None):
-    """Give a snapshot by hand; `parts` maps an account to a mark."""
+    """Return a snapshot built directly; `parts` maps accounts to marks."""
     sections = {f"contract.{name}": contract(name, mark) for name, mark in parts.items()}
-    ids = tuple(ChangeId(one) for one in recent or [f"c{i}" for i in range(1, revision + 1)])
-    digests = {part: part_digest(one) for part, one in sections.items()}
+    ids = tuple(ChangeId(text) for text in recent or [f"c{i}" for i in range(1, revision + 1)])
+    digests = {part: part_digest(text) for part, text in sections.items()}
     return Snapshot(Head(Revision(revision), ids[-1], digests, ids), sections)
 
 
 def change_of(name, mark, change_id, expected=None):
-    """Give a change of one contract."""
+    """Return a change of one contract."""
     part = f"contract.{name}"
     sections = None if mark is None else contract(name, mark)
     return Change(ChangeId(change_id), {part: sections}, {part: expected})
 
 
-def store_of(world):
-    """Give an operator's view of the configuration."""
-    return ConfigurationStore(InProcessObjectApi(world.store))
+def operator_store(deployment):
+    """Return a configuration store as an operator uses it."""
+    return ConfigurationStore(InProcessObjectApi(deployment.store))
 
 
 def revision_of(process):
-    """Give the revision in force on a process."""
+    """Return the revision in force on a process."""
     return process.kernel.get(Configuration).state.revision
 
 
 @asynccontextmanager
 async def open_deployment(stewards, entries=0):
-    """Give a world of instances in three availability zones with a first configuration."""
-    async with open_world() as world:
-        await world.configure(contract__acme=contract("acme"))
+    """Open a simulated deployment in three availability zones with a first configuration."""
+    async with open_world() as deployment:
+        await deployment.configure(contract__acme=contract("acme"))
         started = []
         for number in range(max(stewards, entries)):
             zone = HEALTHY_ZONES[number % len(HEALTHY_ZONES)]
             if number < stewards:
-                started.append(await world.start(f"i-{number}", Program.STEWARD, zone))
+                started.append(await deployment.start(f"i-{number}", Program.STEWARD, zone))
             if number < entries:
-                started.append(await world.start(f"i-{number}", Program.ENTRY, zone))
+                started.append(await deployment.start(f"i-{number}", Program.ENTRY, zone))
         with trio.fail_after(30):
-            while min(revision_of(one) for one in started) < 1:
+            while min(revision_of(process) for process in started) < 1:
                 await trio.sleep(0.1)
-        # A watch that an earlier choice of watchers opened ends within its life.
+        # Watches opened by previously chosen watchers end within their duration.
         await trio.sleep(6)
-        yield world, started
+        yield deployment, started
 
 
-def pause_instance(world, process):
-    """Make an instance as others see it when it is frozen: connections hang, nothing moves."""
-    for host in {one.host for one in world.listed.by_id.values()} - {process.host}:
-        world.network.cut(process.host, host)
+def pause_instance(deployment, process):
+    """Make an instance look paused to others: its connections hang without an error."""
+    for host in {member.host for member in deployment.listed.by_id.values()} - {process.host}:
+        deployment.network.cut(process.host, host)
     process.access.store_client.cut = True
 
 
 async def wait_in_force(processes, revision, limit_s=IN_FORCE_TIMEOUT_S):
-    """Wait until a revision is in force on all; fail after the limit. Give the seconds."""
+    """Wait until a revision is in force on all processes; return the seconds it took.
+
+    Fails after `limit_s`.
+    """
     start_s = trio.current_time()
     while True:
-        behind = [one.name for one in processes if revision_of(one) < revision]
-        taken_s = trio.current_time() - start_s
+        behind = [process.name for process in processes if revision_of(process) < revision]
+        elapsed_s = trio.current_time() - start_s
         if not behind:
-            return taken_s
-        if taken_s > limit_s:
+            return elapsed_s
+        if elapsed_s > limit_s:
             check.fail(f"revision {revision} not in force after {limit_s} s on {behind}")
         await trio.sleep(0.02)
--- a/tests/test_configuration_spread.py
+++ b/tests/test_configuration_spread.py
@@ -1,4 +1,4 @@
-"""Each accepted change is in force on every instance within five seconds, whatever fails."""
+"""Each accepted change is in force on every instance within five seconds despite failures."""
 
 from unittest.mock import patch
 
@@ -13,9 +13,9 @@
 from tests.configuration_fixtures import (
     contract,
     open_deployment,
+    operator_store,
     pause_instance,
     revision_of,
-    store_of,
     wait_in_force,
 )
 from tests.support import check, tests_of
@@ -25,206 +25,216 @@
 STEWARDS = 20
 
 
-def watching(world, processes):
-    """Give the stewards that watch, and the others."""
-    members = [one for one in world.listed.by_id.values() if one.service == ENTRY_SERVICE]
+def split_watchers(deployment, processes):
+    """Return the stewards that watch, and the other processes."""
+    members = [
+        member for member in deployment.listed.by_id.values() if member.service == ENTRY_SERVICE
+    ]
     chosen = choose_stewards(members)
-    named = {one.name: one for one in processes if one.kernel.has(ConfigurationWatch)}
-    return [named[one] for one in chosen], [one for one in processes if one.name not in chosen]
+    by_name = {
+        process.name: process for process in processes if process.kernel.has(ConfigurationWatch)
+    }
+    return [by_name[name] for name in chosen], [
+        process for process in processes if process.name not in chosen
+    ]
 
 
-async def accept(world, mark):
-    """Accept another text of one contract; give the revision."""
-    return await world.configure(contract__acme=contract("acme", mark))
+async def accept(deployment, mark):
+    """Commit another text of one contract; return the revision."""
+    return await deployment.configure(contract__acme=contract("acme", mark))
 
 
 async def test_a_change_is_in_force_everywhere_and_few_stewards_watch():
-    async with open_deployment(STEWARDS, entries=5) as (world, processes):
-        waiting = []
+    async with open_deployment(STEWARDS, entries=5) as (deployment, processes):
+        watch_counts = []
         for _ in range(40):
             await trio.sleep(0.25)
-            waiting.append(world.store.waiting_watches)
-        # Each watch is opened anew every two seconds, so a single look may see fewer.
-        check.assertEqual(max(waiting), 3)
+            watch_counts.append(deployment.store.waiting_watches)
+        # Each watch is reopened every two seconds, so a single sample may count fewer.
+        check.assertEqual(max(watch_counts), 3)
         for mark in range(1, 4):
-            await wait_in_force(processes, await accept(world, mark))
+            await wait_in_force(processes, await accept(deployment, mark))
             await trio.sleep(1.7)
 
 
-async def test_a_watcher_that_is_killed_holds_no_change_up():
-    # A steward that watches is killed; the instance list names it still. The change reaches
-    # the others through the two that watch beside it.
-    async with open_deployment(STEWARDS, entries=5) as (world, processes):
-        chosen, _ = watching(world, processes)
+async def test_a_killed_watcher_does_not_delay_a_change():
+    # A steward that watches is killed, and the instance list still contains it. The change reaches
+    # the others through the other two watchers.
+    async with open_deployment(STEWARDS, entries=5) as (deployment, processes):
+        chosen, _ = split_watchers(deployment, processes)
         chosen[0].kill()
-        left = [one for one in processes if one is not chosen[0]]
-        await wait_in_force(left, await accept(world, 1))
+        remaining = [process for process in processes if process is not chosen[0]]
+        await wait_in_force(remaining, await accept(deployment, 1))
 
 
-async def test_a_watcher_that_is_killed_is_backed_by_others_without_any_other_read():
-    async with open_deployment(STEWARDS) as (world, processes):
+async def test_other_watchers_cover_for_a_killed_one_without_any_other_read():
+    async with open_deployment(STEWARDS) as (deployment, processes):
         with patch("egretstack.services.configuration.FLEET_READS_PER_S", 0.0):
-            chosen, _ = watching(world, processes)
+            chosen, _ = split_watchers(deployment, processes)
             chosen[0].kill()
-            left = [one for one in processes if one is not chosen[0]]
-            await wait_in_force(left, await accept(world, 1))
-
-
-async def test_every_watcher_killed_at_once_holds_no_change_up():
-    # All stewards that watch are killed, and the instance list lags. Nobody is told of the
-    # change; the reads that others make now and then find it, and they tell the rest.
-    async with open_deployment(STEWARDS, entries=5) as (world, processes):
-        chosen, _ = watching(world, processes)
-        for one in chosen:
-            one.kill()
-        left = [one for one in processes if one not in chosen]
-        await wait_in_force(left, await accept(world, 1))
-
-
-async def test_a_frozen_watcher_and_a_frozen_steward_hold_no_change_up():
-    # Two stewards are frozen: connections to them hang and never fail. Those that are told by
-    # them in one tree hear the news in another, and a pull that hangs is given up soon. The
-    # thawed ones are level within the same time.
-    async with open_deployment(STEWARDS, entries=5) as (world, processes):
-        chosen, others = watching(world, processes)
-        frozen = [chosen[0], next(one for one in others if one.kernel.has(ConfigurationWatch))]
-        for one in frozen:
-            pause_instance(world, one)
-        hosts = {one.host for one in frozen}
-        left = [one for one in processes if one.host not in hosts]
-        revision = await accept(world, 1)
-        await wait_in_force(left, revision)
-        world.network.mend()
-        for one in frozen:
-            one.access.store_client.cut = False
+            remaining = [process for process in processes if process is not chosen[0]]
+            await wait_in_force(remaining, await accept(deployment, 1))
+
+
+async def test_killing_all_watchers_at_once_does_not_delay_a_change():
+    # All watchers are killed, and the instance list lags. Nobody announces the change; the
+    # occasional reads of other stewards find it, and these notify the rest.
+    async with open_deployment(STEWARDS, entries=5) as (deployment, processes):
+        chosen, _ = split_watchers(deployment, processes)
+        for process in chosen:
+            process.kill()
+        remaining = [process for process in processes if process not in chosen]
+        await wait_in_force(remaining, await accept(deployment, 1))
+
+
+async def test_a_paused_watcher_and_a_paused_steward_do_not_delay_a_change():
+    # Two stewards are paused: connections to them hang without an error. Their children in one
+    # tree get the announcement through another, and a pull that hangs is abandoned soon. Once
+    # resumed, the two have the revision within the same time.
+    async with open_deployment(STEWARDS, entries=5) as (deployment, processes):
+        chosen, others = split_watchers(deployment, processes)
+        paused = [
+            chosen[0],
+            next(process for process in others if process.kernel.has(ConfigurationWatch)),
+        ]
+        for process in paused:
+            pause_instance(deployment, process)
+        hosts = {process.host for process in paused}
+        remaining = [process for process in processes if process.host not in hosts]
+        revision = await accept(deployment, 1)
+        await wait_in_force(remaining, revision)
+        deployment.network.mend()
+        for process in paused:
+            process.access.store_client.cut = False
         await wait_in_force(processes, revision)
 
 
-async def test_an_instance_cut_off_from_its_peers_reads_the_platform():
-    async with open_deployment(4) as (world, processes):
-        _, others = watching(world, processes)
-        for host in {one.host for one in processes} - {others[0].host}:
-            world.network.cut(others[0].host, host)
-        # With four stewards one read of the platform a second is due to each two of them.
-        await wait_in_force(processes, await accept(world, 1), 10.0)
+async def test_an_instance_disconnected_from_its_peers_reads_the_platform():
+    async with open_deployment(4) as (deployment, processes):
+        _, others = split_watchers(deployment, processes)
+        for host in {process.host for process in processes} - {others[0].host}:
+            deployment.network.cut(others[0].host, host)
+        # With four stewards one read of the platform per second is due to each two of them.
+        await wait_in_force(processes, await accept(deployment, 1), 10.0)
 
 
-async def test_an_instance_cut_off_from_the_platform_hears_from_peers():
-    async with open_deployment(STEWARDS, entries=5) as (world, processes):
-        chosen, _ = watching(world, processes)
-        for one in processes:
-            one.access.store_client.cut = one is not chosen[0]
-        await wait_in_force(processes, await accept(world, 1))
+async def test_an_instance_disconnected_from_the_platform_is_updated_by_peers():
+    async with open_deployment(STEWARDS, entries=5) as (deployment, processes):
+        chosen, _ = split_watchers(deployment, processes)
+        for process in processes:
+            process.access.store_client.cut = process is not chosen[0]
+        await wait_in_force(processes, await accept(deployment, 1))
 
 
-async def test_the_platform_away_right_after_acceptance():
-    # The operator's change is accepted, its watchers get one report, and the platform goes
-    # away before anybody could read the part. The report carries the text of the change.
-    async with open_deployment(STEWARDS, entries=5) as (world, processes):
-        world.store.faults.delay_s = 0.5
-        revision = await accept(world, 1)
+async def test_a_change_survives_a_platform_outage_right_after_acceptance():
+    # The operator's change is accepted, the watchers get one watch event, and the platform becomes
+    # unavailable before anybody can read the part. The event carries the text of the change.
+    async with open_deployment(STEWARDS, entries=5) as (deployment, processes):
+        deployment.store.faults.delay_s = 0.5
+        revision = await accept(deployment, 1)
         await trio.sleep(0.05)
-        world.store.faults.down = True
+        deployment.store.faults.down = True
         await wait_in_force(processes, revision)
 
 
-async def test_watches_gone_silent_hide_a_change_for_less_than_five_seconds():
-    # Every watch is open and silent, as when something on the way forgot the connections. Each
-    # is given up soon after its bookmark is due, and the head is read. Other reads are stopped.
-    async with open_deployment(3) as (world, processes):
-        world.store.faults.silent_watches = True
+async def test_unresponsive_watches_hide_a_change_for_less_than_five_seconds():
+    # Every watch is open and receives nothing, as after a device on the path dropped the
+    # connections' state. Each is abandoned soon after its bookmark is due, and the head is read.
+    # Other reads are disabled.
+    async with open_deployment(3) as (deployment, processes):
+        deployment.store.faults.silent_watches = True
         await trio.sleep(0.3)
-        await wait_in_force(processes, await accept(world, 1))
+        await wait_in_force(processes, await accept(deployment, 1))
 
 
-async def test_an_instance_that_starts_in_an_outage_takes_the_configuration_from_a_peer():
-    async with open_deployment(4) as (world, _):
-        world.store.faults.down = True
+async def test_an_instance_that_starts_during_an_outage_gets_the_configuration_from_a_peer():
+    async with open_deployment(4) as (deployment, _):
+        deployment.store.faults.down = True
         for program in (Program.STEWARD, Program.ENTRY):
-            late = await world.start("late", program)
+            late = await deployment.start("late", program)
             await wait_in_force([late], 1)
 
 
-async def test_a_store_restored_from_an_older_copy_is_refused_also_by_a_new_instance():
-    # The store is put back to a copy from before two changes. Every instance keeps what it
-    # has, and one that starts now asks its peers before the store.
-    async with open_deployment(6, entries=2) as (world, processes):
-        copy = world.store.snapshot()
-        await accept(world, 1)
-        revision = await accept(world, 2)
+async def test_a_store_restored_from_an_older_copy_is_rejected_also_by_a_new_instance():
+    # The store is restored from a copy made before two changes. Every instance keeps its
+    # configuration, and one that starts now queries its peers before the store.
+    async with open_deployment(6, entries=2) as (deployment, processes):
+        copy = deployment.store.snapshot()
+        await accept(deployment, 1)
+        revision = await accept(deployment, 2)
         await wait_in_force(processes, revision)
-        world.store.restore(copy)
-        late = await world.start("late", Program.STEWARD)
+        deployment.store.restore(copy)
+        late = await deployment.start("late", Program.STEWARD)
         await trio.sleep(20)
-        check.assertEqual({revision_of(one) for one in [*processes, late]}, {revision})
-        check.assertTrue(any(_alarms(one, "CONFIG_REFUSED_OLDER") for one in processes))
+        check.assertEqual({revision_of(process) for process in [*processes, late]}, {revision})
+        check.assertTrue(any(_alarms(process, "CONFIG_REFUSED_OLDER") for process in processes))
 
 
-async def test_a_restored_store_that_counts_past_the_revision_in_force_is_refused():
-    # After the restore, operators accept changes anew until the store's revision is higher
-    # than the one in force. Taking it would silently undo the changes that the copy lacks.
-    async with open_deployment(6, entries=2) as (world, processes):
-        copy = world.store.snapshot()
-        in_force = await accept(world, 1)
+async def test_a_restored_store_that_counts_past_the_revision_in_force_is_rejected():
+    # After the restore, operators commit changes until the store's revision is higher than the one
+    # in force. Applying it would silently undo the changes that the copy lacks.
+    async with open_deployment(6, entries=2) as (deployment, processes):
+        copy = deployment.store.snapshot()
+        in_force = await accept(deployment, 1)
         await wait_in_force(processes, in_force)
-        world.store.restore(copy)
+        deployment.store.restore(copy)
         for mark in range(10, 13):
-            await accept(world, mark)
+            await accept(deployment, mark)
         await trio.sleep(20)
-        check.assertEqual({revision_of(one) for one in processes}, {in_force})
-        check.assertTrue(any(_alarms(one, "CONFIG_FORKED") for one in processes))
+        check.assertEqual({revision_of(process) for process in processes}, {in_force})
+        check.assertTrue(any(_alarms(process, "CONFIG_FORKED") for process in processes))
 
 
-async def test_a_part_that_cannot_be_read_leaves_the_old_revision_in_force():
-    # A part that this version cannot read is accepted past the operator's tool. No instance
-    # stops or takes half of it, and the next good change is in force everywhere.
-    async with open_deployment(6, entries=2) as (world, processes):
-        await world.configure(contract__acme={"contract": {"account": "acme"}})
+async def test_an_invalid_part_leaves_the_old_revision_in_force():
+    # A part that this version cannot parse is committed without the operator's tool. No instance
+    # stops or applies half of it, and the next valid change is in force everywhere.
+    async with open_deployment(6, entries=2) as (deployment, processes):
+        await deployment.configure(contract__acme={"contract": {"account": "acme"}})
         await trio.sleep(8)
-        check.assertEqual({revision_of(one) for one in processes}, {1})
-        check.assertTrue(any(_alarms(one, "CONFIG_BAD") for one in processes))
-        await wait_in_force(processes, await accept(world, 3))
+        check.assertEqual({revision_of(process) for process in processes}, {1})
+        check.assertTrue(any(_alarms(process, "CONFIG_BAD") for process in processes))
+        await wait_in_force(processes, await accept(deployment, 3))
 
 
-async def test_a_removed_contract_is_gone_everywhere():
-    async with open_deployment(6, entries=2) as (world, processes):
-        await world.configure(contract__gone=contract("gone", 5))
-        revision = await world.configure(contract__gone=None)
+async def test_a_removed_contract_is_removed_everywhere():
+    async with open_deployment(6, entries=2) as (deployment, processes):
+        await deployment.configure(contract__gone=contract("gone", 5))
+        revision = await deployment.configure(contract__gone=None)
         await wait_in_force(processes, revision)
-        for one in processes:
-            accounts = one.kernel.get(Configuration).state.contract_by_account
+        for process in processes:
+            accounts = process.kernel.get(Configuration).state.contract_by_account
             check.assertEqual(set(accounts), {"acme"})
 
 
-async def test_a_node_far_behind_takes_the_snapshot_in_pieces():
-    # More changes than are kept pass while one steward is frozen; the whole is larger than one
-    # piece. After the thaw it takes the snapshot from a peer, and the platform has no part in it.
-    async with open_deployment(4) as (world, processes):
-        _, others = watching(world, processes)
-        pause_instance(world, others[0])
-        store = store_of(world)
+async def test_an_instance_far_behind_loads_the_snapshot_in_pieces():
+    # More changes than are kept happen while one steward is paused, and the snapshot is larger than
+    # one piece. Once resumed, the steward loads the snapshot from a peer, not from the platform.
+    async with open_deployment(4) as (deployment, processes):
+        _, others = split_watchers(deployment, processes)
+        pause_instance(deployment, others[0])
+        store = operator_store(deployment)
         for number in range(300):
             name = f"n{number}"
             sections = contract(name, number)
             sections["contract"]["key_sha256"] = ",".join(f"{number:064x}" for _ in range(20))
-            await world.configure(**{f"contract__{name}": sections})
+            await deployment.configure(**{f"contract__{name}": sections})
         revision = (await store.head()).revision
-        world.network.mend()
+        deployment.network.mend()
         await wait_in_force(processes, revision)
         check.assertEqual(len(others[0].kernel.get(Configuration).state.contract_by_account), 301)
 
 
-async def test_news_of_one_steward_are_bounded():
-    async with open_deployment(STEWARDS) as (world, processes):
-        news = [one.kernel.get(ConfigurationAnnouncer) for one in processes]
-        before = [one.sent for one in news]
-        await wait_in_force(processes, await accept(world, 1))
+async def test_the_announcements_of_one_steward_are_bounded():
+    async with open_deployment(STEWARDS) as (deployment, processes):
+        announcers = [process.kernel.get(ConfigurationAnnouncer) for process in processes]
+        before = [announcer.sent for announcer in announcers]
+        await wait_in_force(processes, await accept(deployment, 1))
         await trio.sleep(3)
-        sent = [one.sent - old for one, old in zip(news, before, strict=True)]
+        sent = [announcer.sent - old for announcer, old in zip(announcers, before, strict=True)]
         check.assertLessEqual(max(sent), 3 * 4 + 1)
-        check.assertLessEqual(world.store.calls["get", ObjectKind.CONFIG_PART], 3 * STEWARDS)
+        check.assertLessEqual(deployment.store.calls["get", ObjectKind.CONFIG_PART], 3 * STEWARDS)
 
 
 def _alarms(process, event):
     alarms = process.kernel.get(Configuration)._alarm_at_s
-    return [one for one, _, _ in alarms if one.name == event]
+    return [alarm for alarm, _, _ in alarms if alarm.name == event]
--- a/tests/test_configuration_state.py
+++ b/tests/test_configuration_state.py
@@ -1,4 +1,4 @@
-"""The configuration in force: only up, whole or not at all, one history."""
+"""The configuration in force never goes back, is applied atomically and has one history."""
 
 import hypothesis.strategies as st
 from hypothesis import settings
@@ -30,8 +30,11 @@
 
 
 def marks_of(state):
-    """Give the mark of each contract in force."""
-    return {name: int(one.key_digests[0], 16) for name, one in state.contract_by_account.items()}
+    """Return the mark of each contract in force."""
+    return {
+        name: int(contract.key_digests[0], 16)
+        for name, contract in state.contract_by_account.items()
+    }
 
 
 def state_at(snapshot):
@@ -40,7 +43,7 @@
     return state
 
 
-def test_an_older_snapshot_is_refused():
+def test_an_older_snapshot_is_rejected():
     state = state_at(snapshot_of(2, {"ada": 2}))
     check.assertIs(state.offer(snapshot_of(1, {"ada": 1})), OfferResult.OLDER)
     check.assertEqual(marks_of(state), {"ada": 2})
@@ -54,8 +57,8 @@
 
 
 def test_a_higher_revision_of_another_history_is_a_fork():
-    # The store was restored from a copy and counted up past what is in force here. Taking the
-    # higher revision would undo an accepted change without a word.
+    # The store was restored from a copy and counted on past the revision in force here. Applying
+    # the higher revision would silently undo an accepted change.
     state = state_at(snapshot_of(2, {"ada": 2}))
     other = snapshot_of(4, {"ada": 9}, ["c1", "x2", "x3", "x4"])
     check.assertIs(state.offer(other), OfferResult.FORKED)
@@ -75,7 +78,7 @@
     check.assertIsInstance(state.delta_since(2, "c2"), Delta)
 
 
-def test_a_delta_from_another_history_is_refused():
+def test_a_delta_from_another_history_is_rejected():
     sender = state_at(snapshot_of(2, {"ada": 2}))
     sender.offer(snapshot_of(3, {"ada": 3}))
     receiver = state_at(snapshot_of(2, {"ada": 9}, ["c1", "x2"]))
@@ -90,9 +93,9 @@
     check.assertEqual(set(delta.sections_by_part), {"contract.a5"})
 
 
-def test_a_part_that_came_and_went_unseen_by_the_sender_is_found_out():
-    # The sender went from revision 1 to 3 at once and never saw a part that revision 2 added
-    # and 3 removed. Its delta says nothing of the part, which the receiver, at 2, has in force.
+def test_a_part_added_and_removed_between_revisions_of_the_sender_is_detected():
+    # The sender went directly from revision 1 to 3 and never had a part that revision 2 added and
+    # 3 removed. Its delta does not mention the part, which the receiver, at 2, has in force.
     sender = state_at(snapshot_of(1, {"ada": 1}))
     sender.offer(snapshot_of(3, {"ada": 1}))
     receiver = state_at(snapshot_of(2, {"ada": 1, "bo": 2}))
@@ -100,25 +103,25 @@
     check.assertEqual(marks_of(receiver), {"ada": 1, "bo": 2})
 
 
-def test_a_bad_part_leaves_the_whole_old_revision_in_force():
+def test_an_invalid_part_leaves_the_whole_old_revision_in_force():
     state = state_at(snapshot_of(1, {"ada": 1}))
-    bad = snapshot_of(2, {"ada": 2, "bo": 2})
-    bad.sections_by_part["contract.bo"] = {"contract": {"account": "bo"}}
-    check.assertIs(state.offer(bad), OfferResult.BAD)
+    invalid = snapshot_of(2, {"ada": 2, "bo": 2})
+    invalid.sections_by_part["contract.bo"] = {"contract": {"account": "bo"}}
+    check.assertIs(state.offer(invalid), OfferResult.BAD)
     check.assertIn("key_sha256", state.fault)
     check.assertEqual(marks_of(state), {"ada": 1})
     check.assertIs(state.offer(snapshot_of(3, {"ada": 3})), OfferResult.APPLIED)
 
 
-def test_a_part_that_describes_another_name_is_bad():
+def test_a_part_that_describes_another_name_is_invalid():
     state = state_at(snapshot_of(1, {"ada": 1}))
-    bad = snapshot_of(2, {"ada": 1})
-    bad.sections_by_part["contract.bo"] = bad.sections_by_part["contract.ada"]
-    bad.head.digest_by_part["contract.bo"] = bad.head.digest_by_part["contract.ada"]
-    check.assertIs(state.offer(bad), OfferResult.BAD)
+    invalid = snapshot_of(2, {"ada": 1})
+    invalid.sections_by_part["contract.bo"] = invalid.sections_by_part["contract.ada"]
+    invalid.head.digest_by_part["contract.bo"] = invalid.head.digest_by_part["contract.ada"]
+    check.assertIs(state.offer(invalid), OfferResult.BAD)
 
 
-def test_an_asker_further_behind_than_the_ids_kept_is_told_to_take_the_snapshot():
+def test_a_requester_older_than_the_kept_change_ids_gets_no_delta():
     state = state_at(snapshot_of(1, {"ada": 1}))
     for revision in range(2, MAX_RECENT_CHANGES + 3):
         ids = [f"c{n}" for n in range(1, revision + 1)][-MAX_RECENT_CHANGES:]
@@ -133,25 +136,25 @@
     for sections in snapshot.sections_by_part.values():
         sections["contract"]["note"] = "x" * 200
     digests = snapshot.head.digest_by_part
-    digests.update({part: part_digest(one) for part, one in snapshot.sections_by_part.items()})
+    digests.update({part: part_digest(text) for part, text in snapshot.sections_by_part.items()})
     return snapshot
 
 
-def test_a_snapshot_travels_in_bounded_pieces():
+def test_a_snapshot_is_sent_in_bounded_pieces():
     snapshot = big_snapshot()
     builder = SnapshotBuilder()
     pieces = 0
-    whole = None
-    while whole is None:
-        one = snapshot_piece(snapshot, builder.after)
-        check.assertLess(len(str(one.sections_by_part)), 300_000)
-        whole = builder.add(one)
+    built = None
+    while built is None:
+        piece = snapshot_piece(snapshot, builder.after)
+        check.assertLess(len(str(piece.sections_by_part)), 300_000)
+        built = builder.add(piece)
         pieces += 1
     check.assertGreater(pieces, 2)
-    check.assertEqual(whole.sections_by_part, snapshot.sections_by_part)
+    check.assertEqual(built.sections_by_part, snapshot.sections_by_part)
 
 
-def test_a_snapshot_that_lacks_a_part_is_refused():
+def test_a_snapshot_that_lacks_a_part_is_rejected():
     snapshot = snapshot_of(1, {"ada": 1, "bo": 2})
     message = snapshot_piece(snapshot, "")
     del message.sections_by_part["contract.bo"]
@@ -159,7 +162,7 @@
         SnapshotBuilder().add(message)
 
 
-def test_pieces_of_two_revisions_never_make_one_snapshot():
+def test_pieces_of_two_revisions_are_never_combined():
     first, second = big_snapshot(), snapshot_of(2, {"zz": 1})
     builder = SnapshotBuilder()
     check.assertIsNone(builder.add(snapshot_piece(first, "")))
@@ -167,20 +170,20 @@
         builder.add(snapshot_piece(second, builder.after))
 
 
-def test_a_message_of_another_shape_is_refused():
+def test_a_malformed_message_is_rejected():
     sender = state_at(snapshot_of(1, {"ada": 1}))
     sender.offer(snapshot_of(2, {"ada": 2}))
-    good = delta_message(sender.delta_since(1, "c1"))
+    valid = delta_message(sender.delta_since(1, "c1"))
     for field, value in {
         "change_ids": ["c"] * (MAX_RECENT_CHANGES + 1),
         "sections_by_part": {"contract.ada": {"contract": {"account": 7}}},
     }.items():
         with check.assertRaises(TransferError):
-            parse_delta(type(good)(**(vars(good) | {field: value})))
+            parse_delta(type(valid)(**(vars(valid) | {field: value})))
 
 
 class Configurations(RuleBasedStateMachine):
-    """Accepted changes, instances that take them in any way, and a store that goes back."""
+    """Accepted changes, instances that apply them in any way, and a store that goes back."""
 
     def __init__(self):
         super().__init__()
@@ -190,14 +193,14 @@
         self.old_copy = 0
         self.forks = 0
 
-    def _snapshot(self, place):
-        ids, marks = self.accepted[place]
+    def _snapshot(self, index):
+        ids, marks = self.accepted[index]
         return snapshot_of(len(ids), marks, ids[-MAX_RECENT_CHANGES:])
 
     @rule(name=st.sampled_from(NAMES), mark=st.none() | st.integers(0, 9))
     def accept(self, name, mark):
         ids, marks = self.accepted[-1]
-        changed = {one: value for one, value in marks.items() if one != name}
+        changed = {other: value for other, value in marks.items() if other != name}
         if mark is not None:
             changed[name] = mark
         self.accepted.append(((*ids, f"c{len(ids)}"), changed))
@@ -221,12 +224,12 @@
     @rule(receiver=st.integers(0, 2), sender=st.integers(0, 2))
     def pull(self, receiver, sender):
         target, source = self.states[receiver], self.states[sender]
-        found = source.delta_since(target.revision, target.change_id)
-        if isinstance(found, Delta):
-            offer = target.offer_delta(parse_delta(delta_message(found)))
-            if offer is not OfferResult.GAP:
+        delta = source.delta_since(target.revision, target.change_id)
+        if isinstance(delta, Delta):
+            result = target.offer_delta(parse_delta(delta_message(delta)))
+            if result is not OfferResult.GAP:
                 return
-        if found is NoDelta.TOO_OLD or isinstance(found, Delta):
+        if delta is NoDelta.TOO_OLD or isinstance(delta, Delta):
             target.offer(SnapshotBuilder().add(snapshot_piece(source.snapshot, "")))
 
     @invariant()
@@ -239,12 +242,12 @@
 
     @invariant()
     def no_instance_goes_back(self):
-        for place, state in enumerate(self.states):
-            check.assertGreaterEqual(state.revision, self.highest[place])
-            self.highest[place] = state.revision
+        for index, state in enumerate(self.states):
+            check.assertGreaterEqual(state.revision, self.highest[index])
+            self.highest[index] = state.revision
 
 
-def test_no_way_of_taking_the_configuration_goes_back_or_takes_half():
+def test_the_configuration_never_goes_back_and_is_never_applied_in_part():
     run_state_machine_as_test(
         Configurations,
         settings=settings(
@@ -264,19 +267,19 @@
     for count in (3, 6, 420):
         listed = members(count)
         chosen = choose_stewards(listed)
-        zones = {one.zone for one in listed if one.id in chosen}
+        zones = {member.zone for member in listed if member.id in chosen}
         check.assertEqual((len(chosen), len(zones)), (3, 3))
 
 
-def test_every_tree_reaches_every_steward_and_no_steward_tells_many():
+def test_every_tree_reaches_every_steward_and_no_steward_has_many_children():
     listed = members(420)
     children = {}
-    for one in listed:
-        fan_out = FanOut(InstanceId(one.id))
+    for member in listed:
+        fan_out = FanOut(InstanceId(member.id))
         fan_out.update(listed)
-        children[one.id] = [child.id for child in fan_out.children]
+        children[member.id] = [child.id for child in fan_out.children]
     check.assertLessEqual(max(map(len, children.values())), 12)
-    heard = {choose_stewards(listed)[0]}
+    reached = {choose_stewards(listed)[0]}
     for _ in range(5):
-        heard |= {child for one in heard for child in children[one]}
-    check.assertEqual(len(heard), 420)
+        reached |= {child for parent in reached for child in children[parent]}
+    check.assertEqual(len(reached), 420)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Links between instances: bounds, and keys that change one instance at a time."""
+"""Links between instances: limits, and key rotation one instance at a time."""
 
 import tracemalloc
 
@@ -18,58 +18,58 @@
 OLD, NEW = TokenBox.new_key(), TokenBox.new_key()
 
 
-async def meet(near_keys, far_keys):
-    """Let two processes greet each other; give the names they saw, or raise."""
+async def connect(near_keys, far_keys):
+    """Open a link between two processes; return the peer names that both received, or raise."""
     epoch = EpochClock.start()
     near, far = memory_stream_pair()
-    seen = []
+    names = []
 
-    async def greet():
+    async def accept():
         try:
             link = await accept_peer(far, PeerKeys(far_keys, epoch), InstanceId("far"))
-            seen.append(link.peer)
+            names.append(link.peer)
         except PeerRefused:
             await far.aclose()
 
-    async def opener():
+    async def open_stream():
         return near
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(greet)
-        link = await connect_peer(opener, PeerKeys(near_keys, epoch), InstanceId("near"))
-        seen.append(link.peer)
-    return sorted(seen)
+        nursery.start_soon(accept)
+        link = await connect_peer(open_stream, PeerKeys(near_keys, epoch), InstanceId("near"))
+        names.append(link.peer)
+    return sorted(names)
 
 
-async def test_keys_change_one_instance_at_a_time():
-    # First the new key is added behind the old one everywhere, then put first, then the old one
-    # goes. At each step instances that have taken it and those that have not must still meet.
+async def test_keys_are_rotated_one_instance_at_a_time():
+    # The new key is first added behind the old one on all instances, then put first, then the old
+    # one is removed. At each step, instances before and after it must still be able to connect.
     steps = [[OLD], [OLD, NEW], [NEW, OLD], [NEW]]
     for before, after in zip(steps, steps[1:], strict=False):
-        check.assertEqual(await meet(before, after), ["far", "near"])
-        check.assertEqual(await meet(after, before), ["far", "near"])
+        check.assertEqual(await connect(before, after), ["far", "near"])
+        check.assertEqual(await connect(after, before), ["far", "near"])
 
 
-async def test_a_key_that_skips_a_step_is_refused():
+async def test_a_key_rotation_that_skips_a_step_is_rejected():
     for pair in (([OLD], [NEW]), ([NEW], [OLD])):
         with check.assertRaises(ExceptionGroup) as caught:
-            await meet(*pair)
+            await connect(*pair)
         check.assertTrue(caught.exception.subgroup((PeerGone, PeerRefused)))
 
 
-async def test_an_old_seal_and_a_foreign_name_are_refused():
+async def test_an_expired_seal_and_a_wrong_name_are_rejected():
     keys = PeerKeys([OLD], EpochClock.start())
     hello = keys.make_hello(InstanceId("near"))
     check.assertEqual(keys.verify_hello(hello), "near")
-    other = type(hello)(hello.version, "far", hello.seal)
+    wrong_name = type(hello)(hello.version, "far", hello.seal)
     with check.assertRaises(PeerRefused):
-        keys.verify_hello(other)
+        keys.verify_hello(wrong_name)
     await trio.sleep(SEAL_TTL_S + 2)
     with check.assertRaises(PeerRefused):
         keys.verify_hello(hello)
 
 
-async def test_a_message_that_is_too_large_is_refused():
+async def test_a_message_that_is_too_large_is_rejected():
     near, far = memory_stream_pair()
     link = PeerLink(far)
     async with trio.open_nursery() as nursery:
@@ -80,7 +80,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_bytes_that_are_no_message_are_refused():
+async def test_data_that_is_not_a_message_is_rejected():
     for body in (b"\xc1", msgpack.packb({"a": 1}), msgpack.packb([9999]), msgpack.packb([1, 2])):
         near, far = memory_stream_pair()
         await near.send_all(body)
@@ -88,13 +88,13 @@
             await PeerLink(far).receive()
 
 
-def test_a_link_at_rest_holds_little_memory():
-    # An instance has a link each way to many others. The unpacker's default asks for a megabyte
-    # at once, which at 420 instances was more than all of control may hold.
+def test_an_idle_link_uses_little_memory():
+    # An instance has a link in each direction to many others. By default the unpacker allocates a
+    # megabyte at once, which with 420 instances exceeded the memory limit of the control plane.
     near, _ = memory_stream_pair()
     tracemalloc.start()
     link = PeerLink(near)
-    held, _ = tracemalloc.get_traced_memory()
+    used_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     check.assertEqual(link.sent_bytes, 0)
-    check.assertLess(held, 200_000)
+    check.assertLess(used_bytes, 200_000)
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -1,4 +1,4 @@
-"""The client of the object API: budget, breaker, timeouts, retries and watches."""
+"""The client of the object API: rate limits, circuit breaker, timeouts, retries and watches."""
 
 from contextlib import asynccontextmanager
 from random import Random
@@ -31,7 +31,7 @@
 
 
 def client_of(store):
-    """Give a client of a store, and its metrics."""
+    """Return a client of a store, and its metrics."""
     metrics = Metrics()
     inner = InProcessObjectApi(store)
     return BudgetedObjectApi(inner, TIMEOUT_S, metrics, Random(1), trio.current_time()), metrics
@@ -39,7 +39,7 @@
 
 @asynccontextmanager
 async def failing(store):
-    """Take the store down for a block."""
+    """Make the store unavailable for a block."""
     store.faults.down = True
     yield
     store.faults.down = False
@@ -53,7 +53,7 @@
             continue
 
 
-def test_a_class_that_has_spent_its_share_takes_nothing_from_another():
+def test_a_class_that_used_up_its_share_does_not_affect_another():
     budget = CallBudget(0.0)
     budget.set_fleet_size(420, 0.0)
     while budget.wait_s(CallClass.CONFIGURATION, 0.0) == 0:
@@ -66,18 +66,18 @@
     for instances in (5, 20, 80, 320):
         budget = CallBudget(0.0)
         budget.set_fleet_size(instances, 0.0)
-        spent, now_s = 0, 0.0
+        calls, now_s = 0, 0.0
         while now_s < 100.0:
             wait_s = budget.wait_s(CallClass.LEDGER, now_s)
             now_s += wait_s + 1e-9
             budget.spend(CallClass.LEDGER, now_s)
-            spent += 1
-        # The burst saved up at the start comes on top of the steady rate.
+            calls += 1
+        # The initial burst comes on top of the steady rate.
         allowed = FLEET_RATE_BY_CLASS[CallClass.LEDGER] * SHARE_HEADROOM / instances
-        check.assertLess(spent, allowed * 105 + 25)
+        check.assertLess(calls, allowed * 105 + 25)
 
 
-def test_an_open_breaker_lets_one_probe_through_at_a_time():
+def test_an_open_breaker_allows_one_probe_at_a_time():
     breaker = Breaker(Random(1))
     for _ in range(FAILURES_TO_OPEN):
         breaker.record_call(0.0)
@@ -92,9 +92,9 @@
     check.assertEqual(breaker.wait_s(now_s), 0)
 
 
-def test_a_probe_that_is_given_up_leaves_room_for_another():
-    # The caller whose call is the probe is cancelled before an answer. If the probe were held
-    # as under way, no call of this process would ever reach the platform again.
+def test_another_probe_is_allowed_after_a_cancelled_one():
+    # The call that is the probe is cancelled before its answer. If the probe still counted as in
+    # progress, no call of this process would ever reach the platform again.
     breaker = Breaker(Random(1))
     for _ in range(FAILURES_TO_OPEN):
         breaker.record_failure(0.0)
@@ -103,9 +103,9 @@
     check.assertEqual(breaker.wait_s(10.0), 0)
 
 
-async def test_calls_fail_fast_with_a_time_to_come_back_while_the_platform_is_away():
-    # The platform stops answering. After a few failures a caller gets its answer at once
-    # instead of after a timeout, and no call leaves until the time it was told.
+async def test_calls_fail_fast_with_a_retry_time_while_the_platform_is_unavailable():
+    # The platform stops answering. After a few failures a call fails immediately instead of after a
+    # timeout, and no call is sent before the retry time of the error.
     store = ObjectStore()
     client, _ = client_of(store)
     async with failing(store):
@@ -139,8 +139,8 @@
 
 
 async def test_a_write_without_an_answer_is_sent_once_and_its_outcome_is_unknown():
-    # The store takes a write and its answer is lost. A client that repeated it could carry out
-    # the same step twice; its caller alone can find out by reading back.
+    # The store applies a write and its answer is lost. A client that repeated the write could
+    # execute it twice; only its caller can find out the outcome, by reading.
     store = ObjectStore()
     client, _ = client_of(store)
     store.faults.lose_answers = 1
@@ -150,7 +150,7 @@
     check.assertEqual((await client.get(HEAD, "x")).spec, {"a": 1})
 
 
-async def test_a_slow_platform_costs_a_read_its_timeout_and_leaves_a_write_unknown():
+async def test_a_slow_platform_times_out_a_read_and_leaves_a_write_unknown():
     store = ObjectStore()
     client, _ = client_of(store)
     store.faults.delay_s = 60.0
@@ -162,9 +162,9 @@
     check.assertLess(trio.current_time() - start_s, 4 * TIMEOUT_S)
 
 
-async def test_a_silent_watch_is_lost_soon_after_the_time_of_its_bookmark():
-    # Something on the way forgets the connection of a watch: it stays open, and no report and
-    # no bookmark ever comes. A reader without a bound would never see a change again.
+async def test_an_unresponsive_watch_is_lost_soon_after_its_bookmark_was_due():
+    # A device on the path drops the state of a watch's connection, which stays open without any
+    # event or bookmark. A reader without a deadline would never see a change again.
     store = ObjectStore()
     client, _ = client_of(store)
     store.faults.silent_watches = True
@@ -174,7 +174,7 @@
             async with client.watch(HEAD, None, 2.0) as changes:
                 await InProcessObjectApi(store).create(HEAD, "x", {})
                 async for _ in changes:
-                    check.fail("a silent watch reported")
+                    check.fail("an unresponsive watch yielded an event")
     check.assertAlmostEqual(trio.current_time() - start_s, 2.0 + WATCH_GRACE_S, 3)
 
 
