--- a/egretstack/configuration/_state.py
+++ b/egretstack/configuration/_state.py
@@ -49,7 +49,7 @@
 
     def __init__(self) -> None:
         self.snapshot: Snapshot | None = None
-        self.fault = ""
+        self.error_text = ""
         """Why the latest offer was BAD; empty once one was applied."""
         self.account_by_digest: dict[str, AccountId] = {}
         self.service_by_model: dict[ModelName, ServiceName] = {}
@@ -81,16 +81,16 @@
         """Compare a head with the one in force: NEWER, SAME, OLDER or FORKED."""
         if self.snapshot is None:
             return OfferResult.NEWER
-        known = self.snapshot.head
-        if head.revision > known.revision:
+        current = self.snapshot.head
+        if head.revision > current.revision:
             # A store restored from an older copy counts on from there: once it has passed the
             # revision in force, only the change ids show that accepted changes are missing.
-            same_history = head.change_id_at(known.revision) in (None, known.change_id)
+            same_history = head.change_id_at(current.revision) in (None, current.change_id)
             return OfferResult.NEWER if same_history else OfferResult.FORKED
-        if known.change_id_at(head.revision) not in (None, head.change_id):
+        if current.change_id_at(head.revision) not in (None, head.change_id):
             return OfferResult.FORKED
         # Applying an older one would undo an accepted change on this instance alone.
-        return OfferResult.SAME if head.revision == known.revision else OfferResult.OLDER
+        return OfferResult.SAME if head.revision == current.revision else OfferResult.OLDER
 
     def offer(self, snapshot: Snapshot) -> OfferResult:
         """Put a newer snapshot in force; reject an older, forked or invalid one."""
@@ -103,12 +103,12 @@
         """Put in force the changes since the current revision."""
         if self.snapshot is None:
             return OfferResult.GAP
-        known = self.snapshot.head
-        if delta.revision <= known.revision:
+        current = self.snapshot.head
+        if delta.revision <= current.revision:
             return OfferResult.SAME
-        if delta.base_revision != known.revision:
+        if delta.base_revision != current.revision:
             return OfferResult.GAP
-        if delta.base_change_id != known.change_id:
+        if delta.base_change_id != current.change_id:
             return OfferResult.FORKED
         snapshot = _apply_delta(self.snapshot, delta)
         if head_digest(snapshot.head.digest_by_part) != delta.digest:
@@ -142,14 +142,14 @@
         try:
             table = self._table.with_changes(changed)
         except UserError as error:
-            self.fault = str(error)
+            self.error_text = str(error)
             return OfferResult.BAD
         self._record_changed(snapshot, changed)
         self._table = table
         self.account_by_digest = table.account_by_digest()
         self.service_by_model = table.service_by_model()
         self.snapshot = snapshot
-        self.fault = ""
+        self.error_text = ""
         return OfferResult.APPLIED
 
     def _record_changed(self, snapshot: Snapshot, changed: dict[str, Sections | None]) -> None:
--- a/egretstack/services/configuration.py
+++ b/egretstack/services/configuration.py
@@ -302,7 +302,7 @@
             self._changed.set()
             self._changed = trio.Event()
         elif offer is OfferResult.BAD:
-            self._alarm(Event.CONFIG_BAD, revision, self.state.fault)
+            self._alarm(Event.CONFIG_BAD, revision, self.state.error_text)
         elif offer is OfferResult.OLDER:
             self._alarm(Event.CONFIG_REFUSED_OLDER, revision, change_id)
         elif offer is OfferResult.FORKED:
--- a/tests/test_configuration_state.py
+++ b/tests/test_configuration_state.py
@@ -108,7 +108,7 @@
     invalid = snapshot_of(2, {"ada": 2, "bo": 2})
     invalid.sections_by_part["contract.bo"] = {"contract": {"account": "bo"}}
     check.assertIs(state.offer(invalid), OfferResult.BAD)
-    check.assertIn("key_sha256", state.fault)
+    check.assertIn("key_sha256", state.error_text)
     check.assertEqual(marks_of(state), {"ada": 1})
     check.assertIs(state.offer(snapshot_of(3, {"ada": 3})), OfferResult.APPLIED)
 
@@ -218,8 +218,8 @@
         if len(ids) >= state.revision:
             return
         self.forks += 1
-        foreign = (*ids, *(f"x{self.forks}.{n}" for n in range(more)))
-        state.offer(snapshot_of(len(foreign), {"ada": 99}, foreign))
+        other_ids = (*ids, *(f"x{self.forks}.{n}" for n in range(more)))
+        state.offer(snapshot_of(len(other_ids), {"ada": 99}, other_ids))
 
     @rule(receiver=st.integers(0, 2), sender=st.integers(0, 2))
     def pull(self, receiver, sender):
