--- a/egretstack/settings/_schema.py
+++ b/egretstack/settings/_schema.py
@@ -1,4 +1,4 @@
-"""The one schema of all settings: sections, keys, allowed values and defaults."""
+"""The schema of all settings: sections, keys, allowed values and defaults."""
 
 from enum import Enum
 
@@ -68,7 +68,7 @@
     Key(
         "caller",
         "max_body_bytes",
-        Number(1024, 16_777_216, "bytes", whole=True),
+        Number(1024, 16_777_216, "bytes", integer=True),
         "Largest request body.",
         "1048576",
     ),
@@ -133,13 +133,13 @@
 """
 
 
-def schema_of(program: Program) -> Schema:
-    """Give the schema of one program's settings."""
+def schema_for(program: Program) -> Schema:
+    """Return the schema of one program's settings."""
     return _SCHEMAS[program]
 
 
 def settings_page() -> str:
-    """Give the text of `docs/settings.md`."""
+    """Return the text of `docs/settings.md`."""
     parts = [_PAGE_HEAD]
     parts.append("\n## Both programs\n" + _TABLE_HEAD + reference_rows(_SHARED))
     parts.append(f"\n## {Program.ENTRY.value} only\n" + _TABLE_HEAD + reference_rows(_ENTRY))
