--- a/egretstack/callers/__init__.py
+++ b/egretstack/callers/__init__.py
@@ -1,20 +1,20 @@
 """The callers' HTTP interface."""
 
-from egretstack.callers._app import CallerLimits, CallerLinks, make_caller_app
+from egretstack.callers._app import CallerDependencies, CallerLimits, make_caller_app
 from egretstack.callers._counter import AsgiApp, RequestCounter
-from egretstack.callers._generations import Generations, SessionDoor
+from egretstack.callers._generations import GenerationHandlers, SessionOperations
 from egretstack.callers._requests import GenerationBody
-from egretstack.callers._work import new_work, picked_up_work
+from egretstack.callers._work import new_request, picked_up_request
 
 __all__ = [
     "AsgiApp",
+    "CallerDependencies",
     "CallerLimits",
-    "CallerLinks",
     "GenerationBody",
-    "Generations",
+    "GenerationHandlers",
     "RequestCounter",
-    "SessionDoor",
+    "SessionOperations",
     "make_caller_app",
-    "new_work",
-    "picked_up_work",
+    "new_request",
+    "picked_up_request",
 ]
--- a/egretstack/callers/_app.py
+++ b/egretstack/callers/_app.py
@@ -8,7 +8,7 @@
 from werkzeug.exceptions import HTTPException, RequestEntityTooLarge
 
 from egretstack.callers._answers import json_answer, problem
-from egretstack.callers._generations import Generations
+from egretstack.callers._generations import GenerationHandlers
 from egretstack.contracts import Contract
 from egretstack.errors import EgretError, ErrorKind
 from egretstack.events import Event, log
@@ -35,7 +35,7 @@
 _KIND_BY_STATUS = {404: ErrorKind.NOT_FOUND, 405: ErrorKind.NOT_FOUND}
 
 
-class CallerLinks(ABC):
+class CallerDependencies(ABC):
     """What the application asks of the rest of the entry."""
 
     @abstractmethod
@@ -70,7 +70,7 @@
 
 
 def make_caller_app(
-    links: CallerLinks, generations: Generations, limits: CallerLimits
+    links: CallerDependencies, generations: GenerationHandlers, limits: CallerLimits
 ) -> QuartTrio:
     """Build the application."""
     app = QuartTrio("egret-entry")
@@ -90,11 +90,13 @@
     return bool(request.content_length) or "Transfer-Encoding" in request.headers
 
 
-def _contract(links: CallerLinks) -> Contract:
+def _contract(links: CallerDependencies) -> Contract:
     return links.authenticate(request.headers.get("Authorization", ""))
 
 
-def _add_generations(app: QuartTrio, links: CallerLinks, generations: Generations) -> None:
+def _add_generations(
+    app: QuartTrio, links: CallerDependencies, generations: GenerationHandlers
+) -> None:
     @app.post("/v1/responses")
     async def create() -> Response:
         contract = _contract(links)
@@ -114,7 +116,7 @@
         return await generations.cancel(_contract(links), session_id)
 
 
-def _add_calls(app: QuartTrio, links: CallerLinks) -> None:
+def _add_calls(app: QuartTrio, links: CallerDependencies) -> None:
     methods = ["GET", "HEAD", "OPTIONS", "POST", "PUT", "PATCH", "DELETE"]
 
     @app.route("/services/<service>/<path:path>", methods=methods)
@@ -141,7 +143,7 @@
         return Response(answer.body, status=answer.status, headers=kept)
 
 
-def _add_errors(app: QuartTrio, links: CallerLinks) -> None:
+def _add_errors(app: QuartTrio, links: CallerDependencies) -> None:
     @app.errorhandler(EgretError)
     async def refused(error: EgretError) -> Response:
         links.count_refusal(error.kind)
--- a/egretstack/callers/_counter.py
+++ b/egretstack/callers/_counter.py
@@ -22,7 +22,7 @@
         self._closed = False
         self._idle = trio.Event()
 
-    def around(self, app: AsgiApp) -> AsgiApp:
+    def wrap(self, app: AsgiApp) -> AsgiApp:
         """Give the application with its requests counted."""
 
         async def counted(scope: dict, receive: Callable, send: Callable) -> None:
--- a/egretstack/callers/_generations.py
+++ b/egretstack/callers/_generations.py
@@ -22,7 +22,7 @@
 STREAM_TYPE = "text/event-stream"
 
 
-class SessionDoor(ABC):
+class SessionOperations(ABC):
     """What the handlers ask of the sessions of this entry; every method raises EgretError."""
 
     @abstractmethod
@@ -42,14 +42,14 @@
         """End a session."""
 
     @abstractmethod
-    def left(self, session: Session, reader: int) -> None:
+    def on_caller_disconnected(self, session: Session, reader: int) -> None:
         """Note that the caller's connection ended."""
 
 
-class Generations:
+class GenerationHandlers:
     """The handlers. `heartbeat_s` is the silence after which a stream carries a comment."""
 
-    def __init__(self, door: SessionDoor, heartbeat_s: float) -> None:
+    def __init__(self, door: SessionOperations, heartbeat_s: float) -> None:
         self._door = door
         self._heartbeat_s = heartbeat_s
 
@@ -83,7 +83,7 @@
             # Nothing is taken before the end: the generation can be run again until then.
             await session.wait_for_end()
         finally:
-            self._door.left(session, reader)
+            self._door.on_caller_disconnected(session, reader)
         if isinstance(session.outcome, EgretError):
             raise session.outcome
         model = session.request.generation.model
@@ -96,10 +96,10 @@
         try:
             first = await anext(batches, None)
         except BaseException:
-            self._door.left(session, reader)
+            self._door.on_caller_disconnected(session, reader)
             raise
         if first is None and isinstance(session.outcome, EgretError):
-            self._door.left(session, reader)
+            self._door.on_caller_disconnected(session, reader)
             raise session.outcome
         response = Response(
             self._lines(session, reader, after, first, batches), content_type=STREAM_TYPE
@@ -127,7 +127,7 @@
             if session.is_reader(reader) and _wants_end(session, after):
                 yield encode_end(session.outcome, session.id, model, last + 1)
         finally:
-            self._door.left(session, reader)
+            self._door.on_caller_disconnected(session, reader)
 
 
 def _wants_end(session: Session, after: int) -> bool:
--- a/egretstack/callers/_work.py
+++ b/egretstack/callers/_work.py
@@ -14,7 +14,7 @@
 _UNKNOWN_MODEL = ModelName("")
 
 
-def new_work(
+def new_request(
     contract: Contract, body: GenerationBody, service: ServiceName | None
 ) -> SchedulingRequest:
     """Check a request against its contract; raise EgretError.
@@ -49,7 +49,7 @@
     )
 
 
-def picked_up_work(contract: Contract, ref: SessionRef) -> SchedulingRequest:
+def picked_up_request(contract: Contract, ref: SessionRef) -> SchedulingRequest:
     """Make the work of a session that another entry placed; it is never placed again."""
     return SchedulingRequest(
         id=_new_id(),
--- a/egretstack/delivery/__init__.py
+++ b/egretstack/delivery/__init__.py
@@ -1,32 +1,32 @@
 """Delivery of a session's tokens: once, in order, and from one generation."""
 
 from egretstack.delivery._cursor import Cursor, Verdict
-from egretstack.delivery._holders import Holders
+from egretstack.delivery._holders import GenerationHolders
 from egretstack.delivery._messages import MAX_ID_LENGTH, SessionReleased, SessionTaken
 from egretstack.delivery._recovery import (
-    EngineWord,
+    EngineReply,
     Failure,
     Recovery,
     RecoveryBudget,
-    Standing,
+    SessionProgress,
     Step,
 )
-from egretstack.delivery._token import SessionRef, TokenBox, TokenRefused
+from egretstack.delivery._token import InvalidSessionId, SessionIdCipher, SessionRef
 
 __all__ = [
     "MAX_ID_LENGTH",
     "Cursor",
-    "EngineWord",
+    "EngineReply",
     "Failure",
-    "Holders",
+    "GenerationHolders",
+    "InvalidSessionId",
     "Recovery",
     "RecoveryBudget",
+    "SessionIdCipher",
+    "SessionProgress",
     "SessionRef",
     "SessionReleased",
     "SessionTaken",
-    "Standing",
     "Step",
-    "TokenBox",
-    "TokenRefused",
     "Verdict",
 ]
--- a/egretstack/delivery/_cursor.py
+++ b/egretstack/delivery/_cursor.py
@@ -11,7 +11,7 @@
     DELIVER = "deliver"
     DROP = "drop"
     GAP = "gap"
-    FOREIGN = "foreign"
+    OTHER_GENERATION = "foreign"
 
 
 class Cursor:
@@ -29,7 +29,7 @@
         if generation != self.generation:
             # Passing it on would splice two generations: the reader would see one answer's
             # first half and another's second half.
-            return Verdict.FOREIGN
+            return Verdict.OTHER_GENERATION
         if sequence <= self.last:
             return Verdict.DROP
         if sequence > self.last + 1:
--- a/egretstack/delivery/_holders.py
+++ b/egretstack/delivery/_holders.py
@@ -9,7 +9,7 @@
 """A generation is named by its engine and its id there."""
 
 
-class Holders:
+class GenerationHolders:
     """Remembers the last holder told of each generation, for a bounded time and number.
 
     The session id names the entry that opened the session. After the second pick-up that name
@@ -18,12 +18,12 @@
     holder it knows, and the newcomer tells that one too.
     """
 
-    def __init__(self, life_s: float, most: int = MAX_HOLDERS) -> None:
-        self._life_s = life_s
-        self._most = most
+    def __init__(self, ttl_s: float, limit: int = MAX_HOLDERS) -> None:
+        self._life_s = ttl_s
+        self._most = limit
         self._row_by_place: OrderedDict[Place, tuple[InstanceId, float]] = OrderedDict()
 
-    def note(self, now_s: float, place: Place, holder: InstanceId) -> None:
+    def record(self, now_s: float, place: Place, holder: InstanceId) -> None:
         """Remember the newest holder."""
         self._row_by_place.pop(place, None)
         self._row_by_place[place] = (holder, now_s)
--- a/egretstack/delivery/_recovery.py
+++ b/egretstack/delivery/_recovery.py
@@ -13,17 +13,17 @@
     """No connection was made in time: the engine or the way to it may be stalled."""
     REFUSED = "refused"
     BROKEN = "broken"
-    SILENT = "silent"
+    UNRESPONSIVE = "silent"
     GAP = "gap"
-    FOREIGN = "foreign"
-    GONE = "gone"
+    OTHER_GENERATION = "foreign"
+    MISSING = "gone"
     FAILED = "failed"
 
 
 class Step(Enum):
     """The next step of a session whose stream failed."""
 
-    ASK = "ask"
+    QUERY = "ask"
     """Ask the engine after the generation over a new connection, then decide again."""
     RESUME = "resume"
     """Ask the same engine over a new connection, from the cursor."""
@@ -35,11 +35,11 @@
     """Tell the caller now that nothing came of it, and when to come back."""
 
 
-class EngineWord(Enum):
+class EngineReply(Enum):
     """What came of asking an engine after a generation."""
 
     HAS_IT = "has-it"
-    GONE = "gone"
+    MISSING = "gone"
     NO_ANSWER = "no-answer"
     REFUSED = "refused"
     """The connection was refused, or broke: the engine's process is gone or going."""
@@ -53,17 +53,17 @@
     """Resumes after a failure that shows at once; spent by each, earned back by events."""
     events_per_resume: int = 64
     reruns: int = 3
-    unanswered_s: float = 20.0
+    max_unanswered_s: float = 20.0
     """Longest time without an event from an engine that does not answer either."""
-    stalled_s: float = 120.0
+    max_stalled_s: float = 120.0
     """Longest time without an event from an engine that says it has the generation."""
     first_delay_s: float = 0.05
     delay_growth: float = 2.0
-    longest_delay_s: float = 1.0
+    max_delay_s: float = 1.0
 
 
 @dataclass(frozen=True)
-class Standing:
+class SessionProgress:
     """How far a session has come when its stream fails."""
 
     bound: bool
@@ -97,32 +97,32 @@
         """Tell whether every failure, and at least one, was an engine's refusal of the work."""
         return self._seen == {Failure.REFUSED}
 
-    def decide(self, now_s: float, failure: Failure, standing: Standing) -> Step:
+    def decide(self, now_s: float, failure: Failure, standing: SessionProgress) -> Step:
         """Choose the step after a failure."""
         self._failures += 1
         self._note(failure, standing)
-        if not standing.bound or failure in (Failure.GONE, Failure.FAILED):
+        if not standing.bound or failure in (Failure.MISSING, Failure.FAILED):
             return self._give_up(now_s, standing)
-        if failure is Failure.SILENT:
-            return Step.ASK
+        if failure is Failure.UNRESPONSIVE:
+            return Step.QUERY
         if failure is Failure.NO_ANSWER:
-            return self.told(now_s, EngineWord.NO_ANSWER, standing)
+            return self.on_engine_reply(now_s, EngineReply.NO_ANSWER, standing)
         return self._resume_or_give_up(now_s, standing)
 
-    def told(self, now_s: float, word: EngineWord, standing: Standing) -> Step:
+    def on_engine_reply(self, now_s: float, word: EngineReply, standing: SessionProgress) -> Step:
         """Choose the step after the engine was asked."""
         quiet_s = now_s - self._last_event_s
-        if word is EngineWord.HAS_IT and quiet_s < self._budget.stalled_s:
+        if word is EngineReply.HAS_IT and quiet_s < self._budget.max_stalled_s:
             return Step.RESUME
-        if word is EngineWord.REFUSED:
+        if word is EngineReply.REFUSED:
             return self._resume_or_give_up(now_s, standing)
-        if word is EngineWord.NO_ANSWER and self._worth_waiting(quiet_s, standing):
+        if word is EngineReply.NO_ANSWER and self._worth_waiting(quiet_s, standing):
             # A stalled engine or link may come back with the generation; once a token was
             # delivered no other engine can go on, so giving up early would lose the answer.
             return Step.RESUME
         return self._give_up(now_s, standing)
 
-    def progressed(self, now_s: float) -> None:
+    def record_event(self, now_s: float) -> None:
         """Note a new event: the connection works again.
 
         Each event earns back a part of a resume. Were the budget renewed by every event, an
@@ -138,25 +138,25 @@
         if self._failures <= 1:
             return 0.0
         delay = self._budget.first_delay_s * self._budget.delay_growth ** (self._failures - 2)
-        return min(delay, self._budget.longest_delay_s)
+        return min(delay, self._budget.max_delay_s)
 
-    def _note(self, failure: Failure, standing: Standing) -> None:
+    def _note(self, failure: Failure, standing: SessionProgress) -> None:
         untouched = failure in (Failure.UNREACHABLE, Failure.NO_ANSWER, Failure.REFUSED)
         if standing.bound or not untouched:
             self.may_have_run = True
         self._seen.add(failure)
 
-    def _worth_waiting(self, quiet_s: float, standing: Standing) -> bool:
+    def _worth_waiting(self, quiet_s: float, standing: SessionProgress) -> bool:
         replaceable = not standing.delivered and standing.can_rerun
-        return not replaceable and quiet_s < self._budget.unanswered_s
+        return not replaceable and quiet_s < self._budget.max_unanswered_s
 
-    def _resume_or_give_up(self, now_s: float, standing: Standing) -> Step:
+    def _resume_or_give_up(self, now_s: float, standing: SessionProgress) -> Step:
         if self._credit >= 1:
             self._credit -= 1
             return Step.RESUME
         return self._give_up(now_s, standing)
 
-    def _give_up(self, now_s: float, standing: Standing) -> Step:
+    def _give_up(self, now_s: float, standing: SessionProgress) -> Step:
         if standing.delivered or not standing.can_rerun:
             return Step.LOST
         self._reruns += 1
--- a/egretstack/delivery/_token.py
+++ b/egretstack/delivery/_token.py
@@ -18,7 +18,7 @@
 _FIELDS = 6
 
 
-class TokenRefused(Exception):
+class InvalidSessionId(Exception):
     """The text is not a session id that this system made."""
 
 
@@ -33,7 +33,7 @@
     generation: GenerationId
 
 
-class TokenBox:
+class SessionIdCipher:
     """Seals and opens session ids. The first key seals; every key opens, so keys can rotate."""
 
     def __init__(self, keys: list[bytes]) -> None:
@@ -57,16 +57,16 @@
     def open(self, text: str) -> SessionRef:
         """Read a session id; raise TokenRefused."""
         if not text.startswith(PREFIX) or len(text) > MAX_TOKEN_LENGTH:
-            raise TokenRefused("not a session id")
+            raise InvalidSessionId("not a session id")
         try:
             row = msgpack.unpackb(self._box.decrypt(text[len(PREFIX) :].encode()))
         except (InvalidToken, ValueError) as error:
-            raise TokenRefused("not a session id of ours") from error
+            raise InvalidSessionId("not a session id of ours") from error
         # The keys seal peers' hellos too, so a seal of ours is not yet a session id.
         if not isinstance(row, list) or len(row) != _FIELDS or row[0] != _FORMAT:
-            raise TokenRefused("a session id of another format")
+            raise InvalidSessionId("a session id of another format")
         if not all(isinstance(field, str) for field in row[1:]):
-            raise TokenRefused("a session id with a wrong field")
+            raise InvalidSessionId("a session id with a wrong field")
         account, owner, service, runner, generation = row[1:]
         return SessionRef(
             AccountId(account),
--- a/egretstack/duties/_lease.py
+++ b/egretstack/duties/_lease.py
@@ -10,8 +10,8 @@
 
 from egretstack.objectapi import Spec
 
-LEASE_LIFE_S = 15.0
-RENEWALS_IN_LIFE = 3
+LEASE_TTL_S = 15.0
+RENEWALS_PER_TTL = 3
 CLOCK_MARGIN_S = 1.5
 """Extra wait before a lease is taken over: clocks of two machines may run at different rates."""
 
@@ -28,20 +28,20 @@
 
     holder: str
     fencing: int
-    beat: int
-    life_s: float
+    write_number: int
+    ttl_s: float
 
     def spec(self) -> Spec:
         """Give the object's content."""
         return {
             "holder": self.holder,
             "fencing": self.fencing,
-            "beat": self.beat,
-            "life_s": self.life_s,
+            "beat": self.write_number,
+            "life_s": self.ttl_s,
         }
 
     @classmethod
-    def read(cls, spec: Spec) -> Self:
+    def from_spec(cls, spec: Spec) -> Self:
         """Read the object's content; raise LeaseUnreadable."""
         try:
             return cls(
@@ -62,7 +62,7 @@
 class Lease:
     """One process's view of one lease. `holder` differs for each start of a process."""
 
-    def __init__(self, holder: str, life_s: float = LEASE_LIFE_S) -> None:
+    def __init__(self, holder: str, life_s: float = LEASE_TTL_S) -> None:
         self._holder = holder
         self._life_s = life_s
         self._record: LeaseRecord | None = None
@@ -89,15 +89,15 @@
         """Tell whether this process holds the lease."""
         return self.remaining_s(now_s) > 0
 
-    def is_unsettled(self) -> bool:
+    def has_unconfirmed_write(self) -> bool:
         """Tell whether a write was sent and its answer has not come; a read settles it."""
         return self._sent is not None
 
     def is_renewal_due(self, now_s: float) -> bool:
         """Tell whether a third of the life has passed since the last renewal."""
-        return self.remaining_s(now_s) <= self._life_s * (1 - 1 / RENEWALS_IN_LIFE)
+        return self.remaining_s(now_s) <= self._life_s * (1 - 1 / RENEWALS_PER_TTL)
 
-    def saw(self, now_s: float, record: LeaseRecord | None, version: str | None) -> None:
+    def record_read(self, now_s: float, record: LeaseRecord | None, version: str | None) -> None:
         """Note what a read of the object showed."""
         if not self._is_read or version != self._version:
             self._changed_s = now_s
@@ -122,16 +122,16 @@
         if self.holds(now_s):
             if not self.is_renewal_due(now_s):
                 return None
-            return LeaseWrite(replace(self._record, beat=self._next_beat()), self._version)
+            return LeaseWrite(replace(self._record, write_number=self._next_beat()), self._version)
         if not self._is_free(now_s):
             return None
         return self._taking(self._version)
 
-    def sending(self, now_s: float, write: LeaseWrite) -> None:
+    def record_sending(self, now_s: float, write: LeaseWrite) -> None:
         """Note that a write is about to be sent; its outcome may stay unknown."""
         self._sent = (write.record, now_s)
 
-    def won(self, version: str) -> None:
+    def record_written(self, version: str) -> None:
         """Note that the write noted by `sending` was taken."""
         record, sent_s = self._sent
         self._record = record
@@ -165,5 +165,5 @@
     def _is_free(self, now_s: float) -> bool:
         if self._record.holder == NOBODY:
             return True
-        life_s = max(self._record.life_s, self._life_s)
+        life_s = max(self._record.ttl_s, self._life_s)
         return now_s >= self._changed_s + life_s + CLOCK_MARGIN_S
--- a/egretstack/duties/_leased.py
+++ b/egretstack/duties/_leased.py
@@ -7,8 +7,8 @@
 import trio
 
 from egretstack.duties._lease import (
-    LEASE_LIFE_S,
-    RENEWALS_IN_LIFE,
+    LEASE_TTL_S,
+    RENEWALS_PER_TTL,
     Lease,
     LeaseRecord,
     LeaseUnreadable,
@@ -18,8 +18,8 @@
 from egretstack.ids import DutyName, InstanceId
 from egretstack.objectapi import Conflict, ObjectApi, ObjectKind, PlatformError
 
-LOOK_PERIOD_S = LEASE_LIFE_S / RENEWALS_IN_LIFE
-TICK_S = 1.0
+LEASE_POLL_INTERVAL_S = LEASE_TTL_S / RENEWALS_PER_TTL
+TICK_INTERVAL_S = 1.0
 INCARNATION_BYTES = 4
 
 
@@ -66,7 +66,7 @@
         finally:
             self._stopped.set()
 
-    async def lay_down(self) -> None:
+    async def stop(self) -> None:
         """Stop acting, then free the lease."""
         self._scope.cancel()
         await self._stopped.wait()
@@ -80,7 +80,7 @@
                 await self._step()
             self._follow_lease()
             # A holder looks often, so that a failed renewal is tried again well within the life.
-            period_s = TICK_S if self.holds() else LOOK_PERIOD_S
+            period_s = TICK_INTERVAL_S if self.holds() else LEASE_POLL_INTERVAL_S
             await trio.sleep(period_s * (0.8 + 0.4 * self._rng.random()))
 
     def _follow_lease(self) -> None:
@@ -95,7 +95,7 @@
             log(Event.DUTY_TAKEN, duty=self._name, fencing=fencing)
 
     async def _step(self) -> None:
-        if (not self.holds() or self._lease.is_unsettled()) and not await self._look():
+        if (not self.holds() or self._lease.has_unconfirmed_write()) and not await self._look():
             return
         write = self._lease.next_write(trio.current_time())
         if write is not None:
@@ -104,18 +104,18 @@
     async def _look(self) -> bool:
         try:
             stored = await self._api.get(ObjectKind.LEASE, self._name)
-            record = None if stored is None else LeaseRecord.read(stored.spec)
+            record = None if stored is None else LeaseRecord.from_spec(stored.spec)
         except PlatformError:
             return False
         except LeaseUnreadable as error:
             log(Event.DUTY_UNREADABLE, duty=self._name, error=str(error))
             return False
         version = None if stored is None else stored.version
-        self._lease.saw(trio.current_time(), record, version)
+        self._lease.record_read(trio.current_time(), record, version)
         return True
 
     async def _write(self, write: LeaseWrite) -> None:
-        self._lease.sending(trio.current_time(), write)
+        self._lease.record_sending(trio.current_time(), write)
         spec = write.record.spec()
         try:
             if write.version is None:
@@ -127,4 +127,4 @@
             return
         except PlatformError:
             return
-        self._lease.won(stored.version)
+        self._lease.record_written(stored.version)
--- a/egretstack/duties/_orders.py
+++ b/egretstack/duties/_orders.py
@@ -15,7 +15,7 @@
 from egretstack.upstreams import Order
 
 ORDER_TIMEOUT_S = 3.0
-REPEAT_S = 30.0
+RESEND_INTERVAL_S = 30.0
 """Time for an engine to load before the same order is sent to it again."""
 
 LOADS_PER_S = 0.5
@@ -52,7 +52,7 @@
             return None
         order = Order(self._id(lease.fencing, runner, desired), lease.fencing, desired)
         sent_s = self._sent_s_by_id.get(order.id)
-        if sent_s is not None and now_s < sent_s + REPEAT_S:
+        if sent_s is not None and now_s < sent_s + RESEND_INTERVAL_S:
             return None
         if self._loads.wait_s(now_s) > 0:
             return None
--- a/egretstack/duties/_paced.py
+++ b/egretstack/duties/_paced.py
@@ -15,10 +15,10 @@
 )
 
 CALLS_PER_S = 4.0
-CALLS_AT_ONCE = 2.0
+CALL_BURST = 2.0
 """A read and the conditional write on it go together: apart, a busy object always conflicts."""
 
-LEAST_LEASE_LEFT_S = 4.0
+MIN_LEASE_LEFT_S = 4.0
 """Lease that has to be left for a call; above the time that one call may take."""
 
 
@@ -39,7 +39,7 @@
         self._api = api
         self._remaining_s = remaining_s
         self._rate = rate
-        self._bucket = TokenBucket(rate, CALLS_AT_ONCE, trio.current_time())
+        self._bucket = TokenBucket(rate, CALL_BURST, trio.current_time())
 
     async def get(self, kind: ObjectKind, name: str) -> StoredObject | None:
         """Read one object. Raises DutyEnded and as `ObjectApi.get` says."""
@@ -61,9 +61,9 @@
         await self._admit(kind)
         await self._api.delete(kind, name, version)
 
-    async def before_pair(self) -> None:
+    async def wait_for_pair(self) -> None:
         """Wait until a read and the write on it may be made with no wait between them."""
-        await trio.sleep(CALLS_AT_ONCE / self._rate)
+        await trio.sleep(CALL_BURST / self._rate)
 
     async def _admit(self, kind: ObjectKind) -> None:
         wait_s = self._bucket.wait_s(trio.current_time())
@@ -76,5 +76,5 @@
                 raise PlatformAway("the budget for status is spent", budget_s)
             self._api.budget.spend(CallClass.STATUS, now_s)
         # After the wait: a holder that was paused, however long, finds its lease over here.
-        if self._remaining_s() <= LEAST_LEASE_LEFT_S:
+        if self._remaining_s() <= MIN_LEASE_LEFT_S:
             raise DutyEnded
--- a/egretstack/events/__init__.py
+++ b/egretstack/events/__init__.py
@@ -2,15 +2,15 @@
 
 from egretstack.events._catalogue import Event, Level, catalogue_page
 from egretstack.events._line_writer import LineWriter
-from egretstack.events._log import LogForm, count_events, log, set_up_line_logs, set_up_logs
+from egretstack.events._log import LogFormat, add_event_counter, log, set_up_line_logs, set_up_logs
 
 __all__ = [
     "Event",
     "Level",
     "LineWriter",
-    "LogForm",
+    "LogFormat",
+    "add_event_counter",
     "catalogue_page",
-    "count_events",
     "log",
     "set_up_line_logs",
     "set_up_logs",
--- a/egretstack/events/_line_writer.py
+++ b/egretstack/events/_line_writer.py
@@ -27,14 +27,14 @@
         self._at_s = now()
         self._late = b""
         self._dropped = 0
-        self.dropped_in_all = 0
+        self.dropped_total = 0
 
     def write(self, line: str, *, urgent: bool = False) -> None:
         """Write a line, or keep it for later, or count it as dropped."""
         data = line.encode() + b"\n"
         if not self._allows(urgent) or len(self._late) + len(data) > MAX_LATE_BYTES:
             self._dropped += 1
-            self.dropped_in_all += 1
+            self.dropped_total += 1
             data = b""
         elif self._dropped:
             data = b'{"name": "log_lines_dropped", "count": %d}\n' % self._dropped + data
--- a/egretstack/events/_log.py
+++ b/egretstack/events/_log.py
@@ -24,22 +24,22 @@
 _counters: list[Callable[[Event], None]] = []
 
 
-def count_events(counter: Callable[[Event], None]) -> None:
+def add_event_counter(counter: Callable[[Event], None]) -> None:
     """Let `counter` see each event, also those whose lines are dropped or below the level."""
     _counters.append(counter)
 
 
-class LogForm(Enum):
+class LogFormat(Enum):
     """How log lines look."""
 
     JSON = "json"
     HUMAN = "human"
 
 
-def set_up_logs(form: LogForm, level: Level) -> None:
+def set_up_logs(form: LogFormat, level: Level) -> None:
     """Send log lines to standard error in the form and from the level given."""
     logger.remove()
-    if form is LogForm.JSON:
+    if form is LogFormat.JSON:
         logger.add(_write_json, level=level.value)
     else:
         logger.add(sys.stderr, level=level.value, format=_HUMAN)
--- a/egretstack/lengths/__init__.py
+++ b/egretstack/lengths/__init__.py
@@ -1,8 +1,8 @@
 """Output lengths learned as survival curves, from sessions that ended and that still run."""
 
-from egretstack.lengths._buckets import BUCKETS, EDGES, bucket_of
-from egretstack.lengths._curve import Curve
-from egretstack.lengths._hazards import Hazards
+from egretstack.lengths._buckets import BUCKETS, EDGES, bucket_index
+from egretstack.lengths._curve import SurvivalCurve
+from egretstack.lengths._hazards import HazardCounts
 from egretstack.lengths._key import LengthKey
 from egretstack.lengths._messages import LengthsAnswer, LengthsAsk
 from egretstack.lengths._model import MAX_SOURCES, LengthModel
@@ -18,14 +18,14 @@
     "EDGES",
     "MAX_SOURCES",
     "MAX_SUMMARY_BYTES",
-    "Curve",
-    "Hazards",
+    "HazardCounts",
     "LengthKey",
     "LengthModel",
     "LengthSummary",
     "LengthsAnswer",
     "LengthsAsk",
-    "bucket_of",
+    "SurvivalCurve",
+    "bucket_index",
     "pack_summary",
     "unpack_summary",
 ]
--- a/egretstack/lengths/_buckets.py
+++ b/egretstack/lengths/_buckets.py
@@ -13,6 +13,6 @@
 BUCKETS = len(EDGES)
 
 
-def bucket_of(tokens: int) -> int:
+def bucket_index(tokens: int) -> int:
     """Give the bucket of a length of at least one token."""
     return bisect_right(EDGES, tokens) - 1
--- a/egretstack/lengths/_curve.py
+++ b/egretstack/lengths/_curve.py
@@ -2,14 +2,14 @@
 
 from math import exp, log, log2
 
-from egretstack.lengths._buckets import BUCKETS, EDGES, bucket_of
+from egretstack.lengths._buckets import BUCKETS, EDGES, bucket_index
 
 _LEAST_SHARE = 1e-6
 _FINE = 4
 """Below this length a token is a bucket; above it a doubling is two."""
 
 
-class Curve:
+class SurvivalCurve:
     """Survival by length: the share of sessions that reach a number of tokens.
 
     Between edges the logarithm of the share falls evenly with the logarithm of the length.
@@ -26,7 +26,7 @@
         self.mean_tokens = max(1.0, self._left[0])
         """Mean length, tokens."""
 
-    def log_share(self, tokens: float) -> float:
+    def log_survival(self, tokens: float) -> float:
         """Give the logarithm of the share that reaches `tokens`."""
         if tokens <= 1:
             return 0.0
@@ -36,13 +36,13 @@
         low = logs[bucket]
         return low + (place - bucket) * (logs[bucket + 1] - low)
 
-    def share_left(self, generated: float, ahead: float) -> float:
+    def conditional_survival(self, generated: float, ahead: float) -> float:
         """Give the share that generates `ahead` more tokens, of those that have `generated`."""
-        return exp(self.log_share(generated + ahead) - self.log_share(generated))
+        return exp(self.log_survival(generated + ahead) - self.log_survival(generated))
 
     def quantile(self, share: float, generated: float = 0.0) -> float:
         """Give the length that `share` of the sessions with `generated` tokens stay below."""
-        wanted = self.log_share(generated) + log(max(_LEAST_SHARE, 1.0 - share))
+        wanted = self.log_survival(generated) + log(max(_LEAST_SHARE, 1.0 - share))
         logs = self._log_share
         for bucket in range(BUCKETS):
             if logs[bucket + 1] <= wanted:
@@ -52,11 +52,11 @@
                 return max(generated, tokens)
         return float(EDGES[-1])
 
-    def excess_share(self, ahead: float) -> float:
+    def excess_survival(self, ahead: float) -> float:
         """Give the share of sequences met at any moment that generate `ahead` more tokens."""
         if ahead >= EDGES[-1]:
             return 0.0
-        bucket = bucket_of(max(1, int(ahead)))
+        bucket = bucket_index(max(1, int(ahead)))
         low = EDGES[bucket]
         left = self._left
         part = max(0.0, ahead - low) / (EDGES[bucket + 1] - low)
--- a/egretstack/lengths/_hazards.py
+++ b/egretstack/lengths/_hazards.py
@@ -2,12 +2,12 @@
 
 from egretstack.lengths._buckets import BUCKETS
 
-MEMORY = 300
+DECAY_SESSIONS = 300
 """Sessions after which an observation of a bucket counts 1/e: lengths drift over a day."""
-_KEPT = 1 - 1 / MEMORY
+_KEPT = 1 - 1 / DECAY_SESSIONS
 
 
-class Hazards:
+class HazardCounts:
     """A Kaplan-Meier estimate on buckets, which forgets by the number of observations.
 
     A session that still runs counts in every bucket it has passed, so a long answer is evidence
@@ -15,18 +15,18 @@
     """
 
     def __init__(self) -> None:
-        self.came = [0.0] * BUCKETS
+        self.at_risk = [0.0] * BUCKETS
         self.ended = [0.0] * BUCKETS
 
     def add(self, bucket: int, *, ended: bool) -> None:
         """Note a session that passed a bucket, or ended in it."""
-        self.came[bucket] = self.came[bucket] * _KEPT + 1.0
+        self.at_risk[bucket] = self.at_risk[bucket] * _KEPT + 1.0
         self.ended[bucket] *= _KEPT
         if ended:
             self.ended[bucket] += 1.0
 
-    def merge(self, other: "Hazards") -> None:
+    def merge(self, other: "HazardCounts") -> None:
         """Add another instance's counts."""
         for bucket in range(BUCKETS):
-            self.came[bucket] += other.came[bucket]
+            self.at_risk[bucket] += other.at_risk[bucket]
             self.ended[bucket] += other.ended[bucket]
--- a/egretstack/lengths/_model.py
+++ b/egretstack/lengths/_model.py
@@ -4,31 +4,31 @@
 from dataclasses import dataclass
 
 from egretstack.ids import InstanceId
-from egretstack.lengths._buckets import BUCKETS, EDGES, bucket_of
-from egretstack.lengths._curve import Curve
-from egretstack.lengths._hazards import Hazards
+from egretstack.lengths._buckets import BUCKETS, EDGES, bucket_index
+from egretstack.lengths._curve import SurvivalCurve
+from egretstack.lengths._hazards import HazardCounts
 from egretstack.lengths._key import LengthKey
 from egretstack.lengths._summary import LengthSummary
 
 MAX_KEYS = 2048
 MAX_SOURCES = 16
-PARENT_SESSIONS = 4.0
+PARENT_WEIGHT_SESSIONS = 4.0
 """Sessions that the estimate one level up counts for."""
 PRIOR_HAZARDS = tuple(min(0.9, 0.02 + 0.0006 * bucket**2) for bucket in range(BUCKETS))
 """Share that ends in each bucket before anything is known: a median of some 130 tokens, one in
 ten above 2,000, one in a hundred above 13,000."""
 REBUILD_SHARE = 32
 """A curve is rebuilt when its observations have grown by this part, and by MIN_NEWS."""
-MIN_NEWS = 8
+MIN_NEW_OBSERVATIONS = 8
 
 
 @dataclass(slots=True)
 class _Entry:
-    own: Hazards
+    own: HazardCounts
     news: int = 0
     """Observations since the curve was built."""
     observations: int = 0
-    curve: Curve | None = None
+    curve: SurvivalCurve | None = None
 
 
 class LengthModel:
@@ -43,36 +43,36 @@
         self._by_key: OrderedDict[LengthKey, _Entry] = OrderedDict()
         self._by_source: OrderedDict[InstanceId, LengthSummary] = OrderedDict()
 
-    def progressed(self, key: LengthKey, before: int, now: int) -> None:
+    def record_progress(self, key: LengthKey, before: int, now: int) -> None:
         """Note that a session went from `before` output tokens to `now` and still runs."""
-        bucket = bucket_of(max(1, before))
+        bucket = bucket_index(max(1, before))
         while bucket + 1 < BUCKETS and EDGES[bucket + 1] <= now:
             self._add(key, bucket, ended=False)
             bucket += 1
 
-    def finished(self, key: LengthKey, before: int, length: int) -> None:
+    def record_finished(self, key: LengthKey, before: int, length: int) -> None:
         """Note that a session last seen at `before` tokens ended by itself at `length`."""
-        self.progressed(key, before, length)
-        self._add(key, bucket_of(max(1, length)), ended=True)
+        self.record_progress(key, before, length)
+        self._add(key, bucket_index(max(1, length)), ended=True)
 
-    def curve(self, key: LengthKey) -> Curve:
+    def curve(self, key: LengthKey) -> SurvivalCurve:
         """Give the present curve of a key."""
         entry = self._entry(key)
-        due = max(MIN_NEWS, entry.observations // REBUILD_SHARE)
+        due = max(MIN_NEW_OBSERVATIONS, entry.observations // REBUILD_SHARE)
         if entry.curve is None or entry.news >= due:
-            entry.curve = Curve(self._hazards(key))
+            entry.curve = SurvivalCurve(self._hazards(key))
             entry.news = 0
         return entry.curve
 
-    def sessions(self, key: LengthKey) -> float:
+    def session_weight(self, key: LengthKey) -> float:
         """Give the weight of the sessions that a key's curve rests on."""
-        return self._counts(key).came[0]
+        return self._counts(key).at_risk[0]
 
     def summary(self) -> LengthSummary:
         """Give what this instance itself has learned, for other instances."""
         return LengthSummary({key: entry.own for key, entry in self._by_key.items()})
 
-    def learn(self, source: InstanceId, summary: LengthSummary) -> None:
+    def set_summary(self, source: InstanceId, summary: LengthSummary) -> None:
         """Take in another instance's summary in place of its earlier one."""
         self._by_source[source] = summary
         self._by_source.move_to_end(source)
@@ -91,7 +91,7 @@
     def _entry(self, key: LengthKey) -> _Entry:
         entry = self._by_key.get(key)
         if entry is None:
-            entry = _Entry(Hazards())
+            entry = _Entry(HazardCounts())
             self._by_key[key] = entry
             while len(self._by_key) > MAX_KEYS:
                 self._by_key.popitem(last=False)
@@ -104,16 +104,16 @@
         for level in key.levels():
             counts = self._counts(level)
             for bucket, parent in enumerate(estimate):
-                ended = counts.ended[bucket] + PARENT_SESSIONS * parent
-                estimate[bucket] = ended / (counts.came[bucket] + PARENT_SESSIONS)
+                ended = counts.ended[bucket] + PARENT_WEIGHT_SESSIONS * parent
+                estimate[bucket] = ended / (counts.at_risk[bucket] + PARENT_WEIGHT_SESSIONS)
         return estimate
 
-    def _counts(self, key: LengthKey) -> Hazards:
+    def _counts(self, key: LengthKey) -> HazardCounts:
         own = self._entry(key).own
         known = [summary.by_key[key] for summary in self._by_source.values() if key in summary]
         if not known:
             return own
-        total = Hazards()
+        total = HazardCounts()
         total.merge(own)
         for hazards in known:
             total.merge(hazards)
--- a/egretstack/lengths/_summary.py
+++ b/egretstack/lengths/_summary.py
@@ -6,7 +6,7 @@
 
 from egretstack.ids import AccountId, ModelName, ServiceName
 from egretstack.lengths._buckets import BUCKETS
-from egretstack.lengths._hazards import MEMORY, Hazards
+from egretstack.lengths._hazards import DECAY_SESSIONS, HazardCounts
 from egretstack.lengths._key import LengthKey
 
 MAX_SUMMARY_BYTES = 16_384
@@ -18,7 +18,7 @@
 class LengthSummary:
     """Counts by key."""
 
-    by_key: dict[LengthKey, Hazards] = field(default_factory=dict)
+    by_key: dict[LengthKey, HazardCounts] = field(default_factory=dict)
 
     def __contains__(self, key: object) -> bool:
         return key in self.by_key
@@ -26,7 +26,7 @@
 
 def pack_summary(summary: LengthSummary) -> bytes:
     """Give the keys with the most sessions, in at most MAX_SUMMARY_BYTES."""
-    shared = sorted(summary.by_key.items(), key=lambda pair: -pair[1].came[0])
+    shared = sorted(summary.by_key.items(), key=lambda pair: -pair[1].at_risk[0])
     rows = [_row(key, counts) for key, counts in shared[:MAX_SUMMARY_KEYS]]
     packed = msgpack.packb(rows)
     while len(packed) > MAX_SUMMARY_BYTES:
@@ -56,8 +56,8 @@
         raise ValueError("a summary that cannot be read") from error
 
 
-def _row(key: LengthKey, counts: Hazards) -> list[object]:
-    came = [round(count) for count in counts.came]
+def _row(key: LengthKey, counts: HazardCounts) -> list[object]:
+    came = [round(count) for count in counts.at_risk]
     ended = [round(count) for count in counts.ended]
     return [key.service, key.model, key.account, key.prefix, came, ended]
 
@@ -68,11 +68,11 @@
     return value
 
 
-def _hazards(came: object, ended: object) -> Hazards:
-    counts = Hazards()
-    counts.came = _counts(came)
+def _hazards(came: object, ended: object) -> HazardCounts:
+    counts = HazardCounts()
+    counts.at_risk = _counts(came)
     counts.ended = _counts(ended)
-    if any(more > all_ for more, all_ in zip(counts.ended, counts.came, strict=True)):
+    if any(more > all_ for more, all_ in zip(counts.ended, counts.at_risk, strict=True)):
         raise ValueError("more sessions ended than came")
     return counts
 
@@ -80,6 +80,6 @@
 def _counts(value: object) -> list[float]:
     if not isinstance(value, list) or len(value) != BUCKETS:
         raise ValueError("counts of another number of buckets")
-    if not all(isinstance(one, int) and 0 <= one <= MEMORY for one in value):
+    if not all(isinstance(one, int) and 0 <= one <= DECAY_SESSIONS for one in value):
         raise ValueError("a count out of bounds")
     return [float(one) for one in value]
--- a/egretstack/metrics/__init__.py
+++ b/egretstack/metrics/__init__.py
@@ -18,7 +18,7 @@
     TARGET_SECONDS,
     TARGET_SHARE,
 )
-from egretstack.metrics._pace import Pace
+from egretstack.metrics._pace import DeliveryPace
 
 __all__ = [
     "EVENTS",
@@ -30,10 +30,10 @@
     "TARGET_SECONDS",
     "TARGET_SHARE",
     "AccountLevels",
+    "DeliveryPace",
     "LevelTargets",
     "Metrics",
     "Objective",
-    "Pace",
     "ServiceLevels",
     "Tally",
 ]
--- a/egretstack/metrics/_levels.py
+++ b/egretstack/metrics/_levels.py
@@ -62,7 +62,7 @@
             self.good += count
 
 
-class Spread:
+class IntHistogram:
     """A histogram as plain integers."""
 
     def __init__(self, bounds: tuple[float, ...]) -> None:
@@ -88,25 +88,25 @@
     def __init__(self, targets: LevelTargets) -> None:
         self.targets = targets
         self.tally_by_objective = {objective: Tally() for objective in Objective}
-        self.first_tokens = Spread(FIRST_TOKEN_BUCKETS_S)
-        self.gaps = Spread(GAP_BUCKETS_S)
+        self.first_tokens = IntHistogram(FIRST_TOKEN_BUCKETS_S)
+        self.gaps = IntHistogram(GAP_BUCKETS_S)
 
-    def first_token(self, took_s: float) -> None:
+    def record_first_token(self, took_s: float) -> None:
         """Count a first token that came after `took_s` seconds."""
         met = took_s <= self.targets.first_token_s
         self.tally_by_objective[Objective.FIRST_TOKEN].add(met)
         self.first_tokens.add(took_s)
 
-    def gap(self, gap_s: float, count: int = 1) -> None:
+    def record_gaps(self, gap_s: float, count: int = 1) -> None:
         """Count gaps of `gap_s` seconds between tokens."""
         self.tally_by_objective[Objective.GAP].add(gap_s <= self.targets.gap_s, count)
         self.gaps.add(gap_s, count)
 
-    def ended(self, *, kept: bool) -> None:
+    def record_ended(self, *, success: bool) -> None:
         """Count an accepted session that ended."""
-        self.tally_by_objective[Objective.OUTCOME].add(kept)
+        self.tally_by_objective[Objective.OUTCOME].add(success)
 
-    def share(self, objective: Objective) -> float:
+    def target_share(self, objective: Objective) -> float:
         """Give the share of an objective's events that has to be good."""
         return OUTCOME_SHARE if objective is Objective.OUTCOME else self.targets.share
 
@@ -117,7 +117,7 @@
     def __init__(self) -> None:
         self.levels_by_account: dict[AccountId, AccountLevels] = {}
 
-    def of(self, account: AccountId, targets: LevelTargets) -> AccountLevels:
+    def for_account(self, account: AccountId, targets: LevelTargets) -> AccountLevels:
         """Give an account's counts; events from now on are judged by `targets`."""
         levels = self.levels_by_account.get(account)
         if levels is None:
@@ -149,7 +149,7 @@
         seconds = GaugeMetricFamily(TARGET_SECONDS, "Target in seconds.", labels=labels)
         for account, levels in self.levels_by_account.items():
             for objective in Objective:
-                share.add_metric([account, objective.value], levels.share(objective))
+                share.add_metric([account, objective.value], levels.target_share(objective))
             targets = levels.targets
             seconds.add_metric([account, Objective.FIRST_TOKEN.value], targets.first_token_s)
             seconds.add_metric([account, Objective.GAP.value], targets.gap_s)
--- a/egretstack/metrics/_pace.py
+++ b/egretstack/metrics/_pace.py
@@ -3,7 +3,7 @@
 from egretstack.metrics._levels import AccountLevels
 
 
-class Pace:
+class DeliveryPace:
     """Counts a session's first token and gaps, as its caller is given them.
 
     `resumed` tells that an earlier entry gave the first token. The wait until the next one then
@@ -15,14 +15,14 @@
         self._opened_s = opened_s
         self._last_s = opened_s if resumed else None
 
-    def delivered(self, now_s: float, tokens: int) -> None:
+    def record_delivered(self, now_s: float, tokens: int) -> None:
         """Count tokens that are handed on together; all but the first follow without a gap."""
         if tokens <= 0:
             return
         if self._last_s is None:
-            self._levels.first_token(now_s - self._opened_s)
+            self._levels.record_first_token(now_s - self._opened_s)
         else:
-            self._levels.gap(now_s - self._last_s)
+            self._levels.record_gaps(now_s - self._last_s)
         if tokens > 1:
-            self._levels.gap(0.0, tokens - 1)
+            self._levels.record_gaps(0.0, tokens - 1)
         self._last_s = now_s
--- a/egretstack/operators/_keys.py
+++ b/egretstack/operators/_keys.py
@@ -3,7 +3,7 @@
 import hashlib
 import secrets
 
-from egretstack.delivery import TokenBox
+from egretstack.delivery import SessionIdCipher
 
 KEY_BYTES = 24
 
@@ -16,4 +16,4 @@
 
 def new_session_key() -> str:
     """Make a line for the session key file."""
-    return TokenBox.new_key().decode()
+    return SessionIdCipher.new_key().decode()
--- a/egretstack/policy/_default.py
+++ b/egretstack/policy/_default.py
@@ -120,7 +120,7 @@
         if engine is None:
             return []
         sent = engine.sent[event.request_id]
-        self._fitter.lengths.progressed(sent.key, sent.tokens, event.tokens)
+        self._fitter.lengths.record_progress(sent.key, sent.tokens, event.tokens)
         engine.record_progress(now_s, sent, event.tokens, event.delivered)
         return []
 
@@ -128,7 +128,7 @@
         self._queue.remove(event.request_id, now_s)
         sent = self._remove(now_s, event.request_id)
         if sent is not None and event.reason is EndReason.FINISHED and event.tokens:
-            self._fitter.lengths.finished(sent.key, sent.tokens, event.tokens)
+            self._fitter.lengths.record_finished(sent.key, sent.tokens, event.tokens)
         return self._dispatch_ready(now_s)
 
     def _on_evicted(self, event: Evicted, now_s: float) -> list[Action]:
@@ -172,7 +172,7 @@
         return []
 
     def _on_lengths_learned(self, event: LengthsLearned, now_s: float) -> list[Action]:
-        self._fitter.lengths.learn(event.source, event.summary)
+        self._fitter.lengths.set_summary(event.source, event.summary)
         return []
 
     def _on_started(self, event: Started, now_s: float) -> list[Action]:
--- a/egretstack/policy/_fitting.py
+++ b/egretstack/policy/_fitting.py
@@ -169,7 +169,7 @@
         # An instance that has just started has no observed lengths. By the prior, whose longest
         # answers fill an engine, it would find no free memory on any engine that others use,
         # send nothing and never observe any.
-        known = model.sessions(pooled) >= MIN_SESSIONS
+        known = model.session_weight(pooled) >= MIN_SESSIONS
         curve = model.curve(pooled) if known else None
         add_others(demand, engine, curve, now_s, with_unreported=with_unreported)
         return demand
--- a/egretstack/policy/_memory_forecast.py
+++ b/egretstack/policy/_memory_forecast.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from math import exp, sqrt
 
-from egretstack.lengths import Curve
+from egretstack.lengths import SurvivalCurve
 from egretstack.policy._engine_state import EngineState, SentRequest
 from egretstack.policy._messages import SchedulingRequest
 
@@ -55,17 +55,17 @@
 
 
 def add_sequence(
-    demand: MemoryDemand, curve: Curve, held: float, generated: float, max_output: int
+    demand: MemoryDemand, curve: SurvivalCurve, held: float, generated: float, max_output: int
 ) -> None:
     """Add one sequence that holds `held` tokens, `generated` of them output."""
-    before = curve.log_share(generated)
+    before = curve.log_survival(generated)
     for point, ahead in enumerate(HORIZON_TOKENS):
         if generated + ahead > max_output:
             return
-        demand.add(exp(curve.log_share(generated + ahead) - before), held + ahead, point)
+        demand.add(exp(curve.log_survival(generated + ahead) - before), held + ahead, point)
 
 
-def demand_of(request: SchedulingRequest, curve: Curve) -> MemoryDemand:
+def demand_of(request: SchedulingRequest, curve: SurvivalCurve) -> MemoryDemand:
     """Return the demand of a request that has not been sent yet."""
     demand = MemoryDemand()
     add_sequence(demand, curve, request.prompt_tokens, 0, request.max_output_tokens)
@@ -73,7 +73,7 @@
 
 
 def add_sent(
-    demand: MemoryDemand, sent: SentRequest, curve: Curve, now_s: float, rate: float
+    demand: MemoryDemand, sent: SentRequest, curve: SurvivalCurve, now_s: float, rate: float
 ) -> None:
     """Add the demand of a request that was sent."""
     generated = sent.estimated_tokens(now_s, rate)
@@ -84,7 +84,7 @@
 def add_others(
     demand: MemoryDemand,
     engine: EngineState,
-    curve: Curve | None,
+    curve: SurvivalCurve | None,
     now_s: float,
     *,
     with_unreported: bool,
@@ -104,7 +104,7 @@
     held = kv_tokens / count
     sent_since = count * grown / curve.mean_tokens if with_unreported else 0.0
     for point, ahead in enumerate(HORIZON_TOKENS):
-        left = curve.excess_share(grown + ahead)
+        left = curve.excess_survival(grown + ahead)
         demand.add(left, held + grown + ahead, point, count)
         if sent_since:
-            demand.add(curve.share_left(0, ahead), held / 2 + ahead, point, sent_since)
+            demand.add(curve.conditional_survival(0, ahead), held / 2 + ahead, point, sent_since)
--- a/egretstack/programs/_running.py
+++ b/egretstack/programs/_running.py
@@ -11,7 +11,7 @@
 import trio
 
 from egretstack.errors import UserError
-from egretstack.events import Level, LogForm, set_up_logs
+from egretstack.events import Level, LogFormat, set_up_logs
 from egretstack.kernel import Kernel, ServiceFailed, load_services
 from egretstack.settings import Program, Settings, read_settings
 
@@ -42,7 +42,7 @@
 
     def start() -> Settings:
         settings = read_settings(path, program)
-        form = settings.get("logs", "form", LogForm)
+        form = settings.get("logs", "form", LogFormat)
         set_up_logs(form, settings.get("logs", "level", Level))
         return settings
 
--- a/egretstack/services/caller_api.py
+++ b/egretstack/services/caller_api.py
@@ -3,9 +3,9 @@
 import trio
 
 from egretstack.callers import (
+    CallerDependencies,
     CallerLimits,
-    CallerLinks,
-    Generations,
+    GenerationHandlers,
     RequestCounter,
     make_caller_app,
 )
@@ -28,7 +28,7 @@
 CALLER_PORT = "caller"
 
 
-class CallerApi(Service, CallerLinks):
+class CallerApi(Service, CallerDependencies):
     """Serves callers; a drain lasts longer than callers keep their answers, and cuts no request."""
 
     name = "caller_api"
@@ -46,8 +46,8 @@
         limits = CallerLimits(
             settings.whole("caller", "max_body_bytes"), settings.number("caller", "heartbeat_s")
         )
-        generations = Generations(self.kernel.get(SessionHost), limits.heartbeat_s)
-        app = self._requests.around(make_caller_app(self, generations, limits))
+        generations = GenerationHandlers(self.kernel.get(SessionHost), limits.heartbeat_s)
+        app = self._requests.wrap(make_caller_app(self, generations, limits))
         address = settings.text("caller", "address")
         access = self.kernel.get(PlatformAccess)
         async with trio.open_nursery() as nursery:
--- a/egretstack/services/duties.py
+++ b/egretstack/services/duties.py
@@ -13,9 +13,9 @@
 from egretstack.contracts import ServiceKind, ServiceSpec
 from egretstack.duties import (
     ORDER_TIMEOUT_S,
-    TICK_S,
+    TICK_INTERVAL_S,
     FleetDuty,
-    FleetWork,
+    FleetTask,
     LeasedDuty,
     OrderPlan,
 )
@@ -64,15 +64,15 @@
                     duty = self._duty_by_name[name] = wanted[name]()
                     nursery.start_soon(duty.run)
                 for name in self._duty_by_name.keys() - wanted.keys():
-                    nursery.start_soon(self._duty_by_name.pop(name).lay_down)
-                await trio.sleep(TICK_S)
+                    nursery.start_soon(self._duty_by_name.pop(name).stop)
+                await trio.sleep(TICK_INTERVAL_S)
             await trio.sleep_forever()
 
     async def drain(self) -> None:
         """Release the leases, so that the next holders need not wait until they expire."""
         async with trio.open_nursery() as nursery:
             for duty in self._duty_by_name.values():
-                nursery.start_soon(duty.lay_down)
+                nursery.start_soon(duty.stop)
 
     def held(self) -> set[DutyName]:
         """Return the duties that this steward holds."""
@@ -90,7 +90,7 @@
                 wanted[kind.duty] = partial(self._fleet_duty, kind)
         return wanted
 
-    def _fleet_duty(self, kind: type[FleetWork]) -> FleetDuty:
+    def _fleet_duty(self, kind: type[FleetTask]) -> FleetDuty:
         api = self.kernel.get(PlatformAccess).object_api
         return FleetDuty(api, self.kernel.get(Configuration).own, self.kernel.get(kind))
 
@@ -132,7 +132,7 @@
                 for member in self._engines():
                     await self._converge(member)
             configuration = self._kernel.get(Configuration)
-            with trio.move_on_after(CONVERGE_PERIOD_S if self._plan else TICK_S):
+            with trio.move_on_after(CONVERGE_PERIOD_S if self._plan else TICK_INTERVAL_S):
                 await configuration.wait_for_change()
 
     def _engines(self) -> list[Member]:
--- a/egretstack/services/ledger_pruning.py
+++ b/egretstack/services/ledger_pruning.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from egretstack.duties import FleetWork, PacedObjectApi
+from egretstack.duties import FleetTask, PacedObjectApi
 from egretstack.events import Event, log
 from egretstack.ids import DutyName
 from egretstack.kernel import Service
@@ -13,7 +13,7 @@
 no use."""
 
 
-class LedgerPruning(Service, FleetWork):
+class LedgerPruning(Service, FleetTask):
     """Offers one round of pruning; it runs nothing by itself."""
 
     name = "ledger_pruning"
@@ -25,11 +25,11 @@
         task_status.started()
         await trio.sleep_forever()
 
-    async def round(self, api: PacedObjectApi) -> None:
+    async def run_round(self, api: PacedObjectApi) -> None:
         """Make one round.
 
         The lease only saves calls, since each step is harmless when it is late.
         """
-        pruner = LedgerPruner(api, before_pair=api.before_pair)
+        pruner = LedgerPruner(api, before_pair=api.wait_for_pair)
         pruned = await pruner.round(self.kernel.epoch.now())
         log(Event.LEDGER_PRUNED, segments=pruned.segments, failed_heads=pruned.failed_heads)
--- a/egretstack/services/platform_access.py
+++ b/egretstack/services/platform_access.py
@@ -16,7 +16,7 @@
 from hypercorn.trio import serve
 
 from egretstack.callers import AsgiApp
-from egretstack.delivery import TokenBox
+from egretstack.delivery import SessionIdCipher
 from egretstack.errors import UserError
 from egretstack.kernel import Kernel, Service
 from egretstack.metrics import Metrics
@@ -75,7 +75,7 @@
         self.metrics = Metrics(settings.text("instance", "id"), kernel.epoch.now)
         self.object_api = self.budgeted(HttpObjectApi(self._client, base, namespace))
         keys = self._keys()
-        self.tokens = TokenBox(keys)
+        self.tokens = SessionIdCipher(keys)
         self.peer_keys = PeerKeys(keys, kernel.epoch)
 
     def budgeted(self, inner: ObjectApi) -> BudgetedObjectApi:
--- a/egretstack/services/relay_metrics.py
+++ b/egretstack/services/relay_metrics.py
@@ -5,7 +5,7 @@
 import trio
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-from egretstack.events import count_events
+from egretstack.events import add_event_counter
 from egretstack.http1 import (
     BadRequest,
     ClientConnection,
@@ -49,7 +49,7 @@
         self._events = Counter(
             "egret_log_events", "Events by name, as logged.", ["event"], registry=self.registry
         )
-        count_events(lambda event: self._events.labels(event.name.lower()).inc())
+        add_event_counter(lambda event: self._events.labels(event.name.lower()).inc())
 
     def gauge(self, name: str, meaning: str, *labels: str) -> Gauge:
         """Add a gauge for another service; the values of its labels come from fixed sets."""
--- a/egretstack/services/session_host.py
+++ b/egretstack/services/session_host.py
@@ -3,17 +3,17 @@
 import trio
 
 from egretstack import clock
-from egretstack.callers import GenerationBody, SessionDoor, new_work, picked_up_work
+from egretstack.callers import GenerationBody, SessionOperations, new_request, picked_up_request
 from egretstack.contracts import Contract
 from egretstack.delivery import (
     MAX_ID_LENGTH,
     Cursor,
-    Holders,
+    GenerationHolders,
+    InvalidSessionId,
     RecoveryBudget,
     SessionRef,
     SessionReleased,
     SessionTaken,
-    TokenRefused,
 )
 from egretstack.errors import EgretError, ErrorKind
 from egretstack.events import Event, log
@@ -46,7 +46,7 @@
 )
 
 
-class SessionHost(Service, SessionDoor):
+class SessionHost(Service, SessionOperations):
     """Runs a pump for each session, independent of the caller's connection."""
 
     name = "session_host"
@@ -72,7 +72,7 @@
         self._resume_window_s = kernel.settings.number("sessions", "resume_window_s")
         send_s = kernel.settings.number("caller", "send_timeout_s")
         self._unread_timeout_s = self._resume_window_s + send_s
-        self._holders = Holders(max(self._resume_window_s, 1.0) * 2)
+        self._holders = GenerationHolders(max(self._resume_window_s, 1.0) * 2)
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Hold the nursery in which pumps run."""
@@ -96,7 +96,7 @@
         """Start a session. Raises EgretError."""
         opened_s = clock.now()
         state = self.kernel.get(Configuration).state
-        scheduling_request = new_work(contract, body, state.service_by_model.get(body.model))
+        scheduling_request = new_request(contract, body, state.service_by_model.get(body.model))
         await self.kernel.get(Accounts).ready(contract)
         self.kernel.get(Accounts).open(contract)
         generation = GenerationRequest(
@@ -126,7 +126,7 @@
         if local is not None:
             # Its events before the caller's position are no longer kept here; the engine has them.
             self._pump_by_request[local.work_id].release()
-        scheduling_request = picked_up_work(contract, ref)
+        scheduling_request = picked_up_request(contract, ref)
         generation = GenerationRequest(
             scheduling_request.model,
             "",
@@ -169,7 +169,7 @@
         except EngineError as error:
             raise EgretError(ErrorKind.UPSTREAM_FAILED, "the engine does not answer") from error
 
-    def left(self, session: Session, reader: int) -> None:
+    def on_caller_disconnected(self, session: Session, reader: int) -> None:
         """Record that the caller's connection ended, and give the caller time to reconnect."""
         if session.outcome is None and session.is_reader(reader):
             self._nursery.start_soon(self._wait_for_return, session, reader)
@@ -188,7 +188,7 @@
         one."""
         held = (ref.runner, ref.generation)
         previous = self._holders.holder(clock.now(), held)
-        self._holders.note(clock.now(), held, self._own)
+        self._holders.record(clock.now(), held, self._own)
         takeover = Takeover(self.kernel.get(Instances), self._own, SessionTaken(self._own, *held))
         with trio.move_on_after(self._resume_window_s):
             request = self.kernel.get(PeerPort).request
@@ -202,7 +202,7 @@
             return SessionReleased("")
         held = (RunnerId(message.runner), GenerationId(message.generation))
         previous = self._holders.holder(clock.now(), held)
-        self._holders.note(clock.now(), held, InstanceId(message.holder))
+        self._holders.record(clock.now(), held, InstanceId(message.holder))
         session = self._find(*held)
         if session is not None and session.request.streamed:
             log(Event.SESSION_RELEASED, work=session.work_id, peer=message.holder)
@@ -281,7 +281,7 @@
         """Decode a session id; one of another account is refused like one that never existed."""
         try:
             ref = self.kernel.get(PlatformAccess).tokens.open(session_id)
-        except TokenRefused as error:
+        except InvalidSessionId as error:
             raise EgretError(ErrorKind.NOT_FOUND, "no such session") from error
         if ref.account != contract.account:
             raise EgretError(ErrorKind.NOT_FOUND, "no such session")
--- a/egretstack/sessions/_engine_query.py
+++ b/egretstack/sessions/_engine_query.py
@@ -1,6 +1,6 @@
 """Queries an engine for a generation, and classifies failures of its stream."""
 
-from egretstack.delivery import EngineWord, Failure
+from egretstack.delivery import EngineReply, Failure
 from egretstack.ids import GenerationId
 from egretstack.upstreams import (
     EngineBroken,
@@ -18,8 +18,8 @@
     EngineNoAnswer: Failure.NO_ANSWER,
     EngineRefused: Failure.REFUSED,
     EngineBroken: Failure.BROKEN,
-    EngineSilent: Failure.SILENT,
-    GenerationGone: Failure.GONE,
+    EngineSilent: Failure.UNRESPONSIVE,
+    GenerationGone: Failure.MISSING,
 }
 
 
@@ -38,7 +38,7 @@
         return cls(failure, str(error), getattr(error, "retry_after_s", None))
 
 
-async def query_engine(engine: EngineClient, generation: GenerationId) -> EngineWord:
+async def query_engine(engine: EngineClient, generation: GenerationId) -> EngineReply:
     """Query over a new connection whether the engine has a generation, ended or not.
 
     A stream without data says nothing about the engine: the connection may be dead while new ones
@@ -49,9 +49,9 @@
     try:
         await engine.state(generation)
     except GenerationGone:
-        return EngineWord.GONE
+        return EngineReply.MISSING
     except (EngineNoAnswer, EngineSilent):
-        return EngineWord.NO_ANSWER
+        return EngineReply.NO_ANSWER
     except EngineError:
-        return EngineWord.REFUSED
-    return EngineWord.HAS_IT
+        return EngineReply.REFUSED
+    return EngineReply.HAS_IT
--- a/egretstack/sessions/_levels.py
+++ b/egretstack/sessions/_levels.py
@@ -3,7 +3,7 @@
 from egretstack import clock
 from egretstack.contracts import Contract
 from egretstack.errors import EgretError, ErrorKind, RunState
-from egretstack.metrics import LevelTargets, Pace, ServiceLevels
+from egretstack.metrics import DeliveryPace, LevelTargets, ServiceLevels
 from egretstack.sessions._outcome import FinishedAnswer
 from egretstack.sessions._session import Session
 
@@ -19,18 +19,18 @@
         targets = LevelTargets(
             contract.first_token_target_s, contract.gap_target_s, contract.target_share
         )
-        self._account = levels.of(contract.account, targets)
-        self._pace = Pace(self._account, opened_s, resumed=session.delivered > 0)
+        self._account = levels.for_account(contract.account, targets)
+        self._pace = DeliveryPace(self._account, opened_s, resumed=session.delivered > 0)
         session.on_read = self._on_read
         session.on_outcome = self._on_outcome
 
     def _on_read(self, tokens: int) -> None:
-        self._pace.delivered(clock.now(), tokens)
+        self._pace.record_delivered(clock.now(), tokens)
 
     def _on_outcome(self, outcome: FinishedAnswer | EgretError) -> None:
         success = is_success(outcome)
         if success is not None:
-            self._account.ended(kept=success)
+            self._account.record_ended(success=success)
 
 
 def is_success(outcome: FinishedAnswer | EgretError) -> bool | None:
--- a/egretstack/sessions/_pump.py
+++ b/egretstack/sessions/_pump.py
@@ -9,12 +9,12 @@
 
 from egretstack import clock
 from egretstack.delivery import (
-    EngineWord,
+    EngineReply,
     Failure,
     Recovery,
     RecoveryBudget,
+    SessionProgress,
     SessionRef,
-    Standing,
     Step,
     Verdict,
 )
@@ -152,7 +152,7 @@
             # The last event arrived together with the eviction: the answer is complete.
             return True
         if scope.cancelled_caught and not placement.evicted:
-            raise StreamFailed(Failure.SILENT, "no event at the caller's place")
+            raise StreamFailed(Failure.UNRESPONSIVE, "no event at the caller's place")
         if scope.cancelled_caught:
             await self._place_again(placement)
             return False
@@ -215,11 +215,11 @@
                 return False
             return await self._deliver(event)
         if verdict is not Verdict.DELIVER:
-            failure = Failure.GAP if verdict is Verdict.GAP else Failure.FOREIGN
+            failure = Failure.GAP if verdict is Verdict.GAP else Failure.OTHER_GENERATION
             raise StreamFailed(failure, f"event {event.sequence} after {cursor.last}")
         if self._session.id is None:
             self._bind_to_engine(placement)
-        self._recovery.progressed(clock.now())
+        self._recovery.record_event(clock.now())
         return await self._deliver(event)
 
     async def _deliver(self, event: EngineEvent) -> bool:
@@ -256,11 +256,11 @@
 
     async def _recover(self, failed: StreamFailed) -> None:
         step = self._recovery.decide(clock.now(), failed.failure, self._state())
-        if step is Step.ASK or self._position_unproven:
+        if step is Step.QUERY or self._position_unproven:
             answer = await query_engine(self._placement.engine, self._session.cursor.generation)
             log(Event.SESSION_SILENT, work=self._request.id, answer=answer.value)
             self._check_position(answer)
-            step = self._recovery.told(clock.now(), answer, self._state())
+            step = self._recovery.on_engine_reply(clock.now(), answer, self._state())
         if step is Step.LOST:
             log(Event.SESSION_LOST, work=self._request.id, cause=str(failed))
             raise generation_lost(self._session)
@@ -270,13 +270,13 @@
             self._restart(failed)
         await trio.sleep(self._recovery.delay_s())
 
-    def _state(self) -> Standing:
+    def _state(self) -> SessionProgress:
         bound = self._session.cursor.generation is not None
-        return Standing(bound, self._session.last_read + 1, self._can_restart)
+        return SessionProgress(bound, self._session.last_read + 1, self._can_restart)
 
-    def _check_position(self, answer: EngineWord) -> None:
+    def _check_position(self, answer: EngineReply) -> None:
         """Reject a position in the generation that the engine has not reached."""
-        if not self._position_unproven or answer is not EngineWord.HAS_IT:
+        if not self._position_unproven or answer is not EngineReply.HAS_IT:
             return
         self._position_failures += 1
         if self._position_failures > 1:
--- a/egretstack/settings/_schema.py
+++ b/egretstack/settings/_schema.py
@@ -2,7 +2,7 @@
 
 from enum import Enum
 
-from egretstack.events import Level, LogForm
+from egretstack.events import Level, LogFormat
 from egretstack.schema import (
     Address,
     Choice,
@@ -59,7 +59,7 @@
         "Silence on an engine's stream after which the engine is asked over a new connection.",
         "5",
     ),
-    Key("logs", "form", Choice(LogForm), "Form of log lines.", "json"),
+    Key("logs", "form", Choice(LogFormat), "Form of log lines.", "json"),
     Key("logs", "level", Choice(Level), "Least level that is written.", "INFO"),
 )
 
--- a/scripts/measure_lengths.py
+++ b/scripts/measure_lengths.py
@@ -60,9 +60,9 @@
             line["prefix"],
         )
         if ended:
-            model.finished(key, seen[number], tokens)
+            model.record_finished(key, seen[number], tokens)
             continue
-        model.progressed(key, seen[number], tokens)
+        model.record_progress(key, seen[number], tokens)
         seen[number] = tokens
         if (line["at_s"] >= DAY_S / 2) == (drift == "after noon"):
             curve = model.curve(key)
--- a/scripts/slopes_tokens.py
+++ b/scripts/slopes_tokens.py
@@ -5,7 +5,7 @@
 import trio
 
 from egretstack.callers._answers import encode_batch
-from egretstack.delivery import Cursor, SessionRef, TokenBox
+from egretstack.delivery import Cursor, SessionIdCipher, SessionRef
 from egretstack.ids import (
     AccountId,
     GenerationId,
@@ -59,7 +59,7 @@
     show(fit("event_encode_cpu", "us", "token", encoded))
     sent = {size: len(encode_batch(events(size), session, ModelName("m"))) for size in BATCH_SIZES}
     show(fit("event_wire", "bytes", "token", sent))
-    box = TokenBox([TokenBox.new_key()])
+    box = SessionIdCipher([SessionIdCipher.new_key()])
     ref = SessionRef(
         AccountId("acme"),
         InstanceId("entry-1"),
--- a/standins/access.py
+++ b/standins/access.py
@@ -8,7 +8,7 @@
 import trio
 
 from egretstack.callers import AsgiApp
-from egretstack.delivery import TokenBox
+from egretstack.delivery import SessionIdCipher
 from egretstack.errors import NotRunProof
 from egretstack.ids import GenerationId, ModelName, RunnerId
 from egretstack.kernel import Kernel
@@ -36,7 +36,7 @@
 if TYPE_CHECKING:
     from standins.world import World
 
-SESSION_KEY = TokenBox.new_key()
+SESSION_KEY = SessionIdCipher.new_key()
 CONNECT_TIMEOUT_S = 2.0
 
 
--- a/tests/burn_fixtures.py
+++ b/tests/burn_fixtures.py
@@ -25,7 +25,7 @@
 
     def levels(self, account: AccountId = ACME) -> AccountLevels:
         """Give the counts of an account."""
-        return self.metrics.levels.of(account, TARGETS)
+        return self.metrics.levels.for_account(account, TARGETS)
 
     def save(self, at_s: float) -> Path:
         """Save the metrics as they are at a time."""
--- a/tests/matrix/paths.py
+++ b/tests/matrix/paths.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from egretstack.duties import LEASE_LIFE_S
+from egretstack.duties import LEASE_TTL_S
 from egretstack.ids import ServiceName
 from egretstack.objectapi import ObjectKind
 from egretstack.services.duties import Duties, orders_of
@@ -18,7 +18,7 @@
 FOCUS_ENTRY = ENTRIES[0]
 SESSION_TOKENS = 40
 MIDDLE = 15
-TAKEOVER_S = 3 * LEASE_LIFE_S
+TAKEOVER_S = 3 * LEASE_TTL_S
 LONG_TOKENS = 130
 ENGINES_DUTY = orders_of(ServiceName("llm"))
 """A session that outlives the answers that callers keep, at ten tokens a second."""
--- a/tests/matrix/test_switch_offs.py
+++ b/tests/matrix/test_switch_offs.py
@@ -10,7 +10,7 @@
 import trio
 
 from egretstack.configuration import ConfigurationStore
-from egretstack.delivery import Cursor, Recovery, Step, TokenBox, TokenRefused, Verdict
+from egretstack.delivery import Cursor, InvalidSessionId, Recovery, SessionIdCipher, Step, Verdict
 from egretstack.errors import ANSWERS, NotRunProof, _table
 from egretstack.ids import InstanceId
 from egretstack.ledger import Intent, NextMove, OnceCall, SendHistory, _once
@@ -95,9 +95,9 @@
 def test_without_the_session_token_nobody_picks_a_session_up():
     # The entry is killed in the middle of a stream, and the others do not know the session.
     def refuse(self, text):
-        raise TokenRefused("not ours")
+        raise InvalidSessionId("not ours")
 
-    with _without(_replace(TokenBox, "open", refuse)):
+    with _without(_replace(SessionIdCipher, "open", refuse)):
         _turns_red(Point.OWN_WHOLE_ANSWER, "test_session_mid_stream__entry_killed")
 
 
--- a/tests/process/test_listening.py
+++ b/tests/process/test_listening.py
@@ -7,7 +7,7 @@
 import trio
 from quart_trio import QuartTrio
 
-from egretstack.callers import CallerLimits, CallerLinks, make_caller_app
+from egretstack.callers import CallerDependencies, CallerLimits, make_caller_app
 from egretstack.errors import EgretError, ErrorKind
 from egretstack.kernel import Kernel
 from egretstack.services.platform_access import PlatformAccess
@@ -72,7 +72,7 @@
             nursery.cancel_scope.cancel()
 
 
-class RefusingLinks(CallerLinks):
+class RefusingLinks(CallerDependencies):
     """An entry that takes no new work."""
 
     def authenticate(self, authorization):
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -25,8 +25,8 @@
 def test_a_burn_rate_is_the_share_of_bad_events_over_the_share_allowed():
     with saved_files() as folder:
         entry = Entry(folder, started_s=START_S)
-        entry.levels().gap(0.05, 90)
-        entry.levels().gap(0.2, 10)
+        entry.levels().record_gaps(0.05, 90)
+        entry.levels().record_gaps(0.2, 10)
         burn = burn_of([entry.save(START_S + 60)])
     check.assertAlmostEqual(burn.burn_by_window[Window.HOUR].rate, 0.1 / 0.05)
     check.assertAlmostEqual(burn.budget_left, -1.0)
@@ -39,8 +39,8 @@
         entry = Entry(folder)
         levels = entry.levels()
         levels.targets = type(levels.targets)(0.63, 0.06, 0.95)
-        levels.gap(0.0599)
-        levels.gap(0.0601)
+        levels.record_gaps(0.0599)
+        levels.record_gaps(0.0601)
         [tally] = [levels.tally_by_objective[Objective.GAP]]
     check.assertEqual((tally.total, tally.good), (2, 1))
 
@@ -48,9 +48,9 @@
 def test_windows_start_from_the_snapshot_before_them():
     with saved_files() as folder:
         entry = Entry(folder, started_s=START_S)
-        entry.levels().gap(0.2, 100)
+        entry.levels().record_gaps(0.2, 100)
         files = [entry.save(START_S + DAY_S)]
-        entry.levels().gap(0.01, 100)
+        entry.levels().record_gaps(0.01, 100)
         files.append(entry.save(START_S + DAY_S + 300))
         burn = burn_of(files)
     short, long = burn.burn_by_window[Window.FIVE_MINUTES], burn.burn_by_window[Window.THREE_DAYS]
@@ -61,9 +61,9 @@
 def test_a_window_covered_in_part_says_so():
     with saved_files() as folder:
         entry = Entry(folder, started_s=START_S - 10 * DAY_S)
-        entry.levels().gap(0.2, 100)
+        entry.levels().record_gaps(0.2, 100)
         files = [entry.save(START_S)]
-        entry.levels().gap(0.01, 10)
+        entry.levels().record_gaps(0.01, 10)
         files.append(entry.save(START_S + 60))
         burn = burn_of(files)
         text = text_report([burn])
@@ -79,10 +79,10 @@
     # the new process has already counted more than the old one had.
     with saved_files() as folder:
         old = Entry(folder, started_s=START_S)
-        old.levels().gap(0.2, 10)
+        old.levels().record_gaps(0.2, 10)
         files = [old.save(START_S + 100)]
         new = Entry(folder, started_s=START_S + 150)
-        new.levels().gap(0.2, 50)
+        new.levels().record_gaps(0.2, 50)
         files.append(new.save(START_S + 200))
         burn = burn_of(files)
     check.assertEqual(burn.burn_by_window[Window.HOUR].bad, 60)
@@ -93,7 +93,7 @@
         files = []
         for name in ("entry-a", "entry-b"):
             entry = Entry(folder, name, START_S)
-            entry.levels().gap(0.2, 5)
+            entry.levels().record_gaps(0.2, 5)
             files.append(entry.save(START_S + 60))
         burn = burn_of([*files, files[0]])
     check.assertEqual(burn.burn_by_window[Window.HOUR].total, 10)
@@ -103,11 +103,11 @@
     with saved_files() as folder:
         entry = Entry(folder, started_s=START_S)
         files = [entry.save(START_S + 2700)]
-        entry.levels().gap(0.2, 900)
-        entry.levels().gap(0.01, 100)
+        entry.levels().record_gaps(0.2, 900)
+        entry.levels().record_gaps(0.01, 100)
         files.append(entry.save(START_S + 3000))
         check.assertIs(burn_of(files).alert, Alert.PAGE_FAST)
-        entry.levels().gap(0.01, 1000)
+        entry.levels().record_gaps(0.01, 1000)
         files.append(entry.save(START_S + 3300))
         calmed = burn_of(files)
     check.assertLess(calmed.burn_by_window[Window.FIVE_MINUTES].rate, Alert.PAGE_FAST.rate)
@@ -117,9 +117,9 @@
 def test_the_report_comes_as_json_and_as_one_page():
     with saved_files() as folder:
         entry = Entry(folder, started_s=START_S)
-        entry.levels().first_token(0.2)
-        entry.levels().ended(kept=False)
-        entry.levels(AccountId("zeta")).gap(0.2, 3)
+        entry.levels().record_first_token(0.2)
+        entry.levels().record_ended(success=False)
+        entry.levels(AccountId("zeta")).record_gaps(0.2, 3)
         burns = burns_of(read_snapshots([entry.save(START_S + 60)]))
         rows = json.loads(json_report(burns))
         page = html_report(burns, "now")
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -6,13 +6,13 @@
 from egretstack.delivery import (
     Cursor,
     Failure,
+    InvalidSessionId,
     Recovery,
     RecoveryBudget,
+    SessionIdCipher,
+    SessionProgress,
     SessionRef,
-    Standing,
     Step,
-    TokenBox,
-    TokenRefused,
     Verdict,
 )
 from egretstack.ids import AccountId, GenerationId, InstanceId, RunnerId, ServiceName
@@ -38,30 +38,30 @@
 def test_generation_lost_before_delivery_is_run_again():
     # The engine dies before a token left. The caller sees one whole answer, from a second run.
     recovery = Recovery(RecoveryBudget(), 0, 10)
-    check.assertIs(recovery.decide(1, Failure.GONE, Standing(True, 0)), Step.RERUN)
+    check.assertIs(recovery.decide(1, Failure.MISSING, SessionProgress(True, 0)), Step.RERUN)
 
 
 def test_generation_lost_after_delivery_is_never_run_again():
     # The engine dies while the reader has half the answer. A second run would differ from it,
     # so the reader is told at once that the generation is lost.
     recovery = Recovery(RecoveryBudget(), 0, 10)
-    check.assertIs(recovery.decide(1, Failure.GONE, Standing(True, 3)), Step.LOST)
+    check.assertIs(recovery.decide(1, Failure.MISSING, SessionProgress(True, 3)), Step.LOST)
 
 
 def test_broken_connection_is_resumed_within_the_budget():
     recovery = Recovery(RecoveryBudget(resumes=2), 0, 10)
-    steps = [recovery.decide(1, Failure.BROKEN, Standing(True, 3)) for _ in range(3)]
+    steps = [recovery.decide(1, Failure.BROKEN, SessionProgress(True, 3)) for _ in range(3)]
     check.assertEqual(steps, [Step.RESUME, Step.RESUME, Step.LOST])
 
 
 def test_session_id_opens_with_any_key_and_refuses_a_forged_one():
-    old, new = TokenBox.new_key(), TokenBox.new_key()
+    old, new = SessionIdCipher.new_key(), SessionIdCipher.new_key()
     ref = SessionRef(
         AccountId("a"), InstanceId("i"), ServiceName("s"), RunnerId("r"), GenerationId("g")
     )
-    text = TokenBox([old]).seal(ref)
-    check.assertEqual(TokenBox([new, old]).open(text), ref)
-    with check.assertRaises(TokenRefused):
-        TokenBox([new]).open(text)
-    with check.assertRaises(TokenRefused):
-        TokenBox([old]).open(text[:-4] + "AAAA")
+    text = SessionIdCipher([old]).seal(ref)
+    check.assertEqual(SessionIdCipher([new, old]).open(text), ref)
+    with check.assertRaises(InvalidSessionId):
+        SessionIdCipher([new]).open(text)
+    with check.assertRaises(InvalidSessionId):
+        SessionIdCipher([old]).open(text[:-4] + "AAAA")
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -7,7 +7,7 @@
 from egretstack.contracts import Fencing
 from egretstack.duties import (
     CLOCK_MARGIN_S,
-    LEASE_LIFE_S,
+    LEASE_TTL_S,
     ORDER_TIMEOUT_S,
     Lease,
     LeaseRecord,
@@ -42,7 +42,7 @@
 
 
 def look(lease, stored, now_s):
-    lease.saw(now_s, stored.record, stored.version)
+    lease.record_read(now_s, stored.record, stored.version)
 
 
 def step(lease, stored, now_s):
@@ -51,11 +51,11 @@
     write = lease.next_write(now_s)
     if write is None:
         return False
-    lease.sending(now_s, write)
+    lease.record_sending(now_s, write)
     if not stored.put(write):
         lease.give_up()
         return False
-    lease.won(stored.version)
+    lease.record_written(stored.version)
     return True
 
 
@@ -67,16 +67,16 @@
 
 def test_a_holder_renews_after_a_third_of_the_life():
     stored, lease = held_lease()
-    check.assertIsNone(lease.next_write(LEASE_LIFE_S / 3 - 0.1))
-    check.assertTrue(step(lease, stored, LEASE_LIFE_S / 3 + 0.1))
+    check.assertIsNone(lease.next_write(LEASE_TTL_S / 3 - 0.1))
+    check.assertTrue(step(lease, stored, LEASE_TTL_S / 3 + 0.1))
     check.assertEqual(lease.fencing, 1)
-    check.assertTrue(lease.holds(LEASE_LIFE_S + 1))
+    check.assertTrue(lease.holds(LEASE_TTL_S + 1))
 
 
 def test_a_holder_that_was_paused_past_its_lease_does_not_hold_it():
     _, lease = held_lease()
-    check.assertTrue(lease.holds(LEASE_LIFE_S - 0.1))
-    check.assertFalse(lease.holds(LEASE_LIFE_S))
+    check.assertTrue(lease.holds(LEASE_TTL_S - 0.1))
+    check.assertFalse(lease.holds(LEASE_TTL_S))
 
 
 def test_a_lease_is_taken_over_only_a_life_after_it_was_last_seen_to_change():
@@ -86,8 +86,8 @@
     other = Lease("b")
     first_s = 1_000_000.0
     check.assertFalse(step(other, stored, first_s))
-    check.assertFalse(step(other, stored, first_s + LEASE_LIFE_S + CLOCK_MARGIN_S - 0.1))
-    check.assertTrue(step(other, stored, first_s + LEASE_LIFE_S + CLOCK_MARGIN_S))
+    check.assertFalse(step(other, stored, first_s + LEASE_TTL_S + CLOCK_MARGIN_S - 0.1))
+    check.assertTrue(step(other, stored, first_s + LEASE_TTL_S + CLOCK_MARGIN_S))
     check.assertEqual(other.fencing, 2)
 
 
@@ -97,19 +97,19 @@
     look(other, stored, 1.0)
     step(lease, stored, 6.0)
     look(other, stored, 7.0)
-    check.assertFalse(step(other, stored, 1.0 + LEASE_LIFE_S + CLOCK_MARGIN_S))
+    check.assertFalse(step(other, stored, 1.0 + LEASE_TTL_S + CLOCK_MARGIN_S))
 
 
 def test_a_lost_answer_to_the_write_that_took_the_lease_is_settled_by_a_read():
     stored, lease = LeaseObject(), Lease("a")
     look(lease, stored, 0.0)
     write = lease.next_write(0.0)
-    lease.sending(0.0, write)
+    lease.record_sending(0.0, write)
     stored.put(write)
     check.assertFalse(lease.holds(1.0))
     look(lease, stored, 2.0)
     check.assertTrue(lease.holds(2.0))
-    check.assertEqual(lease.remaining_s(2.0), LEASE_LIFE_S - 2.0)
+    check.assertEqual(lease.remaining_s(2.0), LEASE_TTL_S - 2.0)
 
 
 def test_a_renewal_that_landed_late_is_not_counted_from_a_later_try():
@@ -118,14 +118,14 @@
     # its holder than to the steward that waits for its end.
     stored, lease = held_lease()
     first = lease.next_write(6.0)
-    lease.sending(6.0, first)
+    lease.record_sending(6.0, first)
     look(lease, stored, 8.0)
     second = lease.next_write(8.0)
-    lease.sending(8.0, second)
+    lease.record_sending(8.0, second)
     stored.put(first)
     check.assertFalse(stored.put(second))
     look(lease, stored, 9.0)
-    check.assertLessEqual(lease.remaining_s(9.0), 6.0 + LEASE_LIFE_S - 9.0)
+    check.assertLessEqual(lease.remaining_s(9.0), 6.0 + LEASE_TTL_S - 9.0)
 
 
 def test_a_freed_lease_is_taken_at_once_with_a_higher_number():
@@ -142,19 +142,19 @@
     # Engines have seen a higher number than a store holds that was restored from an older
     # copy. They would refuse every order until the number had grown past it.
     stored, lease = held_lease()
-    old_copy = LeaseRecord("gone", 1, 0, LEASE_LIFE_S)
-    stored.record, stored.version = LeaseRecord("gone", 7, 0, LEASE_LIFE_S), "20"
+    old_copy = LeaseRecord("gone", 1, 0, LEASE_TTL_S)
+    stored.record, stored.version = LeaseRecord("gone", 7, 0, LEASE_TTL_S), "20"
     look(lease, stored, 1.0)
     stored.record, stored.version = old_copy, "5"
     look(lease, stored, 2.0)
-    check.assertTrue(step(lease, stored, 2.0 + LEASE_LIFE_S + CLOCK_MARGIN_S))
+    check.assertTrue(step(lease, stored, 2.0 + LEASE_TTL_S + CLOCK_MARGIN_S))
     check.assertEqual(lease.fencing, 8)
 
 
 def test_an_object_that_is_no_lease_is_refused():
     for spec in ({}, {"holder": "a", "fencing": "x", "beat": 0, "life_s": 1}):
         with check.assertRaises(LeaseUnreadable):
-            LeaseRecord.read(spec)
+            LeaseRecord.from_spec(spec)
 
 
 def test_a_new_holder_waits_out_an_order_of_the_one_before_where_fencing_is_ignored():
@@ -170,7 +170,7 @@
 def test_an_order_goes_out_only_with_more_lease_left_than_its_timeout():
     _, lease = held_lease()
     plan = OrderPlan(SERVICE, Fencing.IGNORED, 0.0)
-    last_s = LEASE_LIFE_S - ORDER_TIMEOUT_S
+    last_s = LEASE_TTL_S - ORDER_TIMEOUT_S
     check.assertIsNone(plan.next_order(last_s, lease, RUNNER, MODELS, OTHER))
     check.assertIsNotNone(plan.next_order(last_s - 0.1, lease, RUNNER, MODELS, OTHER))
 
@@ -229,7 +229,7 @@
         write = lease.next_write(now_s)
         if write is None:
             return
-        lease.sending(now_s, write)
+        lease.record_sending(now_s, write)
         if lands:
             self.stored.put(write)
         else:
--- a/tests/test_lengths.py
+++ b/tests/test_lengths.py
@@ -9,10 +9,10 @@
     BUCKETS,
     EDGES,
     MAX_SUMMARY_BYTES,
-    Curve,
     LengthKey,
     LengthModel,
-    bucket_of,
+    SurvivalCurve,
+    bucket_index,
     pack_summary,
     unpack_summary,
 )
@@ -27,13 +27,13 @@
     model = LengthModel()
     rng = random.Random(seed)
     for _ in range(count):
-        model.finished(key, 0, max(1, int(rng.lognormvariate(mean, 1.0))))
+        model.record_finished(key, 0, max(1, int(rng.lognormvariate(mean, 1.0))))
     return model
 
 
 @given(st.integers(1, 10**6))
 def test_a_length_lies_in_its_bucket(tokens):
-    bucket = bucket_of(tokens)
+    bucket = bucket_index(tokens)
     check.assertLessEqual(EDGES[bucket], tokens)
     if bucket + 1 < BUCKETS:
         check.assertLess(tokens, EDGES[bucket + 1])
@@ -41,9 +41,9 @@
 
 @given(st.lists(st.floats(0, 1), min_size=BUCKETS, max_size=BUCKETS), st.floats(0, 1e5))
 def test_survival_never_rises(hazards, tokens):
-    curve = Curve(hazards)
-    check.assertLessEqual(curve.log_share(tokens + 10), curve.log_share(tokens) + 1e-9)
-    check.assertLessEqual(curve.excess_share(tokens), 1.0)
+    curve = SurvivalCurve(hazards)
+    check.assertLessEqual(curve.log_survival(tokens + 10), curve.log_survival(tokens) + 1e-9)
+    check.assertLessEqual(curve.excess_survival(tokens), 1.0)
 
 
 def test_the_quantile_holds_what_it_says():
@@ -62,20 +62,20 @@
     # Every answer runs on past 4000 tokens and none has ended yet. An estimate from ended
     # sessions alone would know nothing and forecast the prior.
     model = LengthModel()
-    before = model.curve(KEY).share_left(0, 2000)
+    before = model.curve(KEY).conditional_survival(0, 2000)
     for _ in range(50):
-        model.progressed(KEY, 0, 4000)
-    check.assertGreater(model.curve(KEY).share_left(0, 2000), max(0.7, 3 * before))
+        model.record_progress(KEY, 0, 4000)
+    check.assertGreater(model.curve(KEY).conditional_survival(0, 2000), max(0.7, 3 * before))
 
 
 def test_progress_in_small_steps_counts_each_bucket_once():
     steps, once = LengthModel(), LengthModel()
     for _ in range(30):
         for tokens in range(1, 600):
-            steps.progressed(KEY, tokens - 1, tokens)
-        steps.finished(KEY, 599, 600)
-        once.finished(KEY, 0, 600)
-    check.assertEqual(steps.summary().by_key[KEY].came, once.summary().by_key[KEY].came)
+            steps.record_progress(KEY, tokens - 1, tokens)
+        steps.record_finished(KEY, 599, 600)
+        once.record_finished(KEY, 0, 600)
+    check.assertEqual(steps.summary().by_key[KEY].at_risk, once.summary().by_key[KEY].at_risk)
 
 
 def test_a_new_account_starts_with_its_services_lengths():
@@ -88,7 +88,7 @@
     model = taught()
     rng = random.Random(3)
     for _ in range(600):
-        model.finished(KEY, 0, max(1, int(rng.lognormvariate(7.0, 1.0))))
+        model.record_finished(KEY, 0, max(1, int(rng.lognormvariate(7.0, 1.0))))
     check.assertAlmostEqual(model.curve(KEY).quantile(0.5), 1097, delta=250)
 
 
@@ -97,12 +97,12 @@
     packed = pack_summary(there.summary())
     check.assertLessEqual(len(packed), MAX_SUMMARY_BYTES)
     for _ in range(3):
-        here.learn("entry-2", unpack_summary(packed))
+        here.set_summary("entry-2", unpack_summary(packed))
     near = there.curve(KEY).quantile(0.9)
     check.assertAlmostEqual(here.curve(KEY).quantile(0.9), near, delta=0.1 * near)
     many = LengthModel()
     for number in range(500):
-        many.finished(LengthKey("s" * 63, "m" * 63, "a" * 120 + str(number), "p"), 0, 20_000)
+        many.record_finished(LengthKey("s" * 63, "m" * 63, "a" * 120 + str(number), "p"), 0, 20_000)
     check.assertLessEqual(len(pack_summary(many.summary())), MAX_SUMMARY_BYTES)
 
 
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -5,7 +5,7 @@
 from egretstack.callers import GenerationBody
 from egretstack.errors import EgretError, ErrorKind, NotRunProof
 from egretstack.ids import AccountId, ModelName
-from egretstack.metrics import LevelTargets, Objective, Pace, ServiceLevels
+from egretstack.metrics import DeliveryPace, LevelTargets, Objective, ServiceLevels
 from egretstack.replay import EngineParameters
 from egretstack.services.configuration import Configuration
 from egretstack.services.platform_access import PlatformAccess
@@ -49,18 +49,18 @@
 
 
 def test_tokens_that_arrive_together_count_one_gap():
-    levels = ServiceLevels().of(ACME, TARGETS)
-    pace = Pace(levels, 10.0)
-    pace.delivered(10.5, 1)
-    pace.delivered(11.0, 4)
-    pace.delivered(11.0, 0)
+    levels = ServiceLevels().for_account(ACME, TARGETS)
+    pace = DeliveryPace(levels, 10.0)
+    pace.record_delivered(10.5, 1)
+    pace.record_delivered(11.0, 4)
+    pace.record_delivered(11.0, 0)
     check.assertEqual(tally_pairs(levels)[Objective.FIRST_TOKEN], (1, 1))
     check.assertEqual(tally_pairs(levels)[Objective.GAP], (3, 4))
 
 
 def test_a_session_taken_over_has_no_second_first_token():
-    levels = ServiceLevels().of(ACME, TARGETS)
-    Pace(levels, 10.0, resumed=True).delivered(10.5, 1)
+    levels = ServiceLevels().for_account(ACME, TARGETS)
+    DeliveryPace(levels, 10.0, resumed=True).record_delivered(10.5, 1)
     check.assertEqual(tally_pairs(levels)[Objective.FIRST_TOKEN], (0, 0))
     check.assertEqual(tally_pairs(levels)[Objective.GAP], (0, 1))
 
--- a/tests/test_line_writer.py
+++ b/tests/test_line_writer.py
@@ -39,7 +39,7 @@
     for number in range(5_000):
         clock.now_s = number
         writer.write("x" * 100)
-    check.assertGreater(writer.dropped_in_all, 0)
+    check.assertGreater(writer.dropped_total, 0)
     data = drain(reading)
     for word in ("first", "second", "third"):
         clock.now_s += 10
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 from trio.testing import memory_stream_pair
 
 from egretstack.clock import EpochClock
-from egretstack.delivery import TokenBox
+from egretstack.delivery import SessionIdCipher
 from egretstack.ids import InstanceId
 from egretstack.peers import PeerGone, PeerKeys, PeerLink, PeerRefused, connect_peer, greet_peer
 from egretstack.peers._link import MAX_MESSAGE_BYTES, SEAL_LIFE_S
@@ -15,7 +15,7 @@
 
 load_tests = tests_of(globals())
 
-OLD, NEW = TokenBox.new_key(), TokenBox.new_key()
+OLD, NEW = SessionIdCipher.new_key(), SessionIdCipher.new_key()
 
 
 async def meet(near_keys, far_keys):
--- a/tests/test_pump.py
+++ b/tests/test_pump.py
@@ -173,7 +173,7 @@
     began_s = trio.current_time()
     pumped = await run_session(engine)
     check_ended(pumped, ErrorKind.GENERATION_LOST, 4)
-    check.assertLess(trio.current_time() - began_s, RecoveryBudget().unanswered_s + 10)
+    check.assertLess(trio.current_time() - began_s, RecoveryBudget().max_unanswered_s + 10)
 
 
 async def test_an_engine_that_reports_running_but_sends_nothing_is_given_up():
@@ -184,8 +184,8 @@
     pumped = await run_session(engine)
     check_ended(pumped, ErrorKind.GENERATION_LOST, 4)
     waited_s = trio.current_time() - began_s
-    check.assertGreaterEqual(waited_s, RecoveryBudget().stalled_s)
-    check.assertLess(waited_s, RecoveryBudget().stalled_s + 10)
+    check.assertGreaterEqual(waited_s, RecoveryBudget().max_stalled_s)
+    check.assertLess(waited_s, RecoveryBudget().max_stalled_s + 10)
 
 
 async def test_a_stalled_engine_is_abandoned_at_once_if_nothing_was_delivered():
--- a/tests/test_request_counter.py
+++ b/tests/test_request_counter.py
@@ -18,7 +18,7 @@
     async def app(scope, receive, send):
         await ends.get(scope["path"], trio.Event()).wait()
 
-    counted = counter.around(app)
+    counted = counter.wrap(app)
 
     def request(nursery, path):
         nursery.start_soon(counted, {"type": "http", "path": path}, None, None)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -6,7 +6,13 @@
 import trio
 
 from egretstack.callers import GenerationBody
-from egretstack.delivery import Holders, SessionRef, SessionReleased, SessionTaken, TokenBox
+from egretstack.delivery import (
+    GenerationHolders,
+    SessionIdCipher,
+    SessionRef,
+    SessionReleased,
+    SessionTaken,
+)
 from egretstack.errors import EgretError, ErrorKind
 from egretstack.ids import (
     AccountId,
@@ -52,7 +58,7 @@
         with self._scope:
             async for batch in self.session.batches(reader, after, 5):
                 self.numbers.extend(event.sequence for event in batch)
-        self._host.left(self.session, reader)
+        self._host.on_caller_disconnected(self.session, reader)
         self.closed.set()
 
     @property
@@ -265,7 +271,7 @@
         other = replace(acme, account=AccountId("other"))
         host = host_of(deployment.entries[1])
         forged = first.session.id[:-6] + "AAAAAA"
-        unknown_key = TokenBox([TokenBox.new_key()]).seal(_ref())
+        unknown_key = SessionIdCipher([SessionIdCipher.new_key()]).seal(_ref())
         for contract, text in ((other, first.session.id), (acme, forged), (acme, unknown_key)):
             for action in (host.pick_up(contract, text, 0), host.state(contract, text)):
                 with check.assertRaises(EgretError) as caught:
@@ -281,7 +287,7 @@
     # still use session ids that the old key sealed.
     async with open_long_stream() as (deployment, first):
         access = deployment.entries[1].kernel.get(PlatformAccess)
-        access.tokens = TokenBox([TokenBox.new_key(), *access._keys()])
+        access.tokens = SessionIdCipher([SessionIdCipher.new_key(), *access._keys()])
         first.disconnect()
         second = await deployment.reconnect(1, first)
         await second.closed.wait()
@@ -317,13 +323,13 @@
 
 
 def test_holders_are_bounded_in_number_and_time():
-    holders = Holders(life_s=10, most=3)
+    holders = GenerationHolders(ttl_s=10, limit=3)
     for number in range(5):
-        holders.note(number, (RunnerId("r"), GenerationId(str(number))), InstanceId("i"))
+        holders.record(number, (RunnerId("r"), GenerationId(str(number))), InstanceId("i"))
     check.assertEqual(len(holders), 3)
     check.assertIsNone(holders.holder(20, (RunnerId("r"), GenerationId("4"))))
-    holders.note(21, PLACE, InstanceId("a"))
-    holders.note(22, PLACE, InstanceId("b"))
+    holders.record(21, PLACE, InstanceId("a"))
+    holders.record(22, PLACE, InstanceId("b"))
     check.assertEqual(holders.holder(23, PLACE), "b")
 
 
