--- a/egretstack/__init__.py
+++ b/egretstack/__init__.py
@@ -1,3 +1,3 @@
-"""A serving system for generations of unknown length on crowded model engines."""
+"""A serving system for LLM generations of unknown output length on highly loaded engines."""
 
 __version__ = "0.1.0"
--- a/egretstack/callers/_app.py
+++ b/egretstack/callers/_app.py
@@ -1,4 +1,4 @@
-"""The HTTP application that callers talk to."""
+"""The HTTP application that serves callers."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 from egretstack.upstreams import CallRequest, CallResponse
 
 MAX_HEADERS = 100
-_NOT_PASSED_ON = frozenset(
+_NOT_FORWARDED = frozenset(
     {
         "authorization",
         "connection",
@@ -36,52 +36,52 @@
 
 
 class CallerDependencies(ABC):
-    """What the application asks of the rest of the entry."""
+    """What the application needs from the rest of the entry."""
 
     @abstractmethod
     def authenticate(self, authorization: str) -> Contract:
-        """Find the contract of the key in an Authorization header; raise EgretError."""
+        """Return the contract for the key in an Authorization header; raise EgretError."""
 
     @abstractmethod
     def check_open(self) -> None:
-        """Raise EgretError if this entry takes no new work any more."""
+        """Raise EgretError if this entry no longer accepts new requests."""
 
     @abstractmethod
     def entries(self, contract: Contract) -> dict[str, object]:
-        """Give which entries to use and how long to keep the answer."""
+        """Return which entries to use and how long this answer may be cached."""
 
     @abstractmethod
     async def call(
         self, contract: Contract, service: ServiceName, call: CallRequest
     ) -> CallResponse:
-        """Pass a call on to a plain service; raise EgretError."""
+        """Forward a call to a plain service; raise EgretError."""
 
     @abstractmethod
     def count_refusal(self, kind: ErrorKind) -> None:
-        """Count a final answer other than the one asked for."""
+        """Count a request that was answered with an error."""
 
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """Bounds on what callers send and how long they wait; times in seconds."""
+    """Limits for callers' requests, and the heartbeat interval of streams in seconds."""
 
     max_body_bytes: int
     heartbeat_s: float
 
 
 def make_caller_app(
-    links: CallerDependencies, generations: GenerationHandlers, limits: CallerLimits
+    dependencies: CallerDependencies, generations: GenerationHandlers, limits: CallerLimits
 ) -> QuartTrio:
-    """Build the application."""
+    """Build the application with its routes and error handlers."""
     app = QuartTrio("egret-entry")
     app.config["MAX_CONTENT_LENGTH"] = limits.max_body_bytes
-    _add_generations(app, links, generations)
-    _add_calls(app, links)
-    _add_errors(app, links)
+    _add_generation_routes(app, dependencies, generations)
+    _add_call_route(app, dependencies)
+    _add_error_handlers(app, dependencies)
 
     @app.get("/v1/entries")
     async def entries() -> Response:
-        return json_answer(links.entries(_contract(links)))
+        return json_answer(dependencies.entries(_authenticated_contract(dependencies)))
 
     return app
 
@@ -90,22 +90,22 @@
     return bool(request.content_length) or "Transfer-Encoding" in request.headers
 
 
-def _contract(links: CallerDependencies) -> Contract:
-    return links.authenticate(request.headers.get("Authorization", ""))
+def _authenticated_contract(dependencies: CallerDependencies) -> Contract:
+    return dependencies.authenticate(request.headers.get("Authorization", ""))
 
 
-def _add_generations(
-    app: QuartTrio, links: CallerDependencies, generations: GenerationHandlers
+def _add_generation_routes(
+    app: QuartTrio, dependencies: CallerDependencies, generations: GenerationHandlers
 ) -> None:
     @app.post("/v1/responses")
     async def create() -> Response:
-        contract = _contract(links)
-        links.check_open()
+        contract = _authenticated_contract(dependencies)
+        dependencies.check_open()
         return await generations.create(contract, await request.get_data())
 
     @app.get("/v1/responses/<session_id>")
     async def get(session_id: str) -> Response:
-        contract = _contract(links)
+        contract = _authenticated_contract(dependencies)
         if request.args.get("stream") == "true":
             after = request.args.get("starting_after")
             return await generations.resume(contract, session_id, after)
@@ -113,24 +113,24 @@
 
     @app.post("/v1/responses/<session_id>/cancel")
     async def cancel(session_id: str) -> Response:
-        return await generations.cancel(_contract(links), session_id)
+        return await generations.cancel(_authenticated_contract(dependencies), session_id)
 
 
-def _add_calls(app: QuartTrio, links: CallerDependencies) -> None:
+def _add_call_route(app: QuartTrio, dependencies: CallerDependencies) -> None:
     methods = ["GET", "HEAD", "OPTIONS", "POST", "PUT", "PATCH", "DELETE"]
 
     @app.route("/services/<service>/<path:path>", methods=methods)
     async def call(service: str, path: str) -> Response:
-        contract = _contract(links)
-        links.check_open()
+        contract = _authenticated_contract(dependencies)
+        dependencies.check_open()
         headers = tuple(
             (name, value)
             for name, value in request.headers.items()
-            if name.lower() not in _NOT_PASSED_ON
+            if name.lower() not in _NOT_FORWARDED
         )
         if len(headers) > MAX_HEADERS:
             raise EgretError(ErrorKind.BAD_REQUEST, "too many headers")
-        passed = CallRequest(
+        forwarded = CallRequest(
             request.method,
             "/" + path,
             request.query_string.decode("latin-1"),
@@ -138,21 +138,22 @@
             await request.get_data(),
             contract.call_deadline_s,
         )
-        answer = await links.call(contract, ServiceName(service), passed)
-        kept = [pair for pair in answer.headers if pair[0].lower() not in _NOT_PASSED_ON]
-        return Response(answer.body, status=answer.status, headers=kept)
+        answer = await dependencies.call(contract, ServiceName(service), forwarded)
+        answer_headers = [pair for pair in answer.headers if pair[0].lower() not in _NOT_FORWARDED]
+        return Response(answer.body, status=answer.status, headers=answer_headers)
 
 
-def _add_errors(app: QuartTrio, links: CallerDependencies) -> None:
+def _add_error_handlers(app: QuartTrio, dependencies: CallerDependencies) -> None:
     @app.errorhandler(EgretError)
     async def refused(error: EgretError) -> Response:
-        links.count_refusal(error.kind)
+        dependencies.count_refusal(error.kind)
         log(Event.REQUEST_REFUSED, kind=error.kind.value, path=request.path[:80])
         answer = problem(error, keyed=KEY_HEADER in request.headers)
         if _has_body():
-            # The refusal may go out before the body came. The server then cannot tell where the
-            # next request begins, and closes; a caller that was not told would send its next
-            # request into that close and not know whether it ran.
+            # The refusal may be sent before the body was received. The server then cannot tell
+            # where the next request begins, and closes the connection. Without this header a
+            # caller might send its next request while the connection closes, and not know
+            # whether it ran.
             answer.headers["Connection"] = "close"
         return answer
 
--- a/egretstack/callers/_counter.py
+++ b/egretstack/callers/_counter.py
@@ -1,4 +1,4 @@
-"""Counts the HTTP requests in progress, up to the last byte of each answer."""
+"""Counts the HTTP requests in progress, until the last byte of each answer is sent."""
 
 from collections.abc import Awaitable, Callable
 
@@ -7,14 +7,14 @@
 AsgiApp = Callable[[dict, Callable, Callable], Awaitable[None]]
 
 
-_GOES_ON = "/v1/responses/"
+_SESSION_PATH_PREFIX = "/v1/responses/"
 
 
 class RequestCounter:
-    """Wraps an ASGI application; a graceful shutdown waits here until no request is open.
+    """Wraps an ASGI application; a graceful shutdown waits on it until no request is open.
 
-    After `close`, only requests that follow a session in progress are counted: with refusals
-    counted too, callers that ask again and again would keep a leaving process up for ever.
+    After `close`, only requests for existing sessions are counted. If refused requests were
+    counted too, callers that retry again and again would keep a leaving process alive forever.
     """
 
     def __init__(self) -> None:
@@ -23,10 +23,10 @@
         self._idle = trio.Event()
 
     def wrap(self, app: AsgiApp) -> AsgiApp:
-        """Give the application with its requests counted."""
+        """Return the application with its requests counted."""
 
         async def counted(scope: dict, receive: Callable, send: Callable) -> None:
-            if scope["type"] != "http" or not self._counts(scope["path"]):
+            if scope["type"] != "http" or not self._is_counted(scope["path"]):
                 await app(scope, receive, send)
                 return
             self.open += 1
@@ -40,11 +40,11 @@
         return counted
 
     def close(self) -> None:
-        """Count no requests any more that ask for new work."""
+        """Stop counting requests, except those for existing sessions."""
         self._closed = True
 
-    def _counts(self, path: str) -> bool:
-        return not self._closed or path.startswith(_GOES_ON)
+    def _is_counted(self, path: str) -> bool:
+        return not self._closed or path.startswith(_SESSION_PATH_PREFIX)
 
     async def wait_idle(self) -> None:
         """Wait until no request is open."""
--- a/egretstack/callers/_work.py
+++ b/egretstack/callers/_scheduling_requests.py
@@ -1,4 +1,4 @@
-"""Makes the work that a session gives the policy, within the contract."""
+"""Builds the scheduling requests that sessions submit to the policy, within the contract."""
 
 import secrets
 
@@ -17,9 +17,9 @@
 def new_request(
     contract: Contract, body: GenerationBody, service: ServiceName | None
 ) -> SchedulingRequest:
-    """Check a request against its contract; raise EgretError.
+    """Check a request against its contract and build its scheduling request; raise EgretError.
 
-    `service` is the one that offers the model, or None.
+    `service` is the service that offers the model, or None.
     """
     if service is None:
         raise EgretError(ErrorKind.UNKNOWN_MODEL, f"model {body.model}")
@@ -50,7 +50,7 @@
 
 
 def picked_up_request(contract: Contract, ref: SessionRef) -> SchedulingRequest:
-    """Make the work of a session that another entry placed; it is never placed again."""
+    """Build the request of a session that another entry placed; it is never placed again."""
     return SchedulingRequest(
         id=_new_id(),
         account=ref.account,
--- a/egretstack/contracts/_contract.py
+++ b/egretstack/contracts/_contract.py
@@ -1,4 +1,4 @@
-"""One client account's contract as typed values."""
+"""The contract of one client account as typed values."""
 
 from dataclasses import dataclass
 from typing import Self
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True)
 class Contract:
-    """What one client account may do and what it was promised.
+    """The limits, deadlines and service-level targets of one client account.
 
-    Times are in seconds, rates in requests a second over the whole fleet.
+    Times are in seconds, rates in requests per second over the whole fleet.
     """
 
     account: AccountId
@@ -35,7 +35,7 @@
 
     @classmethod
     def from_document(cls, document: Document) -> Self:
-        """Build the contract from a checked document."""
+        """Build the contract from a validated document."""
         return cls(
             account=AccountId(document.text("contract", "account")),
             key_digests=document.names("contract", "key_sha256"),
@@ -57,10 +57,10 @@
         )
 
     def allows(self, service: ServiceName) -> bool:
-        """Tell whether the account may use a service."""
+        """Return whether the account may use a service."""
         return not self.services or service in self.services
 
 
 def read_contract(where: str, sections: dict[str, dict[str, str]]) -> Contract:
-    """Check the sections of a contract; raise UserError that names `where` in each fault."""
+    """Validate the sections of a contract; raise UserError that names `where` in each fault."""
     return Contract.from_document(CONTRACT_SCHEMA.check(where, sections))
--- a/egretstack/contracts/_contract_schema.py
+++ b/egretstack/contracts/_contract_schema.py
@@ -1,4 +1,4 @@
-"""The schema of a contract: every limit of a client account follows from it."""
+"""The schema of a contract, which defines all limits of a client account."""
 
 from egretstack.schema import Digests, Key, Name, Names, Number, Schema, reference_rows
 
@@ -121,5 +121,5 @@
 
 
 def contract_page() -> str:
-    """Give the text of `docs/contracts.md`."""
+    """Return the text of `docs/contracts.md`."""
     return _PAGE_HEAD + reference_rows(CONTRACT_SCHEMA.keys)
--- a/egretstack/contracts/_service.py
+++ b/egretstack/contracts/_service.py
@@ -1,4 +1,4 @@
-"""One service's description as typed values."""
+"""The description of one service as typed values."""
 
 from dataclasses import dataclass
 from typing import Self
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class ServiceSpec:
-    """What stands behind a service and which of its calls may be repeated."""
+    """The upstreams of a service and which of its calls may be repeated."""
 
     name: ServiceName
     kind: ServiceKind
@@ -26,7 +26,7 @@
 
     @classmethod
     def from_document(cls, document: Document) -> Self:
-        """Build the description from a checked document."""
+        """Build the description from a validated document."""
         return cls(
             name=ServiceName(document.text("service", "name")),
             kind=document.get("service", "kind", ServiceKind),
@@ -41,5 +41,5 @@
 
 
 def read_service(where: str, sections: dict[str, dict[str, str]]) -> ServiceSpec:
-    """Check the sections of a description; raise UserError that names `where` in each fault."""
+    """Validate the sections of a description; raise UserError that names `where` in each fault."""
     return ServiceSpec.from_document(SERVICE_SCHEMA.check(where, sections))
--- a/egretstack/contracts/_service_schema.py
+++ b/egretstack/contracts/_service_schema.py
@@ -16,14 +16,14 @@
 
 
 class ServiceKind(Enum):
-    """What stands behind a service."""
+    """The kind of a service's upstreams."""
 
     ENGINE = "engine"
     PLAIN = "plain"
 
 
 class Fencing(Enum):
-    """What the upstreams of a service do with an old fencing number."""
+    """Whether the upstreams of a service refuse an old fencing number."""
 
     CHECKED = "checked"
     IGNORED = "ignored"
@@ -92,5 +92,5 @@
 
 
 def service_page() -> str:
-    """Give the text of `docs/services.md`."""
+    """Return the text of `docs/services.md`."""
     return _PAGE_HEAD + reference_rows(SERVICE_SCHEMA.keys)
--- a/egretstack/delivery/__init__.py
+++ b/egretstack/delivery/__init__.py
@@ -1,4 +1,4 @@
-"""Delivery of a session's tokens: once, in order, and from one generation."""
+"""Delivery of a session's tokens: exactly once, in order, from a single generation."""
 
 from egretstack.delivery._cursor import Cursor, Verdict
 from egretstack.delivery._holders import GenerationHolders
--- a/egretstack/delivery/_cursor.py
+++ b/egretstack/delivery/_cursor.py
@@ -1,4 +1,4 @@
-"""The place in one generation up to which events were passed on."""
+"""The position in a generation up to which its events were delivered."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class Verdict(Enum):
-    """What to do with an event."""
+    """Whether an event is delivered, dropped as a duplicate, or shows a fault of the stream."""
 
     DELIVER = "deliver"
     DROP = "drop"
@@ -15,20 +15,23 @@
 
 
 class Cursor:
-    """Decides on each event of a stream whether it is the next one of the bound generation."""
+    """Checks that each event of a stream is the next one of the generation it is bound to."""
 
     def __init__(self, generation: GenerationId | None = None, last: int = -1) -> None:
         self.generation = generation
         self.last = last
-        """Sequence number of the last event passed on; -1 before the first."""
+        """Sequence number of the last event delivered; -1 before the first."""
 
     def offer(self, generation: GenerationId, sequence: int) -> Verdict:
-        """Judge an event; only a verdict of DELIVER moves the cursor."""
+        """Return what to do with an event; only DELIVER advances the cursor.
+
+        An unbound cursor binds to the generation of the first event offered.
+        """
         if self.generation is None:
             self.generation = generation
         if generation != self.generation:
-            # Passing it on would splice two generations: the reader would see one answer's
-            # first half and another's second half.
+            # Delivering it would splice two generations: the reader would get the first half
+            # of one answer and the second half of another.
             return Verdict.OTHER_GENERATION
         if sequence <= self.last:
             return Verdict.DROP
--- a/egretstack/delivery/_messages.py
+++ b/egretstack/delivery/_messages.py
@@ -1,4 +1,4 @@
-"""What entries tell each other about sessions."""
+"""Messages between entries about who serves a session."""
 
 from dataclasses import dataclass
 from typing import ClassVar
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class SessionTaken(Message):
-    """The entry `holder` serves this generation from now on; who served it before has to let go."""
+    """The entry `holder` serves this generation from now on; the previous holder has to stop."""
 
     number: ClassVar[int] = 50
     holder: str
@@ -20,9 +20,9 @@
 
 @dataclass(frozen=True)
 class SessionReleased(Message):
-    """The answer: the generation is not served here any more.
+    """The answer to `SessionTaken`: the generation is no longer served by the sender.
 
-    `previous` is the entry that was last known to serve it; empty if none is known.
+    `previous` is the entry last known to serve it; empty if none is known.
     """
 
     number: ClassVar[int] = 51
--- a/egretstack/delivery/_token.py
+++ b/egretstack/delivery/_token.py
@@ -1,7 +1,7 @@
-"""Session ids: opaque, authenticated tokens that any entry can pick a session up from.
+"""Session ids: opaque, authenticated tokens from which any entry can take a session over.
 
-The token holds account, owner, engine and generation, sealed with Fernet (AES and HMAC), so a
-session needs no write to the platform and an account cannot forge another's.
+The token contains account, owner, service, engine and generation, encrypted with Fernet (AES and
+HMAC), so a session needs no write to the platform and no account can forge another's session id.
 """
 
 from dataclasses import dataclass
@@ -19,12 +19,12 @@
 
 
 class InvalidSessionId(Exception):
-    """The text is not a session id that this system made."""
+    """The text is not a session id issued by this system."""
 
 
 @dataclass(frozen=True)
 class SessionRef:
-    """What a session id says."""
+    """The contents of a session id."""
 
     account: AccountId
     owner: InstanceId
@@ -34,35 +34,39 @@
 
 
 class SessionIdCipher:
-    """Seals and opens session ids. The first key seals; every key opens, so keys can rotate."""
+    """Encrypts and decrypts session ids.
+
+    The first key encrypts; all keys are tried for decryption, so that keys can be rotated.
+    """
 
     def __init__(self, keys: list[bytes]) -> None:
         if not keys:
             raise UserError("the session key file holds no key")
         try:
-            self._box = MultiFernet([Fernet(key) for key in keys])
+            self._fernet = MultiFernet([Fernet(key) for key in keys])
         except ValueError as error:
             raise UserError("the session key file holds a line that is not a key") from error
 
     @staticmethod
     def new_key() -> bytes:
-        """Make a key for the session key file."""
+        """Return a new random key for the session key file."""
         return Fernet.generate_key()
 
     def seal(self, ref: SessionRef) -> SessionId:
-        """Make the session id."""
+        """Return the session id for `ref`."""
         row = [_FORMAT, ref.account, ref.owner, ref.service, ref.runner, ref.generation]
-        return SessionId(PREFIX + self._box.encrypt(msgpack.packb(row)).decode())
+        return SessionId(PREFIX + self._fernet.encrypt(msgpack.packb(row)).decode())
 
     def open(self, text: str) -> SessionRef:
-        """Read a session id; raise TokenRefused."""
+        """Decrypt a session id; raise InvalidSessionId."""
         if not text.startswith(PREFIX) or len(text) > MAX_TOKEN_LENGTH:
             raise InvalidSessionId("not a session id")
         try:
-            row = msgpack.unpackb(self._box.decrypt(text[len(PREFIX) :].encode()))
+            row = msgpack.unpackb(self._fernet.decrypt(text[len(PREFIX) :].encode()))
         except (InvalidToken, ValueError) as error:
-            raise InvalidSessionId("not a session id of ours") from error
-        # The keys seal peers' hellos too, so a seal of ours is not yet a session id.
+            raise InvalidSessionId("a session id that was not issued here") from error
+        # Peers' hello messages are encrypted with the same keys, so a text that decrypts is not
+        # necessarily a session id.
         if not isinstance(row, list) or len(row) != _FIELDS or row[0] != _FORMAT:
             raise InvalidSessionId("a session id of another format")
         if not all(isinstance(field, str) for field in row[1:]):
--- a/egretstack/duties/__init__.py
+++ b/egretstack/duties/__init__.py
@@ -1,4 +1,4 @@
-"""Duties that one steward at a time carries out: leases with fencing, orders, fleet duties."""
+"""Duties that one steward at a time performs: leases with fencing, engine orders, fleet duties."""
 
 from egretstack.duties._fleet import FleetDuty, FleetTask
 from egretstack.duties._lease import (
--- a/egretstack/duties/_fleet.py
+++ b/egretstack/duties/_fleet.py
@@ -1,4 +1,4 @@
-"""Duties for the whole fleet: rounds of work that one steward makes, one in each period."""
+"""Duties for the whole fleet: periodic tasks that one steward at a time runs."""
 
 from abc import ABC, abstractmethod
 
@@ -14,8 +14,8 @@
 class FleetTask(ABC):
     """What the holder of a fleet duty does in each period.
 
-    A round may run beside a late one of a holder before it, so each of its effects has to be
-    harmless whenever it comes: conditional on a version, or on a name that is never used again.
+    A round may run concurrently with a delayed round of a previous holder, so each of its effects
+    has to be harmless at any time: conditional on a version, or on a name that is never reused.
     """
 
     duty: DutyName
@@ -23,33 +23,33 @@
 
     @abstractmethod
     async def run_round(self, api: PacedObjectApi) -> None:
-        """Make one round through `api`; raises PlatformError, DutyEnded."""
+        """Run one round, with all calls made through `api`; raise PlatformError, DutyEnded."""
 
 
 class FleetDuty(LeasedDuty):
-    """Makes the rounds of one work while it holds the lease."""
+    """Runs the rounds of one task while this process holds the lease."""
 
-    def __init__(self, api: BudgetedObjectApi, own: InstanceId, work: FleetTask) -> None:
-        super().__init__(api, own, work.duty)
-        self._work = work
+    def __init__(self, api: BudgetedObjectApi, own: InstanceId, task: FleetTask) -> None:
+        super().__init__(api, own, task.duty)
+        self._task = task
         self._paced = PacedObjectApi(api, self.remaining_s)
 
     def begin(self) -> bool:
-        """Begin at once: a round needs nothing but the store."""
+        """Begin at once: a round needs only the store."""
         return True
 
     def end(self) -> None:
-        """Forget nothing: a round starts from what it reads."""
+        """Do nothing: a round keeps no state and starts from what it reads."""
 
     async def work(self) -> None:
-        """Make a round as soon as the lease is held, and one in each period after it."""
+        """Run a round as soon as the lease is held, then one in each period."""
         while True:
             is_done = self.remaining_s() > MIN_LEASE_LEFT_S and await self._try_round()
-            await trio.sleep(self._work.period_s if is_done else TICK_INTERVAL_S)
+            await trio.sleep(self._task.period_s if is_done else TICK_INTERVAL_S)
 
     async def _try_round(self) -> bool:
         try:
-            await self._work.run_round(self._paced)
+            await self._task.run_round(self._paced)
         except DutyEnded:
             return False
         except PlatformError as error:
--- a/egretstack/duties/_lease.py
+++ b/egretstack/duties/_lease.py
@@ -1,8 +1,8 @@
-"""A lease on a duty, kept in one object of the platform; pure, with time passed in.
+"""A lease on a duty, stored in one object of the platform. No I/O; the time is passed in.
 
-Times are of this process's own clock and never leave it. A holder counts its lease from before
-the write that won it was sent; anyone else counts it from when it last saw the object change,
-which is later. So a holder stops before another begins, whatever the clocks of both show.
+Times are of this process's own clock and are never sent. A holder counts its lease from before it
+sent the write that acquired or renewed it. Any other process counts it from when it last saw the
+object change, which is later. So a holder stops before another starts, whatever their clocks show.
 """
 
 from dataclasses import dataclass, replace
@@ -15,16 +15,19 @@
 CLOCK_MARGIN_S = 1.5
 """Extra wait before a lease is taken over: clocks of two machines may run at different rates."""
 
-NOBODY = ""
+NO_HOLDER = ""
 
 
 class LeaseUnreadable(Exception):
-    """The object of a lease does not hold one."""
+    """The object of a lease does not contain a valid lease."""
 
 
 @dataclass(frozen=True)
 class LeaseRecord:
-    """What the object holds. `fencing` grows with each new holder, `beat` with each renewal."""
+    """The contents of a lease's object.
+
+    `fencing` grows with each new holder, `write_number` with each write of a holder.
+    """
 
     holder: str
     fencing: int
@@ -32,7 +35,7 @@
     ttl_s: float
 
     def spec(self) -> Spec:
-        """Give the object's content."""
+        """Return the object's content."""
         return {
             "holder": self.holder,
             "fencing": self.fencing,
@@ -42,7 +45,7 @@
 
     @classmethod
     def from_spec(cls, spec: Spec) -> Self:
-        """Read the object's content; raise LeaseUnreadable."""
+        """Parse the object's content; raise LeaseUnreadable."""
         try:
             return cls(
                 str(spec["holder"]), int(spec["fencing"]), int(spec["beat"]), float(spec["life_s"])
@@ -53,117 +56,121 @@
 
 @dataclass(frozen=True)
 class LeaseWrite:
-    """A write to make now: create where `version` is None, else replace that version."""
+    """A write to make now: create the object if `version` is None, else replace that version."""
 
     record: LeaseRecord
     version: str | None
 
 
 class Lease:
-    """One process's view of one lease. `holder` differs for each start of a process."""
+    """One process's view of one lease. `holder` is different for each start of a process."""
 
-    def __init__(self, holder: str, life_s: float = LEASE_TTL_S) -> None:
+    def __init__(self, holder: str, ttl_s: float = LEASE_TTL_S) -> None:
         self._holder = holder
-        self._life_s = life_s
+        self._ttl_s = ttl_s
         self._record: LeaseRecord | None = None
         self._version: str | None = None
-        self._changed_s = 0.0
+        self._changed_at_s = 0.0
         self._held_from_s: float | None = None
-        self._sent: tuple[LeaseRecord, float] | None = None
-        self._is_read = False
+        self._unconfirmed: tuple[LeaseRecord, float] | None = None
+        self._was_read = False
         self._highest_fencing = 0
-        self._last_beat = 0
+        self._last_write_number = 0
 
     @property
     def fencing(self) -> int:
-        """Give the fencing number of the lease as last seen."""
+        """Return the fencing number of the lease as last read or written."""
         return 0 if self._record is None else self._record.fencing
 
     def remaining_s(self, now_s: float) -> float:
-        """Give the seconds for which this process still holds the lease; 0 if it does not."""
+        """Return the seconds for which this process still holds the lease; 0 if it does not."""
         if self._held_from_s is None:
             return 0.0
-        return max(0.0, self._held_from_s + self._life_s - now_s)
+        return max(0.0, self._held_from_s + self._ttl_s - now_s)
 
     def holds(self, now_s: float) -> bool:
-        """Tell whether this process holds the lease."""
+        """Return whether this process holds the lease."""
         return self.remaining_s(now_s) > 0
 
     def has_unconfirmed_write(self) -> bool:
-        """Tell whether a write was sent and its answer has not come; a read settles it."""
-        return self._sent is not None
+        """Return whether a write was sent whose outcome is unknown; a read resolves it."""
+        return self._unconfirmed is not None
 
     def is_renewal_due(self, now_s: float) -> bool:
-        """Tell whether a third of the life has passed since the last renewal."""
-        return self.remaining_s(now_s) <= self._life_s * (1 - 1 / RENEWALS_PER_TTL)
+        """Return whether a third of the time to live has passed since the last renewal."""
+        return self.remaining_s(now_s) <= self._ttl_s * (1 - 1 / RENEWALS_PER_TTL)
 
     def record_read(self, now_s: float, record: LeaseRecord | None, version: str | None) -> None:
-        """Note what a read of the object showed."""
-        if not self._is_read or version != self._version:
-            self._changed_s = now_s
-        self._is_read = True
-        # A store restored from an older copy holds a lower number than engines have seen.
+        """Record the result of a read of the object."""
+        if not self._was_read or version != self._version:
+            self._changed_at_s = now_s
+        self._was_read = True
+        # A store that was restored from a backup has a lower number than the engines have seen.
         self._highest_fencing = max(self._highest_fencing, record.fencing if record else 0)
         self._record = record
         self._version = version
-        if self._sent is not None and record == self._sent[0]:
-            # The answer to the write was lost; the record can only be that write.
-            self._held_from_s = self._sent[1]
+        if self._unconfirmed is not None and record == self._unconfirmed[0]:
+            # The answer to the write was lost, but the write was applied: no other write has an
+            # equal record.
+            self._held_from_s = self._unconfirmed[1]
         elif record is None or record.holder != self._holder:
             self._held_from_s = None
-        self._sent = None
+        self._unconfirmed = None
 
     def next_write(self, now_s: float) -> LeaseWrite | None:
-        """Give the write by which to take or renew the lease now; None to wait."""
-        if not self._is_read:
+        """Return the write that acquires or renews the lease now; None to wait."""
+        if not self._was_read:
             return None
         if self._record is None:
-            return self._taking(None)
+            return self._acquiring_write(None)
         if self.holds(now_s):
             if not self.is_renewal_due(now_s):
                 return None
-            return LeaseWrite(replace(self._record, write_number=self._next_beat()), self._version)
+            return LeaseWrite(
+                replace(self._record, write_number=self._next_write_number()), self._version
+            )
         if not self._is_free(now_s):
             return None
-        return self._taking(self._version)
+        return self._acquiring_write(self._version)
 
     def record_sending(self, now_s: float, write: LeaseWrite) -> None:
-        """Note that a write is about to be sent; its outcome may stay unknown."""
-        self._sent = (write.record, now_s)
+        """Record that a write is about to be sent; its outcome may stay unknown."""
+        self._unconfirmed = (write.record, now_s)
 
     def record_written(self, version: str) -> None:
-        """Note that the write noted by `sending` was taken."""
-        record, sent_s = self._sent
+        """Record that the write passed to `record_sending` was applied."""
+        record, sent_s = self._unconfirmed
         self._record = record
         self._version = version
-        self._changed_s = sent_s
-        self._held_from_s = None if record.holder == NOBODY else sent_s
-        self._sent = None
+        self._changed_at_s = sent_s
+        self._held_from_s = None if record.holder == NO_HOLDER else sent_s
+        self._unconfirmed = None
 
     def release(self) -> LeaseWrite | None:
-        """Give the write that frees the lease for the next holder, where this one holds it."""
+        """Return the write that frees the lease for the next holder; None if it isn't held here."""
         if self._held_from_s is None or self._record is None:
             return None
         self._held_from_s = None
-        return LeaseWrite(replace(self._record, holder=NOBODY), self._version)
+        return LeaseWrite(replace(self._record, holder=NO_HOLDER), self._version)
 
     def give_up(self) -> None:
-        """Stop acting on the lease: something shows that there is a newer holder."""
+        """Stop acting as the holder: there is evidence of a newer one."""
         self._held_from_s = None
 
-    def _taking(self, version: str | None) -> LeaseWrite:
+    def _acquiring_write(self, version: str | None) -> LeaseWrite:
         fencing = self._highest_fencing + 1
-        record = LeaseRecord(self._holder, fencing, self._next_beat(), self._life_s)
+        record = LeaseRecord(self._holder, fencing, self._next_write_number(), self._ttl_s)
         return LeaseWrite(record, version)
 
-    def _next_beat(self) -> int:
-        # No two writes of a holder are alike: one that is found landed is counted from its own
-        # sending, not from that of a later try, which would make the lease look longer here.
-        self._last_beat += 1
-        return self._last_beat
+    def _next_write_number(self) -> int:
+        # Each write of a holder is unique. When a read finds an unconfirmed write applied, the
+        # lease is counted from when that write was sent, not from a later retry: counted from the
+        # retry, the lease would look longer here than to the other processes.
+        self._last_write_number += 1
+        return self._last_write_number
 
     def _is_free(self, now_s: float) -> bool:
-        if self._record.holder == NOBODY:
+        if self._record.holder == NO_HOLDER:
             return True
-        life_s = max(self._record.ttl_s, self._life_s)
-        return now_s >= self._changed_s + life_s + CLOCK_MARGIN_S
+        ttl_s = max(self._record.ttl_s, self._ttl_s)
+        return now_s >= self._changed_at_s + ttl_s + CLOCK_MARGIN_S
--- a/egretstack/duties/_paced.py
+++ b/egretstack/duties/_paced.py
@@ -1,4 +1,4 @@
-"""The object API as a duty's holder may use it: slowly, and only while it holds the lease."""
+"""The object API for a duty's holder: rate-limited, and usable only while it holds the lease."""
 
 from collections.abc import Callable
 
@@ -16,21 +16,24 @@
 
 CALLS_PER_S = 4.0
 CALL_BURST = 2.0
-"""A read and the conditional write on it go together: apart, a busy object always conflicts."""
+"""Allows a read and the conditional write on it with no wait between them.
+
+With a wait in between, the write to an object that others update often would always conflict.
+"""
 
 MIN_LEASE_LEFT_S = 4.0
-"""Lease that has to be left for a call; above the time that one call may take."""
+"""Remaining lease time required for a call; longer than one call may take."""
 
 
 class DutyEnded(Exception):
-    """The lease is over, or nearly; its former holder makes no further call."""
+    """The lease has expired or is about to; its former holder makes no further call."""
 
 
 class PacedObjectApi:
-    """Reads, replaces and deletes, each within the duty's pace and the status budget.
+    """Reads and writes objects within the duty's rate limit and the budget for status calls.
 
-    The budget of status calls is charged too, whatever the kind of the object: work that can wait
-    never takes from what callers wait for.
+    The budget for status calls is charged whatever the kind of the object, so that background
+    work never uses up the budget of calls that callers wait for.
     """
 
     def __init__(
@@ -62,7 +65,7 @@
         await self._api.delete(kind, name, version)
 
     async def wait_for_pair(self) -> None:
-        """Wait until a read and the write on it may be made with no wait between them."""
+        """Wait until a read and the write on it can be made with no wait between them."""
         await trio.sleep(CALL_BURST / self._rate)
 
     async def _admit(self, kind: ObjectKind) -> None:
@@ -71,10 +74,10 @@
         await trio.sleep(wait_s)
         now_s = trio.current_time()
         if kind is not ObjectKind.STATUS:
-            budget_s = self._api.budget.wait_s(CallClass.STATUS, now_s)
-            if budget_s > 0:
-                raise PlatformAway("the budget for status is spent", budget_s)
+            budget_wait_s = self._api.budget.wait_s(CallClass.STATUS, now_s)
+            if budget_wait_s > 0:
+                raise PlatformAway("the budget for status is spent", budget_wait_s)
             self._api.budget.spend(CallClass.STATUS, now_s)
-        # After the wait: a holder that was paused, however long, finds its lease over here.
+        # Checked after the wait: a holder that was paused meanwhile finds its lease expired here.
         if self._remaining_s() <= MIN_LEASE_LEFT_S:
             raise DutyEnded
--- a/egretstack/errors/__init__.py
+++ b/egretstack/errors/__init__.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds, the table from kind to answer, and the exceptions."""
+"""The closed list of error kinds, the answer for each kind, and the exceptions."""
 
 from egretstack.errors._exceptions import EgretError, NotRunProof, UserError
 from egretstack.errors._kinds import ErrorKind
--- a/egretstack/errors/_exceptions.py
+++ b/egretstack/errors/_exceptions.py
@@ -1,4 +1,4 @@
-"""Exceptions: errors told to a caller, errors told to an operator, and proof of not having run."""
+"""Errors reported to callers, errors reported to operators, and proof that a call did not run."""
 
 from dataclasses import dataclass
 from math import ceil
@@ -10,14 +10,14 @@
 
 
 class UserError(Exception):
-    """A mistake of the person at the keyboard, told without a traceback."""
+    """A mistake of the operator, reported without a traceback."""
 
 
 @dataclass(frozen=True)
 class NotRunProof:
-    """Evidence that no byte of a call left for the upstream.
+    """Evidence that no byte of a call was sent to the upstream.
 
-    Only code that stands before dispatch can make one: the ledger for a call whose intent it
+    Only code that runs before dispatch may create one: the ledger for a call whose intent it
     never released, and a connector whose connection was refused.
     """
 
@@ -25,10 +25,10 @@
 
 
 class EgretError(Exception):
-    """A request's final answer when it is not the one asked for.
+    """The final answer of a request that failed or was refused.
 
-    `retry_after_s` is in seconds and is filled in where the kind's answer says when to come
-    back. Kinds that state "not run" about a dispatched call take a `NotRunProof`.
+    `retry_after_s` is in seconds and has a default where the kind's answer says when to retry.
+    Kinds that state "not run" about a dispatched call require a `NotRunProof`.
     """
 
     def __init__(
@@ -41,16 +41,16 @@
         delivered: int | None = None,
     ) -> None:
         if kind is ErrorKind.NOT_RUN and proof is None:
-            raise ValueError("NOT_RUN is stated only with a proof")
+            raise ValueError("NOT_RUN requires a NotRunProof")
         super().__init__(f"{kind.value}: {detail}")
         self.kind = kind
         self.detail = detail
         self.delivered = delivered
         self.proof = proof
-        self.retry_after_s = self._advice(kind, retry_after_s)
+        self.retry_after_s = self._retry_after(kind, retry_after_s)
 
     @staticmethod
-    def _advice(kind: ErrorKind, retry_after_s: float | None) -> int | None:
+    def _retry_after(kind: ErrorKind, retry_after_s: float | None) -> int | None:
         if not ANSWERS[kind].retry:
             return None
         seconds = DEFAULT_RETRY_AFTER_S if retry_after_s is None else retry_after_s
@@ -58,5 +58,5 @@
 
     @property
     def run(self) -> RunState:
-        """Tell what is known about whether the request ran."""
+        """Return what is known about whether the request ran."""
         return ANSWERS[self.kind].run
--- a/egretstack/errors/_kinds.py
+++ b/egretstack/errors/_kinds.py
@@ -1,10 +1,10 @@
-"""The closed list of error kinds a caller can be answered with."""
+"""The closed list of error kinds that callers can receive."""
 
 from enum import Enum
 
 
 class ErrorKind(Enum):
-    """Why a request did not get the answer it asked for."""
+    """Why a request failed or was refused."""
 
     BAD_REQUEST = "bad-request"
     BODY_TOO_LARGE = "body-too-large"
--- a/egretstack/errors/_table.py
+++ b/egretstack/errors/_table.py
@@ -1,6 +1,6 @@
-"""The table from error kind to answer: status, title, retry advice and what may have run.
+"""The answer for each error kind: status, title, retry advice and whether the request may have run.
 
-The document that carries an answer is a problem detail as in RFC 9457.
+Answers are sent as problem details (RFC 9457).
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 
 class RunState(Enum):
-    """What is known about whether the refused request ran."""
+    """What is known about whether a failed or refused request ran."""
 
     NOT_RUN = "not-run"
     ATTEMPT_NOT_RUN = "attempt-not-run"
@@ -24,20 +24,20 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """How one kind of error is answered."""
+    """The answer for one kind of error."""
 
     status: int
     title: str
     run: RunState
     retry: bool
-    """Whether the answer says when to come back."""
+    """Whether the answer says when to retry."""
 
 
 def _refusal(status: int, title: str) -> Answer:
     return Answer(status, title, RunState.NOT_RUN, retry=False)
 
 
-def _later(status: int, title: str) -> Answer:
+def _retryable_refusal(status: int, title: str) -> Answer:
     return Answer(status, title, RunState.NOT_RUN, retry=True)
 
 
@@ -57,18 +57,26 @@
     ErrorKind.IN_PROGRESS: Answer(
         409, "A call with this Idempotency-Key is in progress", RunState.MAY_HAVE_RUN, retry=True
     ),
-    ErrorKind.RATE_LIMITED: _later(429, "The client account's rate is used up"),
-    ErrorKind.OVER_CONCURRENCY: _later(429, "The client account has too many open requests"),
-    ErrorKind.ENGINES_FULL: _later(503, "The engines are full"),
-    ErrorKind.DEADLINE_TOO_SHORT: _later(503, "The request would start after its deadline"),
-    ErrorKind.INSTANCE_FULL: _later(503, "This instance has no memory for the body now"),
-    ErrorKind.NO_RUNNER: _later(503, "No runner serves this now"),
-    ErrorKind.RUNNERS_LIMITED: _later(503, "The runners take no more requests now"),
+    ErrorKind.RATE_LIMITED: _retryable_refusal(429, "The client account's rate is used up"),
+    ErrorKind.OVER_CONCURRENCY: _retryable_refusal(
+        429, "The client account has too many open requests"
+    ),
+    ErrorKind.ENGINES_FULL: _retryable_refusal(503, "The engines are full"),
+    ErrorKind.DEADLINE_TOO_SHORT: _retryable_refusal(
+        503, "The request would start after its deadline"
+    ),
+    ErrorKind.INSTANCE_FULL: _retryable_refusal(
+        503, "This instance has no memory for the body now"
+    ),
+    ErrorKind.NO_RUNNER: _retryable_refusal(503, "No runner serves this now"),
+    ErrorKind.RUNNERS_LIMITED: _retryable_refusal(503, "The runners take no more requests now"),
     ErrorKind.CRASHES_RUNNERS: _refusal(503, "Runners ended while they ran this request"),
-    ErrorKind.DRAINING: _later(503, "This instance is leaving"),
-    ErrorKind.PLATFORM_AWAY: _later(503, "The platform's object API does not answer"),
-    ErrorKind.CONFIGURATION_MISSING: _later(503, "No configuration has been received yet"),
-    ErrorKind.NOT_RUN: _later(503, "The call did not reach the upstream"),
+    ErrorKind.DRAINING: _retryable_refusal(503, "This instance is leaving"),
+    ErrorKind.PLATFORM_AWAY: _retryable_refusal(503, "The platform's object API does not answer"),
+    ErrorKind.CONFIGURATION_MISSING: _retryable_refusal(
+        503, "No configuration has been received yet"
+    ),
+    ErrorKind.NOT_RUN: _retryable_refusal(503, "The call did not reach the upstream"),
     ErrorKind.OUTCOME_UNKNOWN: Answer(
         502, "The call may have run; its outcome is unknown", RunState.MAY_HAVE_RUN, retry=False
     ),
@@ -88,19 +96,19 @@
 }
 
 
-_KNOWS_THE_KEY = frozenset({ErrorKind.NOT_RUN, ErrorKind.NO_RUNNER, ErrorKind.KEY_REUSED})
-"""Refusals that come after the ledger was read: no earlier attempt with the key ran."""
+_AFTER_LEDGER_READ = frozenset({ErrorKind.NOT_RUN, ErrorKind.NO_RUNNER, ErrorKind.KEY_REUSED})
+"""Refusals sent after the ledger was read: no earlier attempt with the key ran."""
 
 
 def run_state(kind: ErrorKind, *, keyed: bool) -> RunState:
-    """Tell what a refusal says about running; `keyed`: the request had an Idempotency-Key.
+    """Return the run state for a refusal; `keyed` if the request had an Idempotency-Key.
 
-    An entry that refuses before it read the ledger knows of its own attempt alone. Were it to
-    say "not run", a caller whose first attempt ran and whose repeat met an outage would take
-    the call for one that never ran, and make it again under a new key.
+    An entry that refuses before it read the ledger knows only about its own attempt. If it said
+    "not run", a caller whose first attempt ran and whose repeat met an outage would conclude that
+    the call never ran, and make it again with a new key.
     """
     run = ANSWERS[kind].run
-    if keyed and run is RunState.NOT_RUN and kind not in _KNOWS_THE_KEY:
+    if keyed and run is RunState.NOT_RUN and kind not in _AFTER_LEDGER_READ:
         return RunState.ATTEMPT_NOT_RUN
     return run
 
@@ -108,7 +116,7 @@
 def problem_document(
     kind: ErrorKind, detail: str, retry_after_s: int | None, *, keyed: bool = False
 ) -> dict[str, object]:
-    """Build the problem detail of one answer (RFC 9457, with two members of our own)."""
+    """Build the problem detail of one answer (RFC 9457, with two extension members)."""
     answer = ANSWERS[kind]
     document: dict[str, object] = {
         "type": PROBLEM_TYPE_BASE + kind.value,
--- a/egretstack/events/__init__.py
+++ b/egretstack/events/__init__.py
@@ -1,4 +1,4 @@
-"""Structured logs: numbered events from one closed catalogue."""
+"""Structured logging: numbered events from one closed catalogue."""
 
 from egretstack.events._catalogue import Event, Level, catalogue_page
 from egretstack.events._line_writer import LineWriter
--- a/egretstack/events/_catalogue.py
+++ b/egretstack/events/_catalogue.py
@@ -1,4 +1,4 @@
-"""The closed catalogue of log events; `docs/events.md` is made from it."""
+"""The closed catalogue of log events; `docs/events.md` is generated from it."""
 
 from enum import Enum
 
@@ -15,21 +15,21 @@
 
 
 class Event(Enum):
-    """One kind of log line: number, level, and what it means to an operator."""
+    """A kind of log line: its number, level, and meaning for the operator."""
 
-    STARTED = (100, Level.INFO, "Every service of the process is up.")
-    DRAIN_BEGUN = (101, Level.INFO, "A graceful shutdown has begun; nothing in progress is cut.")
-    STOPPED = (102, Level.INFO, "The process has nothing in progress left and ends.")
-    SERVICE_FAILED = (103, Level.ERROR, "A service stopped with an error; the process ends.")
-    REQUEST_REFUSED = (200, Level.INFO, "A request got a final answer other than the one asked.")
-    REQUEST_BUG = (201, Level.ERROR, "A request met a bug; report it with this line.")
+    STARTED = (100, Level.INFO, "All services of the process have started.")
+    DRAIN_BEGUN = (101, Level.INFO, "A graceful shutdown has begun; no request in progress is cut.")
+    STOPPED = (102, Level.INFO, "The process has no request in progress and exits.")
+    SERVICE_FAILED = (103, Level.ERROR, "A service stopped with an error; the process exits.")
+    REQUEST_REFUSED = (200, Level.INFO, "A request was answered with an error.")
+    REQUEST_BUG = (201, Level.ERROR, "A request hit a bug; report it with this line.")
     SESSION_STARTED = (210, Level.DEBUG, "An engine accepted a session's generation.")
     SESSION_FINISHED = (211, Level.DEBUG, "A session's last token was delivered.")
-    SESSION_RERUN = (212, Level.WARNING, "An engine was lost before delivery; run again.")
-    SESSION_RESUMED = (213, Level.INFO, "A session goes on over a new connection.")
-    SESSION_LOST = (214, Level.ERROR, "A generation was lost in part; the caller was told.")
-    SESSION_ABANDONED = (215, Level.INFO, "The caller left and did not come back; cancelled.")
-    SESSION_RELEASED = (216, Level.INFO, "Another entry took the session over; let go here.")
+    SESSION_RERUN = (212, Level.WARNING, "An engine failed before delivery; the session is rerun.")
+    SESSION_RESUMED = (213, Level.INFO, "A session continues over a new connection.")
+    SESSION_LOST = (214, Level.ERROR, "A generation was lost in part; the caller was notified.")
+    SESSION_ABANDONED = (215, Level.INFO, "The caller disconnected and did not return; cancelled.")
+    SESSION_RELEASED = (216, Level.INFO, "Another entry took the session over; released here.")
     SESSION_HOLDER_UNTOLD = (
         217,
         Level.WARNING,
@@ -39,149 +39,197 @@
     SESSION_SILENT = (
         218,
         Level.WARNING,
-        "A stream went silent; the engine was asked over a new connection, and `answer` is what "
-        "came of it.",
+        "A stream stopped sending; the engine was queried over a new connection, with the "
+        "outcome in `answer`.",
     )
     CALL_UNKNOWN = (220, Level.ERROR, "A call that may not be repeated has no known outcome.")
     INTENT_ABANDONED = (
         221,
         Level.WARNING,
-        "The store gave no answer to an intent in time; the call was refused and is never sent.",
+        "The store did not confirm an intent in time; the call was refused and is never sent.",
     )
     INTENT_TOO_OLD = (
         222,
         Level.WARNING,
-        "This process stood still after it wrote an intent; the call was not sent.",
+        "This process was paused after it wrote an intent; the call was not sent.",
     )
     CALL_TAKEN_OVER = (
         223,
         Level.WARNING,
-        "A repeat took a key over from an attempt that was given up, or that is fenced off.",
+        "A repeat took a key over from an attempt that was abandoned or is fenced off.",
     )
     CALL_LOOKED_UP = (224, Level.INFO, "A service was asked whether a call ran.")
-    LEDGER_PRUNED = (225, Level.INFO, "Old segments of the ledger were dropped.")
+    LEDGER_PRUNED = (225, Level.INFO, "Old segments of the ledger were deleted.")
     LIMITS_HOME_AWAY = (
         230,
         Level.WARNING,
-        "The instance that lends the limits of some accounts does not answer; a share is used.",
+        "The limits home of some accounts does not answer; this instance uses a share of them.",
     )
     LIMITS_HOME_THAWED = (
         231,
         Level.WARNING,
-        "This process stood still; it forgot the limits it had lent and waits before lending.",
+        "This process was paused; it dropped the limits it had granted and waits before it grants.",
     )
     CONFIG_APPLIED = (300, Level.INFO, "A configuration revision is in force on this instance.")
     CONFIG_REFUSED_OLDER = (
         301,
         Level.ERROR,
-        "The store offered an older configuration than is in force: restored from a copy?",
+        "The store has an older configuration than is in force; was it restored from a backup?",
     )
     CONFIG_FORKED = (
         303,
         Level.ERROR,
-        "Another history of changes is offered; the one in force is kept. Compare both stores.",
+        "Another history of changes was received; the one in force is kept. Compare both stores.",
     )
-    CONFIG_BAD = (302, Level.ERROR, "A part of the configuration does not pass its checks.")
+    CONFIG_BAD = (302, Level.ERROR, "A part of the configuration is invalid.")
     PLATFORM_AWAY = (310, Level.WARNING, "The platform's object API does not answer.")
     PLATFORM_BACK = (311, Level.INFO, "The platform's object API answers again.")
-    PLATFORM_BREAKER_OPEN = (312, Level.WARNING, "Calls to the platform fail at once for now.")
-    PLATFORM_BREAKER_CLOSED = (313, Level.INFO, "The platform answered a probe; calls go out.")
-    PLATFORM_WATCH_SILENT = (314, Level.WARNING, "A watch sent no bookmark; it is opened anew.")
+    PLATFORM_BREAKER_OPEN = (312, Level.WARNING, "Calls to the platform fail immediately for now.")
+    PLATFORM_BREAKER_CLOSED = (
+        313,
+        Level.INFO,
+        "The platform answered a probe; calls are sent again.",
+    )
+    PLATFORM_WATCH_SILENT = (314, Level.WARNING, "A watch sent no bookmark; it is reopened.")
     PEER_REFUSED = (320, Level.WARNING, "A peer connection was refused; check keys and version.")
-    INSTANCE_LIVE = (321, Level.INFO, "An instance takes work.")
-    INSTANCE_LEAVING = (322, Level.INFO, "An instance leaves; callers are sent elsewhere.")
+    INSTANCE_LIVE = (321, Level.INFO, "An instance accepts requests.")
+    INSTANCE_LEAVING = (322, Level.INFO, "An instance is leaving; callers are sent elsewhere.")
     INSTANCE_SUSPECT = (
         323,
         Level.WARNING,
-        "An instance does not answer heartbeats; it is used for some seconds more.",
+        "An instance does not answer heartbeats; it is still used for some seconds.",
     )
     INSTANCE_GONE = (
         324,
         Level.WARNING,
-        "An instance stopped, or did not answer a suspicion; no caller is sent there.",
+        "An instance stopped, or did not answer after it was suspected; no caller is sent there.",
     )
     INSTANCE_ID_TWICE = (
         325,
         Level.ERROR,
-        "Another process goes by this instance's id; end one of them, or give it another id.",
+        "Another process uses this instance's id; stop one of them, or change its id.",
     )
-    RUNNER_JOINED = (330, Level.INFO, "A runner is known and gets work.")
-    RUNNER_LEFT = (331, Level.INFO, "A runner gets no new work.")
+    RUNNER_JOINED = (330, Level.INFO, "A runner is known and gets requests.")
+    RUNNER_LEFT = (331, Level.INFO, "A runner gets no new requests.")
     RUNNER_SILENT = (
         332,
         Level.WARNING,
-        "A runner's load report cannot be read; it gets no new work from this instance.",
+        "A runner's load report cannot be read; it gets no new requests from this instance.",
+    )
+    RUNNER_NOTICED = (
+        333,
+        Level.INFO,
+        "A runner announced that it leaves or returns, or was ordered to.",
     )
-    RUNNER_NOTICED = (333, Level.INFO, "A runner said, or was ordered, to leave or to return.")
-    DUTY_TAKEN = (350, Level.INFO, "This steward holds a duty now.")
+    DUTY_TAKEN = (350, Level.INFO, "This steward acquired a duty.")
     DUTY_LOST = (351, Level.WARNING, "This steward's lease on a duty ended; it gives no orders.")
-    DUTY_UNREADABLE = (352, Level.ERROR, "The object of a lease cannot be read; delete it.")
-    ORDER_SENT = (353, Level.INFO, "An engine was ordered to serve the models described.")
-    ORDER_REFUSED = (354, Level.WARNING, "An engine knows a newer holder; this one stops.")
-    ORDER_FAILED = (355, Level.WARNING, "An engine could not be read or given an order.")
+    DUTY_UNREADABLE = (352, Level.ERROR, "The object of a lease is invalid; delete it.")
+    ORDER_SENT = (353, Level.INFO, "An engine was ordered to serve the configured models.")
+    ORDER_REFUSED = (354, Level.WARNING, "An engine has seen a newer holder; this one stops.")
+    ORDER_FAILED = (355, Level.WARNING, "An engine could not be queried or sent an order.")
     DUTY_ROUND_FAILED = (
         356,
         Level.WARNING,
-        "A round of a fleet duty was not finished; the next period makes another.",
+        "A round of a fleet duty was not finished; the next period starts another.",
     )
-    RELAY_STARTED = (400, Level.INFO, "The process has read its settings and starts its services.")
-    SETTINGS_READ_AGAIN = (401, Level.INFO, "The settings file was read again; `changed` says if.")
-    SETTINGS_BAD = (402, Level.ERROR, "The changed settings file is wrong; the former holds on.")
-    CONFIG_IN_FORCE = (410, Level.INFO, "A configuration is in force here, from `source`.")
-    CONFIG_NOT_FETCHED = (411, Level.WARNING, "A peer did not give its newer configuration.")
-    STORE_AWAY = (412, Level.WARNING, "The store does not answer; what is known stays in use.")
+    RELAY_STARTED = (400, Level.INFO, "The settings were read; the services are starting.")
+    SETTINGS_READ_AGAIN = (
+        401,
+        Level.INFO,
+        "The settings file was reread; `changed` says if it differs.",
+    )
+    SETTINGS_BAD = (402, Level.ERROR, "The changed settings file is invalid; the old one applies.")
+    CONFIG_IN_FORCE = (410, Level.INFO, "A configuration from `source` is now in force.")
+    CONFIG_NOT_FETCHED = (411, Level.WARNING, "A peer did not send its newer configuration.")
+    STORE_AWAY = (412, Level.WARNING, "The store does not answer; cached data stays in use.")
     STORE_BACK = (413, Level.INFO, "The store answers again.")
-    RUNNER_LEAVES = (414, Level.INFO, "A runner gets no new work: it leaves or is gone.")
-    RUNNER_UNREADABLE = (415, Level.WARNING, "An entry in the store names no runner; not used.")
-    ZONE_EVACUATED = (450, Level.WARNING, "An operator evacuated a zone: its runners get nothing.")
-    ZONE_BACK = (451, Level.INFO, "An evacuation was taken back: the zone's runners get work.")
-    EVACUATION_UNREADABLE = (452, Level.WARNING, "An entry in the store evacuates no zone.")
-    RUN_BROKEN = (453, Level.WARNING, "A run ended before its end; `ended` if its runner did too.")
-    CONTENT_REFUSED = (454, Level.WARNING, "Runners ended under a request: no runner gets it now.")
+    RUNNER_LEAVES = (414, Level.INFO, "A runner is leaving or missing; it gets no new requests.")
+    RUNNER_UNREADABLE = (415, Level.WARNING, "An invalid runner entry in the store is ignored.")
+    ZONE_EVACUATED = (
+        450,
+        Level.WARNING,
+        "An operator evacuated a zone; its runners get no requests.",
+    )
+    ZONE_BACK = (451, Level.INFO, "An evacuation was revoked; the zone's runners get requests.")
+    EVACUATION_UNREADABLE = (452, Level.WARNING, "An evacuation entry in the store is invalid.")
+    RUN_BROKEN = (453, Level.WARNING, "A run broke off; `ended` says if its runner did too.")
+    CONTENT_REFUSED = (
+        454,
+        Level.WARNING,
+        "Runners ended while running a request; it is not sent now.",
+    )
     CONTENT_CLEARED = (
         455,
         Level.INFO,
-        "A request that no runner got may be sent to runners again.",
+        "A request that was withheld from runners may be sent to them again.",
     )
-    CRASH_RECORD_UNREADABLE = (456, Level.WARNING, "A record in the store cannot be read; unused.")
-    RUNNER_LIMITED = (457, Level.WARNING, "A runner takes no more than `per_s` requests a second.")
-    RUNNER_UNLIMITED = (458, Level.INFO, "A runner names no limit any more.")
+    CRASH_RECORD_UNREADABLE = (456, Level.WARNING, "A record in the store cannot be read; ignored.")
+    RUNNER_LIMITED = (457, Level.WARNING, "A runner accepts at most `per_s` requests per second.")
+    RUNNER_UNLIMITED = (458, Level.INFO, "A runner no longer reports a limit.")
     RUNNER_WORD = (
         459,
         Level.INFO,
-        "A runner said beside an answer that it leaves, or how long it wants to rest.",
-    )
-    INSTANCE_UNREADABLE = (439, Level.WARNING, "Entries in the store name no instance; not used.")
-    RUNNER_STARTED_AGAIN = (440, Level.INFO, "A runner told of a later start; all before is void.")
-    RUNNER_BACK = (441, Level.INFO, "A runner's entry was missing; it is back, and it answers.")
-    ENGINE_REJECTED = (443, Level.WARNING, "An engine did not run a generation; it goes elsewhere.")
-    RUNNERS_SUSPECTED = (444, Level.WARNING, "These runners break what the fleet sends them.")
-    RUNNER_NOT_BACK = (442, Level.INFO, "A runner's entry is back, but it does not answer for it.")
-    INSTANCE_REGISTERED = (416, Level.INFO, "This instance's address stands in the store.")
-    HOME_CHANGED = (417, Level.INFO, "Another instance is home now, as this one sees it.")
+        "An answer's headers say that its runner leaves, or asks for a backoff of some time.",
+    )
+    INSTANCE_UNREADABLE = (
+        439,
+        Level.WARNING,
+        "Invalid instance entries in the store are ignored.",
+    )
+    RUNNER_STARTED_AGAIN = (
+        440,
+        Level.INFO,
+        "A runner reported a later start; older state is dropped.",
+    )
+    RUNNER_BACK = (441, Level.INFO, "A runner's missing entry is back, and the runner answers.")
+    ENGINE_REJECTED = (
+        443,
+        Level.WARNING,
+        "An engine rejected a generation; it is placed elsewhere.",
+    )
+    RUNNERS_SUSPECTED = (
+        444,
+        Level.WARNING,
+        "Requests sent to these runners break off unusually often.",
+    )
+    RUNNER_NOT_BACK = (
+        442,
+        Level.INFO,
+        "A runner's entry is back, but the runner does not confirm it.",
+    )
+    INSTANCE_REGISTERED = (416, Level.INFO, "This instance's address is in the store.")
+    HOME_CHANGED = (417, Level.INFO, "In this instance's view another instance is the home now.")
     DATAGRAM_UNSENT = (418, Level.WARNING, "A datagram could not be sent or received.")
     DATAGRAM_TOO_LARGE = (419, Level.ERROR, "A message does not fit a datagram; not sent.")
-    HOME_SILENT = (420, Level.WARNING, "The home did not answer; placed by this instance's view.")
-    PLACED = (421, Level.INFO, "A generation has a runner, and perhaps one for a backup copy.")
+    HOME_SILENT = (
+        420,
+        Level.WARNING,
+        "The home did not answer; placed by this instance's own view.",
+    )
+    PLACED = (421, Level.INFO, "A generation was placed, maybe with a runner for a backup.")
     PLACE_REFUSED = (422, Level.INFO, "No engine can start a generation in time.")
-    SEND_ENDED = (423, Level.INFO, "A send of a request to a runner ended; `result` says how.")
-    CONNECT_FAILED = (424, Level.WARNING, "A runner did not accept a connection; nothing left.")
-    UPSTREAM_BROKEN = (425, Level.WARNING, "A runner's connection ended within a request.")
-    ANSWER_SPOILT = (426, Level.WARNING, "An answer is not surely the runner's own; not used.")
-    REQUEST_ANSWERED = (427, Level.INFO, "A runner's answer went to the client.")
-    REQUEST_FAILED = (428, Level.INFO, "A request got an answer of this system's own.")
-    CLIENT_LEFT = (429, Level.INFO, "A client closed while its request was in progress.")
-    STREAM_ENDED = (430, Level.INFO, "A stream was passed on to its proper end.")
-    STREAM_HALTED = (431, Level.INFO, "A stream's runner leaves, broke off or is silent.")
-    STREAM_CONTINUED = (432, Level.INFO, "A stream goes on at another runner from its copy.")
-    STREAM_NOT_CONTINUED = (433, Level.WARNING, "A stream could not go on at another runner.")
-    STREAM_LOST = (434, Level.ERROR, "A stream ended before its end, and the client was told.")
-    STREAM_OUT_OF_TIME = (435, Level.WARNING, "A stream was broken off at its deadline.")
-    RUNNERS_SILENT = (437, Level.WARNING, "These runners do not answer the home; no new work.")
-    REPORT_UNREADABLE = (438, Level.WARNING, "An engine gave no report that can be read.")
-    NEWS_GAP = (445, Level.INFO, "News of the home were lost; they are asked for again.")
-    RUNNER_INTRODUCED = (446, Level.INFO, "The home placed here with a runner not known here yet.")
-    MOVE_ENDED = (436, Level.INFO, "A run's memory was copied to another runner, or was not.")
+    SEND_ENDED = (423, Level.INFO, "Sending a request to a runner ended with `result`.")
+    CONNECT_FAILED = (424, Level.WARNING, "A runner did not accept a connection; nothing was sent.")
+    UPSTREAM_BROKEN = (425, Level.WARNING, "A runner's connection broke during a request.")
+    ANSWER_SPOILT = (426, Level.WARNING, "An answer may not be the runner's own; discarded.")
+    REQUEST_ANSWERED = (427, Level.INFO, "A runner's answer was sent to the client.")
+    REQUEST_FAILED = (428, Level.INFO, "A request was answered with an error of this system.")
+    CLIENT_LEFT = (429, Level.INFO, "A client disconnected while its request was in progress.")
+    STREAM_ENDED = (430, Level.INFO, "A stream was forwarded to its regular end.")
+    STREAM_HALTED = (431, Level.INFO, "A stream's runner leaves, broke off or does not respond.")
+    STREAM_CONTINUED = (432, Level.INFO, "A stream continues at another runner from its copy.")
+    STREAM_NOT_CONTINUED = (433, Level.WARNING, "A stream could not continue at another runner.")
+    STREAM_LOST = (434, Level.ERROR, "A stream broke off, and the client was notified.")
+    STREAM_OUT_OF_TIME = (435, Level.WARNING, "A stream was aborted at its deadline.")
+    RUNNERS_SILENT = (437, Level.WARNING, "These runners do not answer the home; no new requests.")
+    REPORT_UNREADABLE = (438, Level.WARNING, "An engine sent no readable load report.")
+    NEWS_GAP = (445, Level.INFO, "Updates from the home were lost; they are requested again.")
+    RUNNER_INTRODUCED = (
+        446,
+        Level.INFO,
+        "The home chose a runner that was unknown here; it was added.",
+    )
+    MOVE_ENDED = (436, Level.INFO, "Copying a run's memory to another runner succeeded or failed.")
 
     def __init__(self, number: int, level: Level, meaning: str) -> None:
         self.number = number
@@ -190,9 +238,9 @@
 
 
 def catalogue_page() -> str:
-    """Give the text of `docs/events.md`."""
+    """Return the text of `docs/events.md`."""
     rows = [
         f"| {event.number} | {event.name.lower()} | {event.level.value} | {event.meaning} |"
-        for event in sorted(Event, key=lambda one: one.number)
+        for event in sorted(Event, key=lambda event: event.number)
     ]
     return _PAGE_HEAD + "\n".join(rows) + "\n"
--- a/egretstack/events/_level.py
+++ b/egretstack/events/_level.py
@@ -4,7 +4,7 @@
 
 
 class Level(Enum):
-    """How much an operator should care."""
+    """The severity of a log event."""
 
     DEBUG = "DEBUG"
     INFO = "INFO"
--- a/egretstack/events/_log.py
+++ b/egretstack/events/_log.py
@@ -1,4 +1,4 @@
-"""Writes events through loguru, as JSON lines or in human form."""
+"""Writes events through loguru, as JSON lines or in human-readable form."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from loguru import Message
 
-_HUMAN = "{time:HH:mm:ss.SSS} {level: <7} E{extra[event]} {message} {extra}"
+_HUMAN_FORMAT = "{time:HH:mm:ss.SSS} {level: <7} E{extra[event]} {message} {extra}"
 _SECRET_FIELDS = frozenset({"key", "token", "authorization", "secret"})
 
 
@@ -25,35 +25,35 @@
 
 
 def add_event_counter(counter: Callable[[Event], None]) -> None:
-    """Let `counter` see each event, also those whose lines are dropped or below the level."""
+    """Call `counter` for each event, including those dropped or below the log level."""
     _counters.append(counter)
 
 
 class LogFormat(Enum):
-    """How log lines look."""
+    """The format of log lines."""
 
     JSON = "json"
     HUMAN = "human"
 
 
-def set_up_logs(form: LogFormat, level: Level) -> None:
-    """Send log lines to standard error in the form and from the level given."""
+def set_up_logs(log_format: LogFormat, level: Level) -> None:
+    """Send log lines of at least `level` to standard error in the given format."""
     logger.remove()
-    if form is LogFormat.JSON:
+    if log_format is LogFormat.JSON:
         logger.add(_write_json, level=level.value)
     else:
-        logger.add(sys.stderr, level=level.value, format=_HUMAN)
+        logger.add(sys.stderr, level=level.value, format=_HUMAN_FORMAT)
 
 
-def set_up_line_logs(level: Level, lines: LineWriter, **every_line: object) -> None:
-    """Send log lines as JSON, each with the fields given, to a writer that never waits."""
+def set_up_line_logs(level: Level, lines: LineWriter, **common_fields: object) -> None:
+    """Send log lines as JSON, each with `common_fields`, to a writer that never blocks."""
 
     def write(message: Message) -> None:
         urgent = message.record["level"].no >= logger.level(Level.WARNING.value).no
         lines.write(_json_line(message), urgent=urgent)
 
     logger.remove()
-    logger.configure(extra=every_line)
+    logger.configure(extra=common_fields)
     logger.add(write, level=level.value)
 
 
@@ -72,7 +72,7 @@
 
 
 def log(event: Event, **fields: object) -> None:
-    """Write one event; a field that would carry a secret is a bug."""
+    """Write one event; raise ValueError if the name of a field is that of a secret."""
     leaked = _SECRET_FIELDS & fields.keys()
     if leaked:
         raise ValueError(f"secret log fields: {sorted(leaked)}")
--- a/egretstack/ids.py
+++ b/egretstack/ids.py
@@ -1,6 +1,6 @@
-"""Identifier types shared by the whole product.
+"""Identifier types used throughout egretstack.
 
-Each id is a string on the wire; a distinct type keeps one kind from being passed for another.
+Each id but `Revision`, a number, is a string on the wire; the types keep different kinds apart.
 """
 
 import re
@@ -25,13 +25,13 @@
 ZoneName = NewType("ZoneName", str)
 
 MAX_NAME_LENGTH = 63
-"""Longest name of an account, service, model, instance or zone, in characters."""
+"""Maximum length of the name of an account, service, model, instance or zone, in characters."""
 
 _NAME = re.compile(r"[a-z0-9]([a-z0-9.-]*[a-z0-9])?")
 
 
 def is_name(text: object) -> bool:
-    """Tell whether `text` may name an account, service, model, instance or zone."""
+    """Return whether `text` is a valid name of an account, service, model, instance or zone."""
     return (
         isinstance(text, str) and len(text) <= MAX_NAME_LENGTH and _NAME.fullmatch(text) is not None
     )
--- a/egretstack/lengths/__init__.py
+++ b/egretstack/lengths/__init__.py
@@ -1,4 +1,4 @@
-"""Output lengths learned as survival curves, from sessions that ended and that still run."""
+"""Output lengths learned as survival curves from ended and running sessions."""
 
 from egretstack.lengths._buckets import BUCKETS, EDGES, bucket_index
 from egretstack.lengths._curve import SurvivalCurve
--- a/egretstack/lengths/_hazards.py
+++ b/egretstack/lengths/_hazards.py
@@ -1,17 +1,17 @@
-"""Counts of sessions by bucket of length: how many came to it, how many ended in it."""
+"""Counts of sessions by length bucket: how many reached it and how many ended in it."""
 
 from egretstack.lengths._buckets import BUCKETS
 
 DECAY_SESSIONS = 300
-"""Sessions after which an observation of a bucket counts 1/e: lengths drift over a day."""
-_KEPT = 1 - 1 / DECAY_SESSIONS
+"""Sessions after which the weight of an observation is 1/e: lengths drift over a day."""
+_DECAY = 1 - 1 / DECAY_SESSIONS
 
 
 class HazardCounts:
-    """A Kaplan-Meier estimate on buckets, which forgets by the number of observations.
+    """Counts for a Kaplan-Meier estimate on buckets, decayed by the number of observations.
 
-    A session that still runs counts in every bucket it has passed, so a long answer is evidence
-    before it ends. Counts never pass `MEMORY`.
+    A running session counts in every bucket that it has passed, so a long answer is evidence
+    before it ends. Counts never exceed `DECAY_SESSIONS`.
     """
 
     def __init__(self) -> None:
@@ -19,9 +19,9 @@
         self.ended = [0.0] * BUCKETS
 
     def add(self, bucket: int, *, ended: bool) -> None:
-        """Note a session that passed a bucket, or ended in it."""
-        self.at_risk[bucket] = self.at_risk[bucket] * _KEPT + 1.0
-        self.ended[bucket] *= _KEPT
+        """Record a session that passed a bucket, or ended in it."""
+        self.at_risk[bucket] = self.at_risk[bucket] * _DECAY + 1.0
+        self.ended[bucket] *= _DECAY
         if ended:
             self.ended[bucket] += 1.0
 
--- a/egretstack/lengths/_key.py
+++ b/egretstack/lengths/_key.py
@@ -1,4 +1,4 @@
-"""Whose output lengths a curve describes."""
+"""The key of a length curve."""
 
 from typing import NamedTuple
 
@@ -6,16 +6,16 @@
 
 
 class LengthKey(NamedTuple):
-    """Whose lengths: account and prefix may be empty, which stands for all of them."""
+    """Which sessions a curve covers. An empty account or prefix covers all of them."""
 
     service: ServiceName
     model: ModelName
     account: AccountId = AccountId("")
     prefix: str = ""
-    """A digest of the prompt's shared beginning: the text itself is the caller's."""
+    """A digest of the prompt's shared prefix; the text itself is the caller's private data."""
 
     def levels(self) -> "list[LengthKey]":
-        """Give the keys from the widest to this one."""
+        """Return the keys from the most general to this one."""
         levels = [LengthKey(self.service, self.model)]
         if self.account:
             levels.append(LengthKey(self.service, self.model, self.account))
--- a/egretstack/lengths/_model.py
+++ b/egretstack/lengths/_model.py
@@ -1,4 +1,4 @@
-"""The length model: a curve for each service, model, account and prompt prefix."""
+"""The length model: a survival curve per service, model, account and prompt prefix."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -13,30 +13,31 @@
 MAX_KEYS = 2048
 MAX_SOURCES = 16
 PARENT_WEIGHT_SESSIONS = 4.0
-"""Sessions that the estimate one level up counts for."""
+"""Weight of the estimate one level up, as a number of sessions."""
 PRIOR_HAZARDS = tuple(min(0.9, 0.02 + 0.0006 * bucket**2) for bucket in range(BUCKETS))
-"""Share that ends in each bucket before anything is known: a median of some 130 tokens, one in
-ten above 2,000, one in a hundred above 13,000."""
+"""Share of sessions that end in each bucket, without observations: a median of about 130 tokens,
+one in ten above 2,000, one in a hundred above 13,000."""
 REBUILD_SHARE = 32
-"""A curve is rebuilt when its observations have grown by this part, and by MIN_NEWS."""
+"""A curve is rebuilt after its observations grew by one part in this many, and by at least
+`MIN_NEW_OBSERVATIONS`."""
 MIN_NEW_OBSERVATIONS = 8
 
 
 @dataclass(slots=True)
 class _Entry:
     own: HazardCounts
-    news: int = 0
+    new_observations: int = 0
     """Observations since the curve was built."""
     observations: int = 0
     curve: SurvivalCurve | None = None
 
 
 class LengthModel:
-    """Learns from sessions as they run and end; tells the conditional remaining length.
+    """Learns from sessions as they run and end; forecasts the conditional remaining length.
 
-    Each level's estimate leans on the one above it, so a new account starts with its service's
-    lengths and a new service with the prior. At most `MAX_KEYS` keys are kept; those unused
-    longest go first.
+    Each level's estimate is combined with the one above it, so a new account starts with the
+    lengths of its service and a new service with the prior. At most `MAX_KEYS` keys are kept; the
+    least recently used are dropped first.
     """
 
     def __init__(self) -> None:
@@ -44,36 +45,36 @@
         self._by_source: OrderedDict[InstanceId, LengthSummary] = OrderedDict()
 
     def record_progress(self, key: LengthKey, before: int, now: int) -> None:
-        """Note that a session went from `before` output tokens to `now` and still runs."""
+        """Record that a running session went from `before` output tokens to `now`."""
         bucket = bucket_index(max(1, before))
         while bucket + 1 < BUCKETS and EDGES[bucket + 1] <= now:
             self._add(key, bucket, ended=False)
             bucket += 1
 
     def record_finished(self, key: LengthKey, before: int, length: int) -> None:
-        """Note that a session last seen at `before` tokens ended by itself at `length`."""
+        """Record that a session last recorded at `before` tokens ended by itself at `length`."""
         self.record_progress(key, before, length)
         self._add(key, bucket_index(max(1, length)), ended=True)
 
     def curve(self, key: LengthKey) -> SurvivalCurve:
-        """Give the present curve of a key."""
+        """Return the current curve of a key."""
         entry = self._entry(key)
-        due = max(MIN_NEW_OBSERVATIONS, entry.observations // REBUILD_SHARE)
-        if entry.curve is None or entry.news >= due:
+        rebuild_at = max(MIN_NEW_OBSERVATIONS, entry.observations // REBUILD_SHARE)
+        if entry.curve is None or entry.new_observations >= rebuild_at:
             entry.curve = SurvivalCurve(self._hazards(key))
-            entry.news = 0
+            entry.new_observations = 0
         return entry.curve
 
     def session_weight(self, key: LengthKey) -> float:
-        """Give the weight of the sessions that a key's curve rests on."""
+        """Return the weight of the sessions that a key's curve is based on."""
         return self._counts(key).at_risk[0]
 
     def summary(self) -> LengthSummary:
-        """Give what this instance itself has learned, for other instances."""
+        """Return what this instance learned from its own sessions, for other instances."""
         return LengthSummary({key: entry.own for key, entry in self._by_key.items()})
 
     def set_summary(self, source: InstanceId, summary: LengthSummary) -> None:
-        """Take in another instance's summary in place of its earlier one."""
+        """Store another instance's summary, replacing its previous one."""
         self._by_source[source] = summary
         self._by_source.move_to_end(source)
         while len(self._by_source) > MAX_SOURCES:
@@ -85,7 +86,7 @@
         for level in key.levels():
             entry = self._entry(level)
             entry.own.add(bucket, ended=ended)
-            entry.news += 1
+            entry.new_observations += 1
             entry.observations += 1
 
     def _entry(self, key: LengthKey) -> _Entry:
@@ -110,11 +111,11 @@
 
     def _counts(self, key: LengthKey) -> HazardCounts:
         own = self._entry(key).own
-        known = [summary.by_key[key] for summary in self._by_source.values() if key in summary]
-        if not known:
+        from_peers = [summary.by_key[key] for summary in self._by_source.values() if key in summary]
+        if not from_peers:
             return own
         total = HazardCounts()
         total.merge(own)
-        for hazards in known:
-            total.merge(hazards)
+        for counts in from_peers:
+            total.merge(counts)
         return total
--- a/egretstack/metrics/__init__.py
+++ b/egretstack/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Metrics of a process, served on the operator port."""
+"""Prometheus metrics of a process, served on the operator port."""
 
 from egretstack.metrics._levels import (
     OUTCOME_SHARE,
--- a/egretstack/metrics/_levels.py
+++ b/egretstack/metrics/_levels.py
@@ -1,8 +1,8 @@
 """Counts of service-level events by account, against the targets of the account's contract.
 
-An event is judged when it happens, by the targets then in force: a target that lies between two
-buckets of a histogram is met or missed exactly. The counts are plain integers, since a gap is
-counted for each token; the registry reads them when it is asked for its metrics.
+Each event is compared with the targets in force when it happens, so that a target that lies
+between two histogram buckets is evaluated exactly. The counts are plain integers, since a gap is
+counted for each token; the registry reads them when its metrics are collected.
 """
 
 from bisect import bisect_left
@@ -25,23 +25,23 @@
 FIRST_TOKEN_BUCKETS_S = (0.05, 0.1, 0.2, 0.4, 0.63, 1.0, 2.0, 5.0, 10.0, 30.0)
 GAP_BUCKETS_S = (0.01, 0.02, 0.036, 0.054, 0.072, 0.1, 0.2, 0.5, 1.0, 5.0)
 OUTCOME_SHARE = 0.999
-"""Share of accepted sessions that have to finish or be refused truthfully; not in contracts."""
+"""Target share of accepted sessions that finish or are correctly refused; not in contracts."""
 
 
 class Objective(Enum):
-    """What a service level is about."""
+    """What a service-level target applies to."""
 
     FIRST_TOKEN = "first-token"
-    """A streamed session's first token came within its target."""
+    """A streamed session's first token was delivered within its target time."""
     GAP = "gap"
-    """A gap between two tokens was within its target."""
+    """A gap between two tokens was within its target time."""
     OUTCOME = "outcome"
-    """An accepted session finished, or was refused truthfully before anything ran."""
+    """An accepted session finished, or was correctly refused before anything ran."""
 
 
 @dataclass(frozen=True)
 class LevelTargets:
-    """An account's targets: seconds, and the share of events that has to meet them."""
+    """An account's targets in seconds, and the share of events that has to meet them."""
 
     first_token_s: float
     gap_s: float
@@ -50,20 +50,20 @@
 
 @dataclass
 class Tally:
-    """Events of one objective, and those among them that met the target."""
+    """The number of events of one objective, and how many of them met the target."""
 
     total: int = 0
     good: int = 0
 
     def add(self, good: bool, count: int = 1) -> None:
-        """Count events."""
+        """Count `count` events that met the target, or did not."""
         self.total += count
         if good:
             self.good += count
 
 
 class IntHistogram:
-    """A histogram as plain integers."""
+    """A histogram with plain integer counts."""
 
     def __init__(self, bounds: tuple[float, ...]) -> None:
         self._bounds = bounds
@@ -71,15 +71,15 @@
         self._sum = 0.0
 
     def add(self, value: float, count: int = 1) -> None:
-        """Count observations of one value."""
+        """Count `count` observations of one value."""
         self._counts[bisect_left(self._bounds, value)] += count
         self._sum += value * count
 
     def add_to(self, family: HistogramMetricFamily, account: AccountId) -> None:
-        """Put the histogram into a family of metrics."""
+        """Add the histogram to a metric family."""
         names = [str(float(bound)) for bound in self._bounds] + ["+Inf"]
-        rows = zip(names, accumulate(self._counts), strict=True)
-        family.add_metric([account], [[name, count] for name, count in rows], self._sum)
+        buckets = zip(names, accumulate(self._counts), strict=True)
+        family.add_metric([account], [[name, count] for name, count in buckets], self._sum)
 
 
 class AccountLevels:
@@ -92,9 +92,9 @@
         self.gaps = IntHistogram(GAP_BUCKETS_S)
 
     def record_first_token(self, took_s: float) -> None:
-        """Count a first token that came after `took_s` seconds."""
-        met = took_s <= self.targets.first_token_s
-        self.tally_by_objective[Objective.FIRST_TOKEN].add(met)
+        """Count a first token that was delivered after `took_s` seconds."""
+        is_met = took_s <= self.targets.first_token_s
+        self.tally_by_objective[Objective.FIRST_TOKEN].add(is_met)
         self.first_tokens.add(took_s)
 
     def record_gaps(self, gap_s: float, count: int = 1) -> None:
@@ -107,18 +107,18 @@
         self.tally_by_objective[Objective.OUTCOME].add(success)
 
     def target_share(self, objective: Objective) -> float:
-        """Give the share of an objective's events that has to be good."""
+        """Return the share of an objective's events that has to meet the target."""
         return OUTCOME_SHARE if objective is Objective.OUTCOME else self.targets.share
 
 
 class ServiceLevels(Collector):
-    """The counts of all accounts, as metrics when the registry asks for them."""
+    """The counts of all accounts, as a collector of the metrics registry."""
 
     def __init__(self) -> None:
         self.levels_by_account: dict[AccountId, AccountLevels] = {}
 
     def for_account(self, account: AccountId, targets: LevelTargets) -> AccountLevels:
-        """Give an account's counts; events from now on are judged by `targets`."""
+        """Return an account's counts; events from now on are compared with `targets`."""
         levels = self.levels_by_account.get(account)
         if levels is None:
             levels = AccountLevels(targets)
@@ -127,12 +127,12 @@
         return levels
 
     def collect(self) -> Iterator[Metric]:
-        """Give the metrics."""
-        yield from self._tallies()
-        yield from self._targets()
-        yield from self._spreads()
+        """Yield the metrics."""
+        yield from self._tally_metrics()
+        yield from self._target_metrics()
+        yield from self._histogram_metrics()
 
-    def _tallies(self) -> Iterator[Metric]:
+    def _tally_metrics(self) -> Iterator[Metric]:
         labels = ["account", "objective"]
         events = CounterMetricFamily(EVENTS, "Service-level events.", labels=labels)
         good = CounterMetricFamily(GOOD, "Events that met their target.", labels=labels)
@@ -143,7 +143,7 @@
         yield events
         yield good
 
-    def _targets(self) -> Iterator[Metric]:
+    def _target_metrics(self) -> Iterator[Metric]:
         labels = ["account", "objective"]
         share = GaugeMetricFamily(TARGET_SHARE, "Share that has to be good.", labels=labels)
         seconds = GaugeMetricFamily(TARGET_SECONDS, "Target in seconds.", labels=labels)
@@ -156,7 +156,7 @@
         yield share
         yield seconds
 
-    def _spreads(self) -> Iterator[Metric]:
+    def _histogram_metrics(self) -> Iterator[Metric]:
         first = HistogramMetricFamily(
             "egret_first_token_seconds",
             "Time from a request to its first token.",
--- a/egretstack/metrics/_metrics.py
+++ b/egretstack/metrics/_metrics.py
@@ -11,17 +11,17 @@
 
 
 class Metrics:
-    """Every metric of the product, in one registry for each process.
+    """The metrics of one process in a registry of its own.
 
-    `epoch_now` gives seconds since the epoch. Metrics carry the time at which they were read, and
-    the time the process started, so that a saved file tells by itself what it is.
+    `epoch_now` returns seconds since the epoch. The metrics include the time at which they were
+    read and the time at which the process started, so that a saved file is self-describing.
     """
 
     def __init__(
         self, instance: str = UNNAMED, epoch_now: Callable[[], float] = lambda: 0.0
     ) -> None:
         self.registry = CollectorRegistry()
-        self._add_times(instance, epoch_now)
+        self._add_timestamps(instance, epoch_now)
         self.sessions = Counter(
             "egret_sessions",
             "Sessions ended, by account and outcome.",
@@ -62,7 +62,7 @@
             "egret_config_revision", "Configuration revision in force.", registry=self.registry
         )
 
-    def _add_times(self, instance: str, epoch_now: Callable[[], float]) -> None:
+    def _add_timestamps(self, instance: str, epoch_now: Callable[[], float]) -> None:
         started = Gauge(
             STARTED,
             "When this process started, in seconds since the epoch.",
--- a/egretstack/metrics/_names.py
+++ b/egretstack/metrics/_names.py
@@ -1,4 +1,4 @@
-"""Names of the metrics that the service-level report reads; they stay as they are."""
+"""Names of the metrics that the service-level report reads; they must not change."""
 
 EVENTS = "egret_level_events"
 GOOD = "egret_level_good"
--- a/egretstack/metrics/_pace.py
+++ b/egretstack/metrics/_pace.py
@@ -1,13 +1,13 @@
-"""Times of one session's deliveries to its caller."""
+"""Records the times at which a session's tokens are delivered to its caller."""
 
 from egretstack.metrics._levels import AccountLevels
 
 
 class DeliveryPace:
-    """Counts a session's first token and gaps, as its caller is given them.
+    """Counts a session's first token and the gaps between tokens, as delivered to its caller.
 
-    `resumed` tells that an earlier entry gave the first token. The wait until the next one then
-    counts as a gap from the time the session was picked up, which is less than the caller saw.
+    `resumed` means that another entry delivered the first token. The wait until the next token
+    then counts as a gap from the time of the takeover, which is shorter than the caller saw.
     """
 
     def __init__(self, levels: AccountLevels, opened_s: float, *, resumed: bool = False) -> None:
@@ -16,7 +16,7 @@
         self._last_s = opened_s if resumed else None
 
     def record_delivered(self, now_s: float, tokens: int) -> None:
-        """Count tokens that are handed on together; all but the first follow without a gap."""
+        """Count tokens that are delivered together; all but the first have a gap of zero."""
         if tokens <= 0:
             return
         if self._last_s is None:
--- a/egretstack/sessions/_errors.py
+++ b/egretstack/sessions/_errors.py
@@ -27,7 +27,7 @@
     """Return the error of a request that no engine finished, with the time to retry after."""
     if recovery.may_have_run:
         return _ran_without_delivery(detail, retry_after_s)
-    kind = ErrorKind.ENGINES_FULL if recovery.refused else ErrorKind.NO_RUNNER
+    kind = ErrorKind.ENGINES_FULL if recovery.only_refused else ErrorKind.NO_RUNNER
     return EgretError(kind, detail, retry_after_s=retry_after_s)
 
 
@@ -39,7 +39,7 @@
     """
     if error.run is RunState.NOT_RUN and recovery.may_have_run:
         return _ran_without_delivery(error.detail, error.retry_after_s)
-    if error.kind is ErrorKind.NO_RUNNER and recovery.refused:
+    if error.kind is ErrorKind.NO_RUNNER and recovery.only_refused:
         return EgretError(ErrorKind.ENGINES_FULL, "every engine is full", retry_after_s=None)
     return error
 
