--- a/tests/test_lengths.py
+++ b/tests/test_lengths.py
@@ -1,4 +1,4 @@
-"""The length model: what it learns from ended and running sessions, and what it shares."""
+"""Tests of the length model: what it learns from ended and running sessions, and what it shares."""
 
 import random
 
@@ -23,7 +23,7 @@
 KEY = LengthKey("llm", "story", "acme", "p1")
 
 
-def taught(count=400, seed=1, key=KEY, mean=6.0):
+def trained_model(count=400, seed=1, key=KEY, mean=6.0):
     model = LengthModel()
     rng = random.Random(seed)
     for _ in range(count):
@@ -40,27 +40,27 @@
 
 
 @given(st.lists(st.floats(0, 1), min_size=BUCKETS, max_size=BUCKETS), st.floats(0, 1e5))
-def test_survival_never_rises(hazards, tokens):
+def test_survival_never_increases(hazards, tokens):
     curve = SurvivalCurve(hazards)
     check.assertLessEqual(curve.log_survival(tokens + 10), curve.log_survival(tokens) + 1e-9)
     check.assertLessEqual(curve.excess_survival(tokens), 1.0)
 
 
-def test_the_quantile_holds_what_it_says():
-    curve = taught().curve(KEY)
+def test_quantiles_match_the_sampled_lengths():
+    curve = trained_model().curve(KEY)
     rng = random.Random(2)
     lengths = [int(rng.lognormvariate(6.0, 1.0)) for _ in range(4000)]
     for share in (0.5, 0.9):
-        held = sum(one <= curve.quantile(share) for one in lengths) / len(lengths)
-        check.assertAlmostEqual(held, share, delta=0.06)
-    long = [one for one in lengths if one >= 800]
-    held = sum(one <= curve.quantile(0.9, 800) for one in long) / len(long)
-    check.assertAlmostEqual(held, 0.9, delta=0.06)
+        below = sum(length <= curve.quantile(share) for length in lengths) / len(lengths)
+        check.assertAlmostEqual(below, share, delta=0.06)
+    long = [length for length in lengths if length >= 800]
+    below = sum(length <= curve.quantile(0.9, 800) for length in long) / len(long)
+    check.assertAlmostEqual(below, 0.9, delta=0.06)
 
 
-def test_sessions_that_still_run_are_evidence():
-    # Every answer runs on past 4000 tokens and none has ended yet. An estimate from ended
-    # sessions alone would know nothing and forecast the prior.
+def test_running_sessions_are_evidence():
+    # Every answer has passed 4000 tokens and none has ended yet. An estimate from ended sessions
+    # alone would have no observations and forecast the prior.
     model = LengthModel()
     before = model.curve(KEY).conditional_survival(0, 2000)
     for _ in range(50):
@@ -69,23 +69,23 @@
 
 
 def test_progress_in_small_steps_counts_each_bucket_once():
-    steps, once = LengthModel(), LengthModel()
+    stepwise, at_once = LengthModel(), LengthModel()
     for _ in range(30):
         for tokens in range(1, 600):
-            steps.record_progress(KEY, tokens - 1, tokens)
-        steps.record_finished(KEY, 599, 600)
-        once.record_finished(KEY, 0, 600)
-    check.assertEqual(steps.summary().by_key[KEY].at_risk, once.summary().by_key[KEY].at_risk)
+            stepwise.record_progress(KEY, tokens - 1, tokens)
+        stepwise.record_finished(KEY, 599, 600)
+        at_once.record_finished(KEY, 0, 600)
+    check.assertEqual(stepwise.summary().by_key[KEY].at_risk, at_once.summary().by_key[KEY].at_risk)
 
 
-def test_a_new_account_starts_with_its_services_lengths():
-    new = LengthKey("llm", "story", "newcomer", "p9")
-    curve = taught().curve(new)
+def test_a_new_account_starts_with_the_lengths_of_its_service():
+    new_key = LengthKey("llm", "story", "newcomer", "p9")
+    curve = trained_model().curve(new_key)
     check.assertAlmostEqual(curve.quantile(0.5), 400, delta=120)
 
 
-def test_a_shift_is_learned():
-    model = taught()
+def test_a_shift_of_lengths_is_learned():
+    model = trained_model()
     rng = random.Random(3)
     for _ in range(600):
         model.record_finished(KEY, 0, max(1, int(rng.lognormvariate(7.0, 1.0))))
@@ -93,17 +93,19 @@
 
 
 def test_summaries_merge_and_are_bounded():
-    here, there = LengthModel(), taught()
-    packed = pack_summary(there.summary())
+    local, remote = LengthModel(), trained_model()
+    packed = pack_summary(remote.summary())
     check.assertLessEqual(len(packed), MAX_SUMMARY_BYTES)
     for _ in range(3):
-        here.set_summary("entry-2", unpack_summary(packed))
-    near = there.curve(KEY).quantile(0.9)
-    check.assertAlmostEqual(here.curve(KEY).quantile(0.9), near, delta=0.1 * near)
-    many = LengthModel()
+        local.set_summary("entry-2", unpack_summary(packed))
+    expected = remote.curve(KEY).quantile(0.9)
+    check.assertAlmostEqual(local.curve(KEY).quantile(0.9), expected, delta=0.1 * expected)
+    large = LengthModel()
     for number in range(500):
-        many.record_finished(LengthKey("s" * 63, "m" * 63, "a" * 120 + str(number), "p"), 0, 20_000)
-    check.assertLessEqual(len(pack_summary(many.summary())), MAX_SUMMARY_BYTES)
+        large.record_finished(
+            LengthKey("s" * 63, "m" * 63, "a" * 120 + str(number), "p"), 0, 20_000
+        )
+    check.assertLessEqual(len(pack_summary(large.summary())), MAX_SUMMARY_BYTES)
 
 
 @given(st.binary(max_size=200))
@@ -114,18 +116,18 @@
         return
 
 
-def test_a_summary_cannot_claim_more_than_it_may():
+def test_an_invalid_or_oversized_summary_is_rejected():
     import msgpack
 
-    good = pack_summary(taught().summary())
+    valid = pack_summary(trained_model().summary())
     for change in ({4: [10**6] * BUCKETS}, {4: [1]}, {0: 7}, {5: [300] * BUCKETS}):
-        rows = msgpack.unpackb(good)
-        for place, value in change.items():
-            rows[0][place] = value
+        rows = msgpack.unpackb(valid)
+        for column, value in change.items():
+            rows[0][column] = value
         check.assertRaises(ValueError, unpack_summary, msgpack.packb(rows))
     rows = [
-        ["s" * 200, "m" * 200, str(number), *msgpack.unpackb(good)[0][3:]] for number in range(60)
+        ["s" * 200, "m" * 200, str(number), *msgpack.unpackb(valid)[0][3:]] for number in range(60)
     ]
-    large = msgpack.packb(rows)
-    check.assertGreater(len(large), MAX_SUMMARY_BYTES)
-    check.assertRaises(ValueError, unpack_summary, large)
+    oversized = msgpack.packb(rows)
+    check.assertGreater(len(oversized), MAX_SUMMARY_BYTES)
+    check.assertRaises(ValueError, unpack_summary, oversized)
--- a/tests/test_line_writer.py
+++ b/tests/test_line_writer.py
@@ -1,4 +1,4 @@
-"""Log lines towards a reader that is slow, or gone, or gets too many."""
+"""Tests of writing log lines to a reader that is slow or has closed the pipe, and under load."""
 
 import os
 
@@ -8,8 +8,8 @@
 load_tests = tests_of(globals())
 
 
-class Clock:
-    """Seconds that a test sets."""
+class ManualClock:
+    """A clock whose seconds the test sets."""
 
     def __init__(self):
         self.now_s = 0.0
@@ -19,42 +19,42 @@
 
 
 def drain(descriptor):
-    """Read all that is in a pipe, as text."""
+    """Return the text that is in a pipe."""
     os.set_blocking(descriptor, False)
     data = b""
     try:
-        while part := os.read(descriptor, 65_536):
-            data += part
+        while chunk := os.read(descriptor, 65_536):
+            data += chunk
     except BlockingIOError:
         return data.decode()
     return data.decode()
 
 
-def test_a_reader_that_stops_reading_stops_nothing():
-    # The process would hang in a write and serve nobody: the pipe to the log collector is full.
-    # Lines are dropped instead, and the reader is told how many when it is back.
+def test_a_reader_that_stops_reading_does_not_block_the_process():
+    # The pipe to the log collector is full, and a process that blocks in a write would serve
+    # nobody. Lines are dropped instead, and their number is logged when the reader reads again.
     reading, writing = os.pipe()
-    clock = Clock()
+    clock = ManualClock()
     writer = LineWriter(writing, clock)
     for number in range(5_000):
         clock.now_s = number
         writer.write("x" * 100)
     check.assertGreater(writer.dropped_total, 0)
     data = drain(reading)
-    for word in ("first", "second", "third"):
+    for line in ("first", "second", "third"):
         clock.now_s += 10
-        writer.write(word)
+        writer.write(line)
         data += drain(reading)
     lines = data.splitlines()
     check.assertEqual(lines[-1], "third")
     check.assertEqual(sum("log_lines_dropped" in line for line in lines), 1)
-    known = ("first", "second", "third", "x" * 100)
-    check.assertEqual([one for one in lines if one not in known and "dropped" not in one], [])
+    written = ("first", "second", "third", "x" * 100)
+    check.assertEqual([line for line in lines if line not in written and "dropped" not in line], [])
 
 
-def test_a_flood_is_cut_and_warnings_still_pass():
+def test_a_flood_of_lines_is_limited_and_warnings_still_pass():
     reading, writing = os.pipe()
-    clock = Clock()
+    clock = ManualClock()
     writer = LineWriter(writing, clock)
     for _ in range(2_000):
         writer.write("info")
@@ -67,10 +67,10 @@
     check.assertEqual(drain(reading), "info\n")
 
 
-def test_a_reader_that_is_gone_stops_nothing():
+def test_a_reader_that_closed_the_pipe_does_not_stop_the_process():
     reading, writing = os.pipe()
     os.close(reading)
-    writer = LineWriter(writing, Clock())
+    writer = LineWriter(writing, ManualClock())
     for _ in range(10):
         writer.write("x")
     os.close(writing)
--- a/tests/test_reference_pages.py
+++ b/tests/test_reference_pages.py
@@ -1,4 +1,4 @@
-"""The pages in docs/ that are made from the code agree with it."""
+"""Tests that the generated pages in docs/ match the code."""
 
 from pathlib import Path
 
@@ -12,15 +12,17 @@
 DOCS = Path(__file__).parent.parent / "docs"
 
 
-def test_pages_agree_with_the_code():
+def test_pages_match_the_code():
     pages = {
         "contracts.md": contract_page,
         "events.md": catalogue_page,
         "services.md": service_page,
         "settings.md": settings_page,
     }
-    for name, make in pages.items():
-        check.assertEqual((DOCS / name).read_text(), make(), f"run egretctl reference for {name}")
+    for name, make_page in pages.items():
+        check.assertEqual(
+            (DOCS / name).read_text(), make_page(), f"run egretctl reference for {name}"
+        )
 
 
 def test_event_numbers_are_unique():
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,4 +1,4 @@
-"""Whole programs on the mock clock: the ordinary way of a session and of a call."""
+"""Tests of whole programs on the mock clock: the usual course of a session and of a call."""
 
 from contextlib import asynccontextmanager
 
@@ -27,8 +27,8 @@
 
 
 @asynccontextmanager
-async def small_site(entries=2, engines=2, step_s=0.02, contract=CONTRACT):
-    """Give a world with a few entries, engines and a plain service, configured and up."""
+async def open_deployment(entries=2, engines=2, step_s=0.02, contract=CONTRACT):
+    """Run a deployment with a few entries, engines and a plain service, configured and started."""
     async with open_world() as world:
         await world.configure(contract__acme=contract, service__llm=ENGINES, service__holds=HOLDS)
         for number in range(engines):
@@ -36,11 +36,11 @@
                 f"engine-{number}", "llm", ("story",), EngineParameters(step_base_s=step_s)
             )
         world.add_plain("holds-0", "holds", Book())
-        started = []
+        processes = []
         for number in range(entries):
-            started.append(await world.start(f"entry-{number}", Program.ENTRY))
+            processes.append(await world.start(f"entry-{number}", Program.ENTRY))
         await trio.sleep(2)
-        yield world, started
+        yield world, processes
 
 
 def contract_of(process):
@@ -53,7 +53,7 @@
 
 
 async def read_all(session, after=-1):
-    """Read a session to its end; give the sequence numbers that were delivered."""
+    """Read a session to its end; return the sequence numbers that were delivered."""
     reader = session.supersede()
     numbers = []
     async for batch in session.batches(reader, after, 5):
@@ -62,35 +62,35 @@
 
 
 async def test_a_streamed_session_delivers_every_token_once():
-    async with small_site() as (_, entries):
+    async with open_deployment() as (_, entries):
         session = await open_story(entries[0], 40)
         check.assertEqual(await read_all(session), list(range(41)))
         check.assertEqual(session.outcome.output_tokens, 40)
 
 
-async def test_another_entry_picks_a_session_up_after_its_owner_was_killed():
+async def test_another_entry_takes_a_session_over_after_its_owner_was_killed():
     # The entry that serves a stream is killed in the middle. The caller connects to another
-    # entry with the session id and the last number it saw, and reads the rest of the same
-    # generation: the id names the engine, which still runs it.
-    async with small_site() as (_, entries):
+    # entry with the session id and the last sequence number it received, and reads the rest of
+    # the same generation: the id contains the engine, which still runs it.
+    async with open_deployment() as (_, entries):
         session = await open_story(entries[0], 60)
         reader = session.supersede()
-        seen = []
+        delivered = []
         async for batch in session.batches(reader, -1, 5):
-            seen.extend(event.sequence for event in batch)
-            if len(seen) > 20:
+            delivered.extend(event.sequence for event in batch)
+            if len(delivered) > 20:
                 break
         entries[0].kill()
         host = entries[1].kernel.get(SessionHost)
-        second = await host.pick_up(contract_of(entries[1]), session.id, seen[-1])
-        check.assertEqual(seen + await read_all(second, seen[-1]), list(range(61)))
+        second = await host.pick_up(contract_of(entries[1]), session.id, delivered[-1])
+        check.assertEqual(delivered + await read_all(second, delivered[-1]), list(range(61)))
 
 
-async def test_an_engine_that_dies_before_the_first_token_is_replaced():
-    async with small_site() as (world, entries):
+async def test_an_engine_that_fails_before_the_first_token_is_replaced():
+    async with open_deployment() as (world, entries):
         session = await open_story(entries[0], 30, stream=False)
         await trio.sleep(0.1)
-        busy = [one for one in world.engine_by_id.values() if one.live.by_id]
+        busy = [engine for engine in world.engine_by_id.values() if engine.live.by_id]
         busy[0].faults.dead = True
         busy[0].faults.wake()
         await session.wait_for_end()
@@ -98,7 +98,7 @@
 
 
 async def test_a_call_with_one_key_runs_once():
-    async with small_site() as (world, entries):
+    async with open_deployment() as (world, entries):
         request = CallRequest("POST", "/h", "", (("Idempotency-Key", "k"),), b"{}", 5)
         for entry in entries:
             api = entry.kernel.get(CallerApi)
@@ -108,7 +108,7 @@
 
 
 async def test_a_wrong_key_is_refused():
-    async with small_site() as (_, entries):
+    async with open_deployment() as (_, entries):
         with check.assertRaises(EgretError) as caught:
             entries[0].kernel.get(Accounts).authenticate("Bearer wrong")
         check.assertIs(caught.exception.kind, ErrorKind.UNAUTHENTICATED)
