--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -13,7 +13,7 @@
 from egretstack.services.session_host import SessionHost
 from standins.world import PORTS
 from tests.support import check, tests_of
-from tests.test_world import open_story, read_all, small_site
+from tests.test_world import open_small_deployment, open_story, read_all
 
 load_tests = tests_of(globals())
 
@@ -29,7 +29,7 @@
 @asynccontextmanager
 async def caller_of_site(key=KEY):
     """Give the first entry, and an HTTP client of it that sends `key`."""
-    async with small_site(entries=1, contract=CONTRACT) as (_, entries):
+    async with open_small_deployment(entries=1, contract=CONTRACT) as (_, entries):
         app = entries[0].access.app_by_address[f"{entries[0].host}:{PORTS['caller']}"]
         headers = {"Authorization": f"Bearer {key}"} if key else {}
         transport = httpx.ASGITransport(app, raise_app_exceptions=False)
--- a/tests/test_dispatching.py
+++ b/tests/test_dispatching.py
@@ -20,7 +20,7 @@
 from egretstack.services.dispatching import Dispatching
 from tests.support import check, tests_of
 from tests.test_replay import files, trace_of
-from tests.test_world import open_story, read_all, small_site
+from tests.test_world import open_small_deployment, open_story, read_all
 
 load_tests = tests_of(globals())
 
@@ -46,7 +46,7 @@
 
 async def test_an_entry_decides_by_the_code_that_a_replay_runs():
     with recorded_events() as handled:
-        async with small_site() as (_, entries):
+        async with open_small_deployment() as (_, entries):
             session = await open_story(entries[0], 80)
             check.assertEqual(await read_all(session), list(range(81)))
             policies = {id(one.kernel.get(Dispatching)._policy) for one in entries}
@@ -61,7 +61,7 @@
 async def test_an_evicted_request_runs_again_and_its_caller_gets_one_answer():
     # The memory of an engine is about to overflow, and the policy evicts a request of which
     # nothing was delivered. It is restarted, and its caller gets one complete answer.
-    async with small_site(entries=1) as (_, entries):
+    async with open_small_deployment(entries=1) as (_, entries):
         dispatching = entries[0].kernel.get(Dispatching)
         session = await open_story(entries[0], 200, stream=False)
         await trio.sleep(1)
@@ -76,7 +76,7 @@
 async def test_a_started_stream_is_not_evicted():
     # The policy's state is one step old: it evicts a stream whose first token has just been
     # delivered. The stream continues where it is.
-    async with small_site(entries=1) as (_, entries):
+    async with open_small_deployment(entries=1) as (_, entries):
         dispatching = entries[0].kernel.get(Dispatching)
         session = await open_story(entries[0], 100)
         reader = session.supersede()
@@ -91,7 +91,7 @@
 
 async def test_an_entry_learns_lengths_from_another():
     with recorded_events() as handled:
-        async with small_site(entries=2) as (_, entries):
+        async with open_small_deployment(entries=2) as (_, entries):
             session = await open_story(entries[0], 40)
             await read_all(session)
             await trio.sleep(25)
--- a/tests/test_limits_world.py
+++ b/tests/test_limits_world.py
@@ -14,7 +14,7 @@
 from egretstack.settings import Program
 from standins.world import PORTS
 from tests.support import check, tests_of
-from tests.test_world import CONTRACT, contract_of, small_site
+from tests.test_world import CONTRACT, contract_of, open_small_deployment
 
 load_tests = tests_of(globals())
 
@@ -61,7 +61,7 @@
 
 
 async def test_one_entry_of_three_gets_the_whole_contract():
-    async with small_site(entries=3) as (_, entries):
+    async with open_small_deployment(entries=3) as (_, entries):
         await trio.sleep(WARM_UP_S + 3)
         _, others = home_and_others(entries)
         admitted, _ = await admit(others[0], BURST)
@@ -71,7 +71,7 @@
 
 
 async def test_a_request_over_the_limits_is_refused_at_once():
-    async with small_site(entries=3) as (_, entries):
+    async with open_small_deployment(entries=3) as (_, entries):
         await trio.sleep(WARM_UP_S + 3)
         _, others = home_and_others(entries)
         before = trio.current_time()
@@ -85,7 +85,7 @@
 
 async def test_a_new_deployment_serves_by_the_conservative_shares():
     # The whole deployment has just started. No home grants yet, and nobody is refused for that.
-    async with small_site(entries=2) as (_, entries):
+    async with open_small_deployment(entries=2) as (_, entries):
         admitted, _ = await admit(entries[0], 5)
         check.assertEqual(admitted, 5)
 
@@ -93,7 +93,7 @@
 async def test_a_killed_home_is_replaced_and_open_requests_stay_counted():
     # Forty requests are open when the home is killed and dropped from the instance list. Another
     # instance becomes the home and grants what is left of the contract.
-    async with small_site(entries=3) as (world, entries):
+    async with open_small_deployment(entries=3) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
         await admit(others[0], 40, gap_s=0.11)
@@ -110,7 +110,7 @@
 async def test_an_entry_cut_off_serves_by_its_share_and_recovers():
     # All messages between an entry and the home are lost in both directions. The entry's callers
     # get a share of the contract; when the connection is restored, they get all of it again.
-    async with small_site(entries=3) as (world, entries):
+    async with open_small_deployment(entries=3) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
         world.network.cut(home.host, others[0].host)
@@ -124,7 +124,7 @@
 
 
 async def test_an_entry_cut_one_way_serves_by_its_share():
-    async with small_site(entries=3) as (world, entries):
+    async with open_small_deployment(entries=3) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
         world.network.cuts.add((home.host, others[0].host))
@@ -133,7 +133,7 @@
 
 
 async def test_limits_continue_while_the_platform_is_unavailable():
-    async with small_site(entries=3) as (world, entries):
+    async with open_small_deployment(entries=3) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
         world.store.down = True
         world.listed.down = True
@@ -144,7 +144,7 @@
 
 
 async def test_a_leaving_instance_is_no_home_but_still_gets_slices():
-    async with small_site(entries=3) as (world, entries):
+    async with open_small_deployment(entries=3) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
         world.set_state(home.name, MemberState.LEAVING)
@@ -156,7 +156,7 @@
 
 
 async def test_a_lowered_limit_is_in_force_with_the_configuration():
-    async with small_site(entries=3) as (world, entries):
+    async with open_small_deployment(entries=3) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
         for entry in entries:
             await world.start(entry.name, Program.STEWARD)
@@ -176,7 +176,7 @@
 
 
 async def test_the_end_of_a_request_is_counted():
-    async with small_site(entries=2) as (_, entries):
+    async with open_small_deployment(entries=2) as (_, entries):
         await admit(entries[0], 3)
         check.assertEqual(open_at(entries[0]), 3)
         entries[0].kernel.get(Accounts).close("acme")
@@ -206,7 +206,7 @@
 async def test_a_cold_entry_admits_a_caller_whose_home_was_killed():
     # The account's home is killed and still listed. The caller uses an entry that never held a
     # slice, waits for the home without an answer, and gets the entry's conservative share.
-    async with small_site(entries=3) as (_, entries):
+    async with open_small_deployment(entries=3) as (_, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
         home.kill()
@@ -216,7 +216,7 @@
 async def test_an_entry_with_a_spent_slice_admits_a_caller_whose_home_was_killed():
     # A caller with little demand has a slice without a token left when the home is killed. No
     # home gives another token while the slice is valid or a new home is warming up.
-    async with small_site(entries=3) as (_, entries):
+    async with open_small_deployment(entries=3) as (_, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
         check.assertIsNone(await call_once(others[0]))
@@ -227,7 +227,7 @@
 async def test_the_survivor_of_two_entries_admits_a_caller_within_its_contract():
     # Of two entries the home is killed while the other holds a slice without a token left. The
     # survivor becomes the home and grants nothing while it warms up.
-    async with small_site(entries=2) as (_, entries):
+    async with open_small_deployment(entries=2) as (_, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
         check.assertIsNone(await call_once(others[0]))
@@ -238,7 +238,7 @@
 async def test_the_first_call_at_a_new_entry_is_admitted():
     # One more instance starts and may become the home. Every entry, including the new one, has a
     # caller within the contract throughout; at any moment one of them makes its first request.
-    async with small_site(entries=2) as (world, entries):
+    async with open_small_deployment(entries=2) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
         check.assertIsNone(await call_once(entries[0]))
         fresh = await world.start("entry-9", Program.ENTRY)
@@ -250,7 +250,7 @@
     # A peer queries the home in another entry's name, with a greater serial than that entry's, and
     # states that nothing is open there. The home would grant the slots of the open requests again
     # and treat every later query of that entry as outdated.
-    async with small_site(entries=3) as (world, entries):
+    async with open_small_deployment(entries=3) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
         await admit(others[0], 10)
@@ -268,7 +268,7 @@
     # Requests arrive while answers arrive. An answer brings a token for a waiting request, and
     # before that request continues, another arrival makes the entry send a query. If the request
     # were counted there again, it would use up a second token and a later caller be refused.
-    async with small_site(entries=3) as (_, entries):
+    async with open_small_deployment(entries=3) as (_, entries):
         await trio.sleep(WARM_UP_S + 3)
         _, others = home_and_others(entries)
         entry = others[0].kernel.get(Limits).entry
@@ -295,7 +295,7 @@
     # One of four entries, the home, is killed. Callers of the others are served by their shares
     # while the new home warms up. A new entry gets its first request when the home starts to
     # grant: what the others keep adds up to the contract, though they hardly use it.
-    async with small_site(entries=4) as (world, entries):
+    async with open_small_deployment(entries=4) as (world, entries):
         await trio.sleep(WARM_UP_S + 3)
         home, others = home_and_others(entries)
         home.kill()
@@ -321,7 +321,7 @@
         **CONTRACT,
         "limits": {"requests_per_s": "1000", "burst": "1000", "concurrency": "1000"},
     }
-    async with small_site(entries=1, contract=contract) as (_, entries):
+    async with open_small_deployment(entries=1, contract=contract) as (_, entries):
         limits = entries[0].kernel.get(Limits)
         contract_in_force = contract_of(entries[0])
         for quiet_s in (0.1, 15, 0):
--- a/tests/test_membership_services.py
+++ b/tests/test_membership_services.py
@@ -26,9 +26,9 @@
     CONTRACT,
     ENGINES,
     contract_of,
+    open_small_deployment,
     open_story,
     read_all,
-    small_site,
 )
 
 load_tests = tests_of(globals())
@@ -75,7 +75,7 @@
 
 
 async def test_a_leaving_entry_is_removed_from_every_answer_within_seconds():
-    async with small_site(entries=4) as (_, entries):
+    async with open_small_deployment(entries=4) as (_, entries):
         entries[1].kernel.begin_drain()
         await trio.sleep(0)
         check.assertNotIn("entry-1", entries[1].kernel.get(Membership).live_instances())
@@ -89,7 +89,7 @@
     # A caller received this entry's address just before it began to leave, or from an entry that
     # did not know it yet, and comes while that answer is valid. If it were refused, it could not
     # know where to go.
-    async with small_site(entries=2) as (_, entries):
+    async with open_small_deployment(entries=2) as (_, entries):
         entries[1].kernel.begin_drain()
         await trio.sleep(ANSWER_TTL_S + LEAVING_PROPAGATION_S - 0.5)
         api = entries[1].kernel.get(CallerApi)
@@ -110,7 +110,7 @@
     # caller comes with a session of another entry: if that were taken over, it would delay the end
     # by a whole generation, and the next caller again. A session that is served here must be let
     # in.
-    async with small_site(entries=2) as (_, entries):
+    async with open_small_deployment(entries=2) as (_, entries):
         other = await open_story(entries[0], 600)
         entries[1].kernel.begin_drain()
         host = entries[1].kernel.get(SessionHost)
@@ -129,7 +129,7 @@
 
 
 async def test_a_last_entry_that_is_leaving_still_lists_itself():
-    async with small_site(entries=1) as (_, entries):
+    async with open_small_deployment(entries=1) as (_, entries):
         entries[0].kernel.begin_drain()
         await trio.sleep(PROPAGATION_S)
         check.assertEqual(listed_entries(entries[0]), ["entry-0"])
@@ -138,7 +138,7 @@
 async def test_a_very_long_stream_outlasts_a_drain_and_a_second_order_to_stop():
     # An entry is stopped twice while a session of tens of thousands of tokens is in progress. The
     # caller must get every token; no time limit may cut it.
-    async with small_site(entries=2, engines=1) as (deployment, entries):
+    async with open_small_deployment(entries=2, engines=1) as (deployment, entries):
         body = GenerationBody(ModelName("story"), "a story tokens:20000", True, 20_000)
         host = entries[0].kernel.get(SessionHost)
         session = await host.open(contract_of(entries[0]), body)
@@ -150,7 +150,7 @@
 
 
 async def test_the_others_know_of_a_stop_at_once():
-    async with small_site(entries=3) as (_, entries):
+    async with open_small_deployment(entries=3) as (_, entries):
         entries[2].kernel.begin_drain()
         await entries[2].stopped.wait()
         await trio.sleep(1)
@@ -159,7 +159,7 @@
 
 
 async def test_a_killed_entry_is_gone_for_the_others_though_listed():
-    async with small_site(entries=4) as (deployment, entries):
+    async with open_small_deployment(entries=4) as (deployment, entries):
         entries[3].kill()
         await trio.sleep(GONE_DETECTION_S)
         for process in entries[:3]:
@@ -170,7 +170,7 @@
 
 
 async def test_listeners_are_notified_of_changes_and_of_applied_revisions():
-    async with small_site(entries=3) as (_, entries):
+    async with open_small_deployment(entries=3) as (_, entries):
         membership = entries[0].kernel.get(Membership)
         seen, revisions = [], []
         membership.on_change(lambda: seen.append(membership.live_instances()))
@@ -187,7 +187,7 @@
 async def test_the_list_is_read_rarely_and_its_changes_reach_all():
     # Of three entries only one reads the list within its period; the others must still send no
     # requests to a runner that the list has as leaving.
-    async with small_site(entries=3) as (deployment, entries):
+    async with open_small_deployment(entries=3) as (deployment, entries):
         for process in entries[1:]:
             process.access.instance_list = _NoList()
         await trio.sleep(5)
@@ -203,7 +203,7 @@
 
 
 async def test_a_runner_listed_as_leaving_gets_no_new_requests_and_runs_on():
-    async with small_site(entries=2) as (deployment, entries):
+    async with open_small_deployment(entries=2) as (deployment, entries):
         session = await open_story(entries[0], 400)
         await trio.sleep(1)
         runner = engine_of_session(deployment)
@@ -226,7 +226,7 @@
 async def test_a_runner_whose_report_says_leaving_gets_no_new_requests_anywhere():
     # The engine's own report says that it is leaving, before the list does. One entry does not read
     # that engine's reports at all; it learns it through the heartbeats.
-    async with small_site(entries=2) as (deployment, entries):
+    async with open_small_deployment(entries=2) as (deployment, entries):
         entries[1].kernel.get(Runners).choose_reports(_NoReports())
         deployment.engine_by_id["engine-0"].live.leaving = True
         await trio.sleep(PROPAGATION_S)
@@ -245,7 +245,7 @@
 
 
 async def test_a_runner_that_stops_answering_gets_no_new_requests_until_it_answers():
-    async with small_site(entries=1) as (deployment, entries):
+    async with open_small_deployment(entries=1) as (deployment, entries):
         deployment.engine_by_id["engine-0"].faults.dead = True
         await trio.sleep(4)
         check.assertEqual(usable(entries[0]), {"engine-1"})
@@ -255,7 +255,7 @@
 
 
 async def test_one_missed_report_removes_no_runner():
-    async with small_site(entries=1) as (deployment, entries):
+    async with open_small_deployment(entries=1) as (deployment, entries):
         events = []
         entries[0].kernel.get(Runners).on_event(events.append)
         events.clear()
@@ -267,7 +267,7 @@
 
 
 async def test_an_operators_order_reaches_every_entry_for_engines_and_plain_services():
-    async with small_site(entries=3) as (_, entries):
+    async with open_small_deployment(entries=3) as (_, entries):
         membership = entries[0].kernel.get(Membership)
         membership.publish_runner_notice(RunnerId("engine-1"), True, for_good=True)
         membership.publish_runner_notice(RunnerId("holds-0"), True, for_good=True)
@@ -330,7 +330,7 @@
     # Something between two instances has dropped their connection: what is sent over it is lost
     # without an error, while new connections work. Heartbeats over the old one get no answer; it
     # must be closed and replaced before the other end counts as gone.
-    async with small_site(entries=2) as (deployment, entries):
+    async with open_small_deployment(entries=2) as (deployment, entries):
         await trio.sleep(25)
         ports = [process.kernel.get(PeerPort) for process in entries]
         before = [port._accepted for port in ports]
@@ -348,7 +348,7 @@
 
 
 async def test_one_peer_cannot_take_every_link():
-    async with small_site(entries=2) as (deployment, entries):
+    async with open_small_deployment(entries=2) as (deployment, entries):
         host, port = entries[0].host, 9200
         access = entries[1].access
 
@@ -364,7 +364,7 @@
 
 
 async def test_an_outage_of_the_list_keeps_the_known_state():
-    async with small_site(entries=3) as (deployment, entries):
+    async with open_small_deployment(entries=3) as (deployment, entries):
         deployment.listed.down = True
         await trio.sleep(60)
         check.assertEqual(len(entries[0].kernel.get(Membership).live_instances()), 3)
@@ -373,7 +373,7 @@
 
 
 async def test_an_address_that_others_cannot_use_is_rejected_at_the_start():
-    async with small_site(entries=1) as (_, entries):
+    async with open_small_deployment(entries=1) as (_, entries):
         sections = {
             "instance": {
                 "id": "entry-x",
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -31,7 +31,7 @@
 from egretstack.settings import Program
 from egretstack.upstreams import GenerationState
 from tests.support import check, tests_of
-from tests.test_world import contract_of, small_site
+from tests.test_world import contract_of, open_small_deployment
 
 load_tests = tests_of(globals())
 
@@ -107,7 +107,7 @@
 @asynccontextmanager
 async def open_long_stream(entries=3, tokens=TOKENS, step_s=STEP_S):
     """Yield a deployment, and the connection of a caller that has read for two seconds."""
-    fixture = small_site(entries=entries, step_s=step_s)
+    fixture = open_small_deployment(entries=entries, step_s=step_s)
     with trio.fail_after(LIMIT_S):
         async with fixture as (world, started), trio.open_nursery() as nursery:
             deployment = Deployment(world, started, nursery)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -27,7 +27,7 @@
 
 
 @asynccontextmanager
-async def open_deployment(entries=2, engines=2, step_s=0.02, contract=CONTRACT):
+async def open_small_deployment(entries=2, engines=2, step_s=0.02, contract=CONTRACT):
     """Run a deployment with a few entries, engines and a plain service, configured and started."""
     async with open_world() as world:
         await world.configure(contract__acme=contract, service__llm=ENGINES, service__holds=HOLDS)
@@ -62,7 +62,7 @@
 
 
 async def test_a_streamed_session_delivers_every_token_once():
-    async with open_deployment() as (_, entries):
+    async with open_small_deployment() as (_, entries):
         session = await open_story(entries[0], 40)
         check.assertEqual(await read_all(session), list(range(41)))
         check.assertEqual(session.outcome.output_tokens, 40)
@@ -72,7 +72,7 @@
     # The entry that serves a stream is killed in the middle. The caller connects to another
     # entry with the session id and the last sequence number it received, and reads the rest of
     # the same generation: the id contains the engine, which still runs it.
-    async with open_deployment() as (_, entries):
+    async with open_small_deployment() as (_, entries):
         session = await open_story(entries[0], 60)
         reader = session.supersede()
         delivered = []
@@ -87,7 +87,7 @@
 
 
 async def test_an_engine_that_fails_before_the_first_token_is_replaced():
-    async with open_deployment() as (world, entries):
+    async with open_small_deployment() as (world, entries):
         session = await open_story(entries[0], 30, stream=False)
         await trio.sleep(0.1)
         busy = [engine for engine in world.engine_by_id.values() if engine.live.by_id]
@@ -98,7 +98,7 @@
 
 
 async def test_a_call_with_one_key_runs_once():
-    async with open_deployment() as (world, entries):
+    async with open_small_deployment() as (world, entries):
         request = CallRequest("POST", "/h", "", (("Idempotency-Key", "k"),), b"{}", 5)
         for entry in entries:
             api = entry.kernel.get(CallerApi)
@@ -108,7 +108,7 @@
 
 
 async def test_a_wrong_key_is_refused():
-    async with open_deployment() as (_, entries):
+    async with open_small_deployment() as (_, entries):
         with check.assertRaises(EgretError) as caught:
             entries[0].kernel.get(Accounts).authenticate("Bearer wrong")
         check.assertIs(caught.exception.kind, ErrorKind.UNAUTHENTICATED)
