--- a/egretstack/duties/_paced.py
+++ b/egretstack/duties/_paced.py
@@ -1,4 +1,4 @@
-"""The object API as a duty's holder may use it: slowly, and only while it holds the lease."""
+"""The object API for a duty's holder: rate-limited, and usable only while it holds the lease."""
 
 from collections.abc import Callable
 
@@ -15,22 +15,25 @@
 )
 
 CALLS_PER_S = 4.0
-CALLS_AT_ONCE = 2.0
-"""A read and the conditional write on it go together: apart, a busy object always conflicts."""
+CALL_BURST = 2.0
+"""Allows a read and the conditional write on it with no wait between them.
 
-LEAST_LEASE_LEFT_S = 4.0
-"""Lease that has to be left for a call; above the time that one call may take."""
+With a wait in between, the write to an object that others update often would always conflict.
+"""
+
+MIN_LEASE_LEFT_S = 4.0
+"""Remaining lease time required for a call; longer than one call may take."""
 
 
 class DutyEnded(Exception):
-    """The lease is over, or nearly; its former holder makes no further call."""
+    """The lease has expired or is about to; its former holder makes no further call."""
 
 
 class PacedObjectApi:
-    """Reads, replaces and deletes, each within the duty's pace and the status budget.
+    """Reads and writes objects within the duty's rate limit and the budget for status calls.
 
-    The budget of status calls is charged too, whatever the kind of the object: work that can wait
-    never takes from what callers wait for.
+    The budget for status calls is charged whatever the kind of the object, so that background
+    work never uses up the budget of calls that callers wait for.
     """
 
     def __init__(
@@ -39,7 +42,7 @@
         self._api = api
         self._remaining_s = remaining_s
         self._rate = rate
-        self._bucket = TokenBucket(rate, CALLS_AT_ONCE, trio.current_time())
+        self._bucket = TokenBucket(rate, CALL_BURST, trio.current_time())
 
     async def get(self, kind: ObjectKind, name: str) -> StoredObject | None:
         """Read one object. Raises DutyEnded and as `ObjectApi.get` says."""
@@ -61,9 +64,9 @@
         await self._admit(kind)
         await self._api.delete(kind, name, version)
 
-    async def before_pair(self) -> None:
-        """Wait until a read and the write on it may be made with no wait between them."""
-        await trio.sleep(CALLS_AT_ONCE / self._rate)
+    async def wait_for_pair(self) -> None:
+        """Wait until a read and the write on it can be made with no wait between them."""
+        await trio.sleep(CALL_BURST / self._rate)
 
     async def _admit(self, kind: ObjectKind) -> None:
         wait_s = self._bucket.wait_s(trio.current_time())
@@ -71,10 +74,10 @@
         await trio.sleep(wait_s)
         now_s = trio.current_time()
         if kind is not ObjectKind.STATUS:
-            budget_s = self._api.budget.wait_s(CallClass.STATUS, now_s)
-            if budget_s > 0:
-                raise PlatformAway("the budget for status is spent", budget_s)
+            budget_wait_s = self._api.budget.wait_s(CallClass.STATUS, now_s)
+            if budget_wait_s > 0:
+                raise PlatformAway("the budget for status is spent", budget_wait_s)
             self._api.budget.spend(CallClass.STATUS, now_s)
-        # After the wait: a holder that was paused, however long, finds its lease over here.
-        if self._remaining_s() <= LEAST_LEASE_LEFT_S:
+        # Checked after the wait: a holder that was paused meanwhile finds its lease expired here.
+        if self._remaining_s() <= MIN_LEASE_LEFT_S:
             raise DutyEnded
