--- a/egretstack/http1/_server.py
+++ b/egretstack/http1/_server.py
@@ -13,8 +13,8 @@
 MAX_PIPELINED_BYTES = 65_536
 """Maximum bytes of pipelined requests that are read while a request is served; then reading stops.
 
-Without the limit a client that keeps sending would fill the memory. A disconnect is then noticed
-only once the response is sent, which delays nothing but this client's own requests.
+Without the limit a client that keeps sending would fill the memory. Once reading has stopped, a
+disconnect is noticed only after the response is sent, which prolongs only the work for this client.
 """
 _TRANSFER_ENCODING = b"transfer-encoding"
 _CONTENT_LENGTH = b"content-length"
--- a/egretstack/relay/_opening.py
+++ b/egretstack/relay/_opening.py
@@ -115,7 +115,7 @@
         )
 
     def _may_run_at(self, runner: Runner) -> bool:
-        """Return whether this instance knows nothing against a runner that the home chose."""
+        """Return whether nothing known to this instance rules out a runner that the home chose."""
         runners = self._context.runners
         if runners.is_evacuated(runner.id) or runners.is_leaving(runner.id):
             return False
--- a/egretstack/relay/_plain.py
+++ b/egretstack/relay/_plain.py
@@ -185,7 +185,7 @@
         try:
             return await self._exchange(task, runner, connection, progress)
         except BaseException:
-            # The client disconnected or the process is ending; closing stops the runner's work.
+            # The client disconnected or the process is ending; closing cancels the runner's work.
             connection.close()
             self._ended(runner, failed=False)
             if not self._context.runners.is_ready(runner.id):
--- a/egretstack/services/configuration.py
+++ b/egretstack/services/configuration.py
@@ -149,8 +149,7 @@
         return self.offer(await self.store.complete(head, self.state.snapshot))
 
     async def sample_platform(self) -> None:
-        """Read the head, with a probability that keeps the rate of the whole fleet's reads
-        fixed."""
+        """Read the head, with a probability that keeps the read rate of the whole fleet fixed."""
         stewards = max(1, len(self._members()))
         starting = self.state.snapshot is None
         rate = STARTING_READS_PER_S if starting else FLEET_READS_PER_S
--- a/egretstack/services/crash_list.py
+++ b/egretstack/services/crash_list.py
@@ -52,9 +52,9 @@
         return self._port.fleet.has_live_home(trio.current_time())
 
     def _may_read(self) -> bool:
-        """Return whether the store is reachable; the list of runners finds out when it is again."""
-        sight = self._port.fleet.own.store
-        return self._port.is_home() and sight is not StoreReachability.UNREACHABLE
+        """Return whether the store is reachable; the list of runners finds out when it is back."""
+        reachability = self._port.fleet.own.store
+        return self._port.is_home() and reachability is not StoreReachability.UNREACHABLE
 
     async def _read(self) -> None:
         store = self._store_reading.store
--- a/egretstack/services/directory_port.py
+++ b/egretstack/services/directory_port.py
@@ -102,7 +102,7 @@
                 if not connection.start_next():
                     return
         except (BadRequest, SlowSender, ClientDisconnected):
-            return  # The client asks elsewhere.
+            return  # No answer was sent; the client queries another instance.
         finally:
             connection.close()
 
@@ -128,8 +128,8 @@
         live = self._port.fleet.live(trio.current_time())
         ready = [known.instance for known in live if known.state is InstanceState.READY]
         table = self._store.gate.table
-        homes = frozenset() if table is None else table.allowed_regions(host)
-        near = nearest(ready, self._region_by_zone, region, homes)
+        allowed = frozenset() if table is None else table.allowed_regions(host)
+        near = nearest(ready, self._region_by_zone, region, allowed)
         ready = [one.front_address for one in near]
         if len(ready) > MAX_ADDRESSES:
             return self.kernel.rng.sample(ready, MAX_ADDRESSES)
--- a/egretstack/services/engine_placing.py
+++ b/egretstack/services/engine_placing.py
@@ -304,9 +304,9 @@
     def _on_permit(self, permit: MoveTurn) -> None:
         """Hand a permit to its run, or give it back if the run has ended or does not wait.
 
-        A request may arrive at the home after the report that its run has ended. The others would
-        then wait for a permit that nobody uses, for longer than the engine's notice, and be lost
-        with it.
+        A request for a permit may arrive at the home after the message that its run has ended. The
+        other runs would then wait for a permit that nobody uses, for longer than the engine's
+        notice, and be lost with the engine.
         """
         waiting = self._permit_by_attempt.get(permit.attempt)
         if waiting is not None:
--- a/egretstack/services/evacuation_list.py
+++ b/egretstack/services/evacuation_list.py
@@ -50,14 +50,14 @@
         return self._port.evacuations.age_s(trio.current_time()) < max_age_s
 
     def _may_read(self) -> bool:
-        """Return whether the store is reachable; the list of runners finds out when it is again.
+        """Return whether the store is reachable; the list of runners finds out when it is back.
 
         An instance that is not the home tries only while it reads that list itself. If all tried,
         each of those that the store answers first would become the home for a moment.
         """
-        sight = self._port.fleet.own.store
-        return sight is StoreReachability.REACHABLE or (
-            self._port.is_home() and sight is StoreReachability.UNKNOWN
+        reachability = self._port.fleet.own.store
+        return reachability is StoreReachability.REACHABLE or (
+            self._port.is_home() and reachability is StoreReachability.UNKNOWN
         )
 
     async def _read(self) -> None:
--- a/egretstack/services/fleet_news.py
+++ b/egretstack/services/fleet_news.py
@@ -79,7 +79,7 @@
     def __init__(self, kernel: Kernel) -> None:
         super().__init__(kernel)
         self._port = kernel.get(FleetPort)
-        self._keeper = UpdateReplica(lambda: kernel.rng.getrandbits(EPOCH_BITS) or 1)
+        self._replica = UpdateReplica(lambda: kernel.rng.getrandbits(EPOCH_BITS) or 1)
         self._sources = _SourceVersions(0, float("-inf"), 0, float("-inf"))
         self._sent_s = float("-inf")
         self._loads_sent_s = float("-inf")
@@ -106,8 +106,8 @@
 
     async def run(self, task_status: trio.TaskStatus[None]) -> None:
         """Send or apply updates until cancelled."""
-        self._port.held_updates = lambda: self._keeper.held
-        self._port.misses_updates = lambda: self._keeper.missed
+        self._port.held_updates = lambda: self._replica.held
+        self._port.misses_updates = lambda: self._replica.missed
         self._port.on_report_sent(self._send_updates)
         self._port.on_report_received(self._on_report)
         self._port.handle(FleetNews, self._on_update)
@@ -120,7 +120,7 @@
         if not self._port.is_home():
             self._hand_over(now_s)
             return
-        publisher = self._keeper.lead()
+        publisher = self._replica.lead()
         others = self._port.fleet.recently_reported(now_s)
         publisher.retain({known.instance.id for known in others})
         before = publisher.rows.version
@@ -145,7 +145,7 @@
         self._sources = _SourceVersions(
             runners.revision, runners.read_s, evacuations.revision, evacuations.read_s
         )
-        return self._keeper.lead().replace_rows(self._rows(others))
+        return self._replica.lead().replace_rows(self._rows(others))
 
     def _is_urgent(self, before: int) -> bool:
         """Return whether the changes since a version are urgent.
@@ -153,7 +153,7 @@
         They are if a runner was removed, is flagged or is not ready, or if a zone or a crash record
         was added.
         """
-        changes = self._keeper.lead().rows.changes_since(before)
+        changes = self._replica.lead().rows.changes_since(before)
         rows = [one.row for one in changes if one.key[0] == _RUNNER]
         ready = RunnerState.READY
         if any(
@@ -169,7 +169,7 @@
             await trio.sleep(REPEAT_AFTER_S)
             self._urgent_sent = trio.Event()
             now_s = trio.current_time()
-            publisher = self._keeper.publisher
+            publisher = self._replica.publisher
             if publisher is None or not self._port.is_home():
                 continue
             others = self._port.fleet.recently_reported(now_s)
@@ -184,8 +184,8 @@
         They follow this instance alone. If it leaves or does not reach the store and so is no
         longer the home, they would otherwise not notice until they find it unresponsive.
         """
-        if self._keeper.publisher is not None:
-            self._keeper.follow()
+        if self._replica.publisher is not None:
+            self._replica.follow()
             self._handovers_left = HANDOVER_REPEATS
         if not self._handovers_left:
             return
@@ -221,7 +221,7 @@
 
     def _send_lacking(self, now_s: float, others: list[KnownInstance]) -> None:
         """Send to each instance what it lacks."""
-        publisher = self._keeper.lead()
+        publisher = self._replica.lead()
         self._send_parts(
             now_s, [(known, publisher.parts_for(now_s, known.instance.id)) for known in others]
         )
@@ -241,7 +241,7 @@
 
     def _update_template(self, now_s: float) -> FleetNews:
         """Return an update without rows."""
-        publisher = self._keeper.lead()
+        publisher = self._replica.lead()
         version, holders = self._newest_configuration(now_s)
         return FleetNews(
             home=instance_row(self._port.fleet.own),
@@ -278,7 +278,7 @@
             self._port.send_encoded(known.instance.peer_address, data)
 
     def _on_report(self, instance: InstanceId, report: InstanceReport) -> None:
-        publisher = self._keeper.publisher
+        publisher = self._replica.publisher
         if publisher is None or not self._port.is_home():
             return
         now_s = trio.current_time()
@@ -297,7 +297,7 @@
             return
         holders = [InstanceId(str(one)) for one in update.config_holders]
         self._port.fleet.record_newest_config(update.config_version, holders)
-        result = self._keeper.follow().apply(update)
+        result = self._replica.follow().apply(update)
         if result is ApplyResult.GAP:
             self._on_gap(now_s, home.instance.id, update)
         elif result is ApplyResult.WHOLE:
@@ -315,7 +315,7 @@
 
     def _apply(self, now_s: float, home: InstanceId, update: FleetNews) -> None:
         """Put the rows to use, which are all rows that the home has sent."""
-        changed_keys = self._keeper.follow().pop_changed()
+        changed_keys = self._replica.follow().pop_changed()
         kinds = {key[0] for key in changed_keys}
         if _INSTANCE in kinds:
             self._port.fleet.record_live_instances(
@@ -340,7 +340,7 @@
     def _apply_crash_records(self, now_s: float, changed_keys: set[str]) -> None:
         """Apply the changed records; those that the home has dropped expire here by themselves."""
         keys = [key for key in changed_keys if key[0] == _CRASH]
-        rows = self._keeper.follow().rows.rows() if keys else {}
+        rows = self._replica.follow().rows.rows() if keys else {}
         for key in keys:
             if key in rows:
                 content = ContentId(key[1:])
@@ -350,17 +350,17 @@
         # Under another home the rows may be the same that this instance sent as the home itself.
         if changed or update.epoch != self._received_epoch:
             self._received_epoch = update.epoch
-            rows = self._keeper.follow().rows.rows()
+            rows = self._replica.follow().rows.rows()
             self._received_zones = frozenset(ZoneName(key[1:]) for key in rows if key[0] == _ZONE)
         read_s = now_s - update.evacuations_age_ms / 1000
         self._port.apply_evacuations(self._received_zones, update.evacuations_revision, read_s)
 
     def _received_limits(self) -> dict[RunnerId, float]:
-        rows = self._keeper.follow().rows.rows().items()
+        rows = self._replica.follow().rows.rows().items()
         return {RunnerId(key[1:]): _parse_limit_row(row) for key, row in rows if key[0] == _LIMIT}
 
     def _rows_of_kind(self, kind: str) -> list[list]:
-        return [row for key, row in self._keeper.follow().rows.rows().items() if key[0] == kind]
+        return [row for key, row in self._replica.follow().rows.rows().items() if key[0] == kind]
 
     def _apply_runners(self, revision: int, read_s: float) -> None:
         table = self._port.runners
--- a/egretstack/services/fleet_port.py
+++ b/egretstack/services/fleet_port.py
@@ -182,8 +182,8 @@
 
     def announce_to_some(self) -> None:
         """Report to a few instances that do not report here; one of them knows the home."""
-        unheard = self.fleet.not_live(trio.current_time())
-        chosen = self.kernel.rng.sample(unheard, min(MAX_ANNOUNCEMENTS, len(unheard)))
+        not_live = self.fleet.not_live(trio.current_time())
+        chosen = self.kernel.rng.sample(not_live, min(MAX_ANNOUNCEMENTS, len(not_live)))
         self._announce_to(chosen)
 
     def announce_to_all(self) -> None:
@@ -339,8 +339,7 @@
             self._on_crash_record_changed(content, was_refused=refused)
 
     def record_clear(self, now_s: float, content: ContentId) -> int | None:
-        """Record that a request was answered or allowed again; return the round that begins, if
-        any."""
+        """Record that a request was answered or allowed again; return the new round, if any."""
         refused = self.crashes.is_refused(content)
         cleared_round = self.crashes.clear(now_s, content)
         if cleared_round is not None:
--- a/egretstack/services/front_port.py
+++ b/egretstack/services/front_port.py
@@ -38,7 +38,7 @@
 LIMITS_AT_START = ServerLimits(16_384, 4_194_304, 3.0, 15.0)
 """Applies until a configuration is known."""
 MAX_BODY_BYTES_IN_PROGRESS = 24_000_000
-"""Limit on the request bodies being read at one time, in bytes. Each body is held twice while it is
+"""Limit on the bodies of all requests in progress, in bytes. Each body is held twice while it is
 joined and sent; with the 25 MB that a process needs by itself that is 73 MB of the 128 MB of the
 smallest instances."""
 FULL_RETRY_S = 0.2
--- a/egretstack/services/instance_listing.py
+++ b/egretstack/services/instance_listing.py
@@ -1,8 +1,8 @@
 """Registers this instance in the platform's store, and reads which others are listed there.
 
-Only an instance that receives no reports of a home does so, the home itself among them. An instance
-that starts where no seed is left finds the home in the list, and the home finds there the instances
-that follow no home or another one.
+Only an instance that receives no reports of another home does so, which includes the home itself.
+An instance that starts where no seed is left finds the home in the list, and the home finds there
+the instances that follow no home or another one.
 """
 
 import trio
@@ -78,11 +78,11 @@
         """Wait until no report of another home has arrived for a while."""
         if not self._port.has_seeds() and not self._port.fleet.known_instances():
             return  # The first instance of a fleet has no home to wait for.
-        unled_since_s = trio.current_time()
-        while trio.current_time() - unled_since_s < HOME_WAIT_S:
+        without_home_since_s = trio.current_time()
+        while trio.current_time() - without_home_since_s < HOME_WAIT_S:
             await trio.sleep(CHECK_INTERVAL_S)
             if self._port.fleet.has_live_home(trio.current_time()):
-                unled_since_s = trio.current_time()
+                without_home_since_s = trio.current_time()
 
     def _unavailable_pause_s(self) -> float:
         """Return the pause after a failed listing.
--- a/egretstack/services/ledger_store.py
+++ b/egretstack/services/ledger_store.py
@@ -179,7 +179,7 @@
         return operation.outcome is not Outcome.LOST
 
     async def _forward_to_home(self, number: int, operation: Operation) -> bool:
-        """Let the shard's ledger home carry an operation out; return whether it confirmed that.
+        """Have the shard's ledger home carry out an operation; return whether it confirmed that.
 
         It may still do so later. That does no harm next to this process's own write: both carry the
         same attempt, and a row of that attempt is never begun a second time.
--- a/egretstack/services/limits.py
+++ b/egretstack/services/limits.py
@@ -63,7 +63,7 @@
                 await self._run_woken()
 
     async def ready(self, contract: Contract) -> None:
-        """Wait, at most MAX_READY_WAIT_S, while the limits home may let in one more request.
+        """Wait, at most `MAX_READY_WAIT_S`, while the limits home may let in one more request.
 
         Call this right before `open`, which decides. A caller waits here only if this entry holds
         too little of the account's limits and the home has not just reported that nothing is left.
--- a/egretstack/services/relay_metrics.py
+++ b/egretstack/services/relay_metrics.py
@@ -21,8 +21,8 @@
 
 LIMITS = ServerLimits(header_bytes=8_192, body_bytes=1_024, header_timeout_s=2, idle_timeout_s=60)
 BUCKETS_S = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.8, 2.5, 4.0, 8.0, 20.0, 40.0)
-"""Concentrated around the targets of both users: 125 and 200 ms for calls, 1.5 and 1.8 s for first
-tokens."""
+"""Concentrated around the targets of both users' deployments: 125 and 200 ms for calls, 1.5 and
+1.8 s for first tokens."""
 
 
 class RelayMetrics(Service):
--- a/egretstack/services/relaying.py
+++ b/egretstack/services/relaying.py
@@ -36,15 +36,15 @@
 whether a stream would end before the process has to."""
 STREAM_START_S = 1.0
 CALL_TIME_S = 0.6
-"""Time that a call needs at most on a leaving instance. One with less time left accepts no more
-calls: clients use their connections until it has ended, and a call that was passed on has to be
+"""Time reserved for a call on a leaving instance, which accepts no more calls once less is left:
+clients use their connections until it has ended, and a call that was passed on has to be
 answered."""
 STOP_MARGIN_S = 1.0
 """Part of the grace period that is kept for sending the last bytes."""
 
 
 class Relaying(Service):
-    """Makes relay tasks of requests."""
+    """Creates the relay task of each request."""
 
     name = "relaying"
     requires = (
@@ -148,11 +148,11 @@
 
     def _zones(self, route: Route, account: ClientAccount | None) -> frozenset[ZoneName] | None:
         """Return the availability zones whose runners may run a request; None if all may."""
-        homes = common_regions(route, account)
-        if homes is None:
+        allowed = common_regions(route, account)
+        if allowed is None:
             return None
         regions = self._node.region_by_zone.items()
-        return frozenset(zone for zone, region in regions if region in homes)
+        return frozenset(zone for zone, region in regions if region in allowed)
 
     def _refuse_while_leaving(self, task: RelayTask) -> None:
         if self._leaving_since_s is None:
--- a/egretstack/services/runners.py
+++ b/egretstack/services/runners.py
@@ -32,7 +32,7 @@
 
 
 class Runners(Service):
-    """Follows list, notices and reports; tells the policy of engines that join, report or leave."""
+    """Follows list, notices and reports; notifies the policy if engines join, report or leave."""
 
     name = "runners"
     requires = ("platform_access", "instances", "membership", "configuration")
--- a/egretstack/services/session_host.py
+++ b/egretstack/services/session_host.py
@@ -184,8 +184,7 @@
             pump.cancel()
 
     async def _notify_previous_holders(self, ref: SessionRef, session: Session) -> None:
-        """Notify instances that may still serve the session, since their cancel would end this
-        one."""
+        """Notify instances that may still serve the session: their cancel would end it here too."""
         held = (ref.runner, ref.generation)
         previous = self._holders.holder(clock.now(), held)
         self._holders.note(clock.now(), held, self._own)
--- a/egretstack/services/store_reading.py
+++ b/egretstack/services/store_reading.py
@@ -46,9 +46,9 @@
 """The same at the first start of the whole fleet, for instances that are not seeds: with no home
 yet, each would read and watch all lists. No client waits."""
 START_POLL_INTERVAL_S = 0.02
-START_LED_S = 1.5
-"""The same once the instance gets reports of a home: the home's updates may be lost, and the
-configuration has to be fetched."""
+START_WITH_HOME_S = 1.5
+"""How long an instance that has just started and gets reports of a home waits before it reads the
+store itself: the home's updates may be lost, and the configuration has to be fetched."""
 READ_SPREAD_S = 0.4
 """Instances whose home does not answer spread their readings of the configuration over this time;
 most of them follow the next home meanwhile."""
@@ -168,7 +168,7 @@
         if not self._port.has_seeds():
             return False
         now_s = trio.current_time()
-        wait_s = START_LED_S if self._port.fleet.has_live_home(now_s) else self._home_wait_s
+        wait_s = START_WITH_HOME_S if self._port.fleet.has_live_home(now_s) else self._home_wait_s
         return now_s - self._started_s < wait_s and not self.is_informed()
 
     async def _wait_for_next_home(self) -> bool:
@@ -233,12 +233,12 @@
 
     def _publish_reachability(self, error: str) -> None:
         """Report to the fleet if this instance no longer reaches the store, or reaches it again."""
-        before, sight = self._port.fleet.own.store, self._watch.reachability
-        if sight is before:
+        before, current = self._port.fleet.own.store, self._watch.reachability
+        if current is before:
             return
-        if sight is StoreReachability.UNREACHABLE:
+        if current is StoreReachability.UNREACHABLE:
             log(Event.STORE_AWAY, error=error)
-        elif before is StoreReachability.UNREACHABLE and sight is StoreReachability.REACHABLE:
+        elif before is StoreReachability.UNREACHABLE and current is StoreReachability.REACHABLE:
             log(Event.STORE_BACK)
-        self._port.update_own(store=sight)
+        self._port.update_own(store=current)
         self._port.report_soon()
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -76,8 +76,7 @@
         self.store.put("servers", runner_id, runner_spec(service, address, state, **more))
 
     def assign_zones(self, *zones: str) -> None:
-        """Write the runners' entries again, and assign the zones in turn to the runners of a
-        service."""
+        """Write the runners' entries again; each service's runners get the zones in turn."""
         for service, runners in (("desk", self.plain), ("llm", self.engines)):
             for runner, zone in zip(runners, cycle(zones), strict=False):
                 self.register(runner.runner_id, service, runner.address, zone=zone)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -13,7 +13,7 @@
 load_tests = tests_of(globals())
 
 MAX_NAMED_S = 6.0
-"""The shortest calm time of the users' deployments, and 3 s; no killed instance is listed for
+"""The shortest calm time of the users' deployments plus 3 s; no killed instance is listed for
 longer."""
 PERIOD_S = 0.25
 
--- a/tests/test_platform_plain.py
+++ b/tests/test_platform_plain.py
@@ -224,7 +224,7 @@
 async def test_a_fleet_that_starts_for_the_first_time_reads_the_store_once():
     # Instances start together and have no home yet. If each read and watched the store for itself,
     # a start of 420 would make 2,500 calls in a second; the seeds read it and inform the others.
-    waits = patch.multiple(store_reading, FIRST_START_WAIT_S=WAIT_S, START_LED_S=WAIT_S)
+    waits = patch.multiple(store_reading, FIRST_START_WAIT_S=WAIT_S, START_WITH_HOME_S=WAIT_S)
     async with platform_site(entries=1) as site:
         waits.start()
         for number in (1, 2, 3):
--- a/tests/test_platform_restarts.py
+++ b/tests/test_platform_restarts.py
@@ -19,8 +19,7 @@
 
 
 async def register_first_starts(site):
-    """Let every engine report its start time, and wait until the entries know it; return the
-    table."""
+    """Let every engine report its start time; return the table once the entries know it."""
     for engine in site.engines:
         engine.events = EVENTS
         register_start(site, engine, FIRST_MS)
@@ -88,8 +87,8 @@
 
 @on_real_clock
 async def test_a_restarted_engine_gets_requests_at_once():
-    # The only engine had announced that it leaves, crashed before it did, and is back. Without
-    # requests it would be idle, and every request would be refused.
+    # The only engine had announced that it leaves, crashed before it did, and is back. If it still
+    # counted as leaving it would be idle, and every request would be refused.
     async with platform_site(plain=0, engines=1) as site:
         table = await register_first_starts(site)
         engine = site.engines[0]
@@ -131,7 +130,7 @@
     steps = {
         "first part": lambda source: ("s-1", False) in source.moves,
         "last part": lambda source: ("s-1", True) in source.moves,
-        "gone on": lambda source: not source._report()["running"],
+        "continued": lambda source: not source._report()["running"],
     }
     for name, when in steps.items():
         async with platform_site(plain=0, engines=2) as site:
