--- a/egretstack/crashes/_record.py
+++ b/egretstack/crashes/_record.py
@@ -15,11 +15,12 @@
 EARLY_S = 3.0
 """Time after its first event within which a stream is a likely cause of its runner's end.
 
-A long stream that continues on copy after copy is in progress at many ends that others cause.
+A long stream that continues on copy after copy is in progress when many runners end for other
+causes.
 """
 REFUSE_WEIGHT = 3 * EARLY_WEIGHT
 MAX_RUNNERS = 16
-"""Runners that one record names; the request is refused long before that."""
+"""Maximum number of runners in one record; the request is refused long before that."""
 MAX_ROUND = 2**31
 MAX_ID_LENGTH = 256
 MAX_AGE_S = 3600.0
--- a/egretstack/fleet/_runner_table.py
+++ b/egretstack/fleet/_runner_table.py
@@ -69,8 +69,8 @@
     ) -> list[Runner]:
         """Apply a reading of the whole list; return the runners that may get no more requests.
 
-        Readings older than the current one are ignored. `from_home`: the list as the home sent it,
-        which has noticed all that was missing and has sent health requests there.
+        Readings older than the current one are ignored. `from_home` is for the list as the home
+        sent it: the home has noticed all missing runners and has sent health requests to them.
         """
         if revision < self.revision:
             return []
@@ -232,7 +232,7 @@
         return now_s - self.read_s
 
     def _record_cold_times(self, now_s: float, runners: Iterable[Runner]) -> None:
-        """Record how long runners stay cold, where their entries changed in this."""
+        """Record how long runners stay cold, if their entries state a new time."""
         for runner in runners:
             known = self.by_id.get(runner.id)
             if runner.cold_s > 0 and (known is None or known.cold_s != runner.cold_s):
@@ -324,8 +324,8 @@
     def _merge_relisted(self, listed: Runner) -> Runner:
         """Return a missing runner merged with the entry that lists it again.
 
-        Whether it is live has to be requested from the runner itself: an entry also comes back by a
-        heartbeat that was long in flight, from a runner that has ended by then.
+        Only an answer of the runner itself shows that it is live: an entry is also restored by a
+        heartbeat that was in flight for long, from a runner that has ended by then.
         """
         if listed.state is not RunnerState.READY:
             self._relisted.discard(listed.id)
--- a/egretstack/fleet/_store_watch.py
+++ b/egretstack/fleet/_store_watch.py
@@ -5,7 +5,8 @@
 REACHABLE_TTL_S = 2.5
 """How long an answer of the store shows that an instance reaches it: two watch requests."""
 UNREACHABLE_TTL_S = 5.0
-"""How long a failure shows the opposite; without an end nobody would try again after an outage."""
+"""How long a failure shows the opposite. If it did not expire, no instance would try again after an
+outage."""
 
 
 class StoreWatch:
--- a/egretstack/limits/_entry.py
+++ b/egretstack/limits/_entry.py
@@ -1,4 +1,4 @@
-"""Admission on an entry: by the slices that it holds, which it queries the limits homes for."""
+"""Admission on an entry, by the slices that it holds; it requests them from the limits homes."""
 
 from dataclasses import dataclass
 
--- a/egretstack/membership/_duplicates.py
+++ b/egretstack/membership/_duplicates.py
@@ -26,8 +26,7 @@
         # instance would stay gone.
         if held.state in (InstanceState.SUSPECT, InstanceState.GONE):
             return True
-        # An earlier run of this process may have left one such row behind, but not several in a
-        # row.
+        # An earlier run of this process may have left one such row behind, but not several.
         if len(self._refuted_s) == MAX_REFUTATIONS and now_s - self._refuted_s[0] < WINDOW_S:
             return False
         self._refuted_s.append(now_s)
--- a/egretstack/placing/_run.py
+++ b/egretstack/placing/_run.py
@@ -16,7 +16,7 @@
     max_output_tokens: int
     length_hint: int | None
     rank: int
-    """0 is the max_output urgent."""
+    """0 is the most urgent."""
     first_token_budget_s: float
     """Time left until the first token is late for the caller."""
     max_wait_s: float
--- a/egretstack/placing/_run_registry.py
+++ b/egretstack/placing/_run_registry.py
@@ -37,7 +37,7 @@
 have no run in progress.
 
 This guards against one account that sends many times its usual load. In order of arrival alone it
-would take limit of the memory that is freed, and the generations of all other accounts would be
+would take most of the memory that is freed, and the generations of all other accounts would be
 refused after a wait."""
 
 LoadById = dict[RunnerId, EngineLoad]
--- a/egretstack/policy/_default.py
+++ b/egretstack/policy/_default.py
@@ -50,7 +50,7 @@
 
 
 class DefaultPolicy(Policy):
-    """Sends a request to an engine whose forecast peak memory leaves enough room; else queues it.
+    """Sends a request to an engine if the forecast peak of its memory still fits; else queues it.
 
     The queue is ordered by contract value, with ageing and a minimum share for every account.
     A request that is forecast to miss its deadline is refused immediately.
