--- a/egretstack/fleet/_fleet.py
+++ b/egretstack/fleet/_fleet.py
@@ -356,14 +356,14 @@
             and StoreReachability.UNREACHABLE in stores
             and not returning
         ):
-            away = {
+            unreachable = {
                 record.known.instance.id
                 for record in records
                 if record.known.store is StoreReachability.UNREACHABLE
             }
             if self.own.store is StoreReachability.UNREACHABLE:
-                away.add(self.own.instance.id)
-            rows = [(row[0] + (row[3] in away), *row[1:]) for row in rows]
+                unreachable.add(self.own.instance.id)
+            rows = [(row[0] + (row[3] in unreachable), *row[1:]) for row in rows]
         rows.sort()
         return [row[3] for row in rows]
 
--- a/egretstack/limits/_home.py
+++ b/egretstack/limits/_home.py
@@ -97,13 +97,13 @@
         if since_s is None:
             self._grants_by_account.pop(request.account, None)
             return _NO_HOME
-        granting_from_s = self._opening_time(since_s)
+        granting_from_s = self._granting_from_s(since_s)
         grants = self._grants(request.account, granting_from_s)
         if now_s < granting_from_s:
             return grants.record_kept(now_s, entry, serial, request)
         return grants.grant(now_s, entry, serial, request, contract_share(contract))
 
-    def _opening_time(self, since_s: float) -> float:
+    def _granting_from_s(self, since_s: float) -> float:
         # The old home may have granted limits until its end, and may learn later than this one
         # that it is no longer the home. Granting before those slices have expired would let both
         # sets of slices be used at the same time.
--- a/egretstack/membership/_report_schedule.py
+++ b/egretstack/membership/_report_schedule.py
@@ -29,7 +29,7 @@
         self._gap_s = 1 / rate_per_s
         self._min_interval_s = min_interval_s
         self._rng = rng
-        self._next_turn_s = float("-inf")
+        self._next_reading_s = float("-inf")
         self._read_s: dict[RunnerId, float] = {}
         self._urgent: dict[RunnerId, None] = {}
         self._failed_s: dict[RunnerId, float] = {}
@@ -66,7 +66,7 @@
         if runner is None or self._due_s(now_s, runner) > now_s:
             return None
         gap_s = self._gap_s * self._rng.uniform(1 - JITTER, 1 + JITTER)
-        self._next_turn_s = max(self._next_turn_s, now_s - self._gap_s) + gap_s
+        self._next_reading_s = max(self._next_reading_s, now_s - self._gap_s) + gap_s
         self._read_s[runner] = now_s
         self._urgent.pop(runner, None)
         return runner
@@ -82,6 +82,6 @@
 
     def _due_s(self, now_s: float, runner: RunnerId) -> float:
         if runner in self._urgent:
-            ahead_s = self._next_turn_s - MAX_AHEAD * self._gap_s
+            ahead_s = self._next_reading_s - MAX_AHEAD * self._gap_s
             return max(self._read_s[runner] + RETRY_INTERVAL_S, ahead_s)
-        return max(self._read_s[runner] + self._min_interval_s, self._next_turn_s, now_s)
+        return max(self._read_s[runner] + self._min_interval_s, self._next_reading_s, now_s)
--- a/egretstack/placing/_run.py
+++ b/egretstack/placing/_run.py
@@ -75,7 +75,7 @@
 def request_from_row(row: object) -> GenerationRequest:
     """Parse the row of a request. Raises MessageError."""
     try:
-        attempt, service, prompt, max_output, hint, rank, patience_ms, wait_ms, *rest = row
+        attempt, service, prompt, max_output, hint, rank, budget_ms, wait_ms, *rest = row
         prompt_id, excluded, account, zones = rest
         return GenerationRequest(
             str(attempt),
@@ -84,7 +84,7 @@
             int(max_output),
             None if hint is None else int(hint),
             int(rank),
-            int(patience_ms) / 1000,
+            int(budget_ms) / 1000,
             int(wait_ms) / 1000,
             str(prompt_id),
             tuple(RunnerId(str(one)) for one in excluded),
--- a/tests/limits_fleet.py
+++ b/tests/limits_fleet.py
@@ -115,7 +115,7 @@
         return [other for other in self.nodes() if other is not node]
 
     def cut(self, side: Iterable[Node], other: Iterable[Node], both: bool = True) -> None:
-        """Drop all messages from one side to the other, or in both directions."""
+        """Drop all messages from one side to the other; with `both`, in both directions."""
         others = list(other)
         for left in side:
             for right in others:
--- a/tests/test_crash_records.py
+++ b/tests/test_crash_records.py
@@ -167,14 +167,14 @@
 
 
 def test_an_engine_that_has_ended_is_unresponsive_until_it_answers():
-    silence = UnansweredQueries()
-    silence.record_ended("a")
+    unanswered = UnansweredQueries()
+    unanswered.record_ended("a")
     queried = {"a", "b", "c"}
-    check.assertEqual(silence.unresponsive(queried), {"a"})
-    silence.record_miss("a")
-    check.assertEqual(silence.unresponsive(queried), {"a"})
-    silence.record_answer("a")
-    check.assertEqual(silence.unresponsive(queried), frozenset())
+    check.assertEqual(unanswered.unresponsive(queried), {"a"})
+    unanswered.record_miss("a")
+    check.assertEqual(unanswered.unresponsive(queried), {"a"})
+    unanswered.record_answer("a")
+    check.assertEqual(unanswered.unresponsive(queried), frozenset())
 
 
 def test_invalid_rows_are_rejected():
--- a/tests/test_fleet_news.py
+++ b/tests/test_fleet_news.py
@@ -233,7 +233,7 @@
 
 @on_real_clock
 async def test_invalid_updates_end_no_process():
-    # Anyone who reaches the port may send anything. Rows that are no runner, invalid marks and
+    # Anyone who reaches the port may send anything. Rows that are no runner, invalid flags and
     # versions out of order are rejected with a log line; the instance goes on as before.
     async with platform_site(entries=1, plain=1) as site:
         kernel = site.kernels[0]
--- a/tests/test_limits_faults.py
+++ b/tests/test_limits_faults.py
@@ -132,7 +132,8 @@
 
 def test_open_requests_are_reported_to_a_new_home_at_once():
     # The slice of open streams is renewed only every 9 s, and their home leaves the list. The
-    # new home grants after 6 s; if it were told at the next renewal, it would grant their slots.
+    # new home grants after 6 s; if it learned of the streams only at the next renewal, it would
+    # have granted their slots before that.
     fleet, home, others = fleet_and_home()
     for _ in range(20):
         fleet.request(others[0], hold_s=LONG_HOLD_S)
--- a/tests/test_limits_messages.py
+++ b/tests/test_limits_messages.py
@@ -27,8 +27,8 @@
 
 
 def test_rows_pass_the_codec():
-    ask = make_query(InstanceId("entry-a"), 7, [ROW])
-    check.assertEqual(parse_query(decode(msgpack.unpackb(encode(ask)))), [ROW])
+    query = make_query(InstanceId("entry-a"), 7, [ROW])
+    check.assertEqual(parse_query(decode(msgpack.unpackb(encode(query)))), [ROW])
     grant = Grant(GrantStatus.GRANTED, Share(1.5, 2.25, 4), 0.125, 2, 3.0)
     answer = decode(msgpack.unpackb(encode(make_answer([grant]))))
     check.assertEqual(parse_answer(answer, 1), [grant])
@@ -36,9 +36,9 @@
 
 def test_rounding_never_adds_to_a_limit():
     kept = GrantRequest(AccountId("acme"), 0, 0, Share(0.0001, 0.0001, 0), Share(), 0.0009)
-    ask = make_query(InstanceId("entry-a"), 1, [kept])
-    check.assertEqual(parse_query(ask)[0].keep, Share(0.001, 0.001, 0))
-    check.assertEqual(parse_query(ask)[0].returned, 0.0)
+    query = make_query(InstanceId("entry-a"), 1, [kept])
+    check.assertEqual(parse_query(query)[0].keep, Share(0.001, 0.001, 0))
+    check.assertEqual(parse_query(query)[0].returned, 0.0)
     grant = Grant(GrantStatus.GRANTED, Share(0.0019, 0.0019, 0), 0.0019, 0, 0.0)
     read = parse_answer(make_answer([grant]), 1)[0]
     check.assertEqual((read.share, read.tokens), (Share(0.001, 0.001, 0), 0.001))
--- a/tests/test_limits_world.py
+++ b/tests/test_limits_world.py
@@ -257,9 +257,9 @@
         grants = home.kernel.get(Limits).home._grants_by_account[AccountId("acme")]
         before = grants._grant_by_entry[InstanceId(others[0].name)]
         row = GrantRequest(AccountId("acme"), 0, 0, Share(), Share(), 0.0)
-        ask = make_query(InstanceId(others[0].name), 10**15, [row])
+        query = make_query(InstanceId(others[0].name), 10**15, [row])
         port = others[1].kernel.get(PeerPort)
-        answer = await port.request(InstanceId(home.name), home.host, PORTS["peer"], ask)
+        answer = await port.request(InstanceId(home.name), home.host, PORTS["peer"], query)
         check.assertIsInstance(answer, Nothing)
         check.assertEqual(grants._grant_by_entry[InstanceId(others[0].name)], before)
 
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -66,7 +66,7 @@
 
 
 def test_a_repeated_request_gets_the_same_placement():
-    # If the first answer is lost and the question is repeated, the run must not count twice.
+    # If the first answer is lost and the request is repeated, the run must not count twice.
     placer, _ = make_placer("a", "b", "c")
     check.assertEqual(place(placer, "w1"), place(placer, "w1", 0.05))
 
@@ -373,8 +373,8 @@
 
 
 def test_an_engine_that_refused_a_connection_is_not_chosen_again():
-    # The first answer is kept for repeated questions: the same dead engine would be returned at
-    # each try.
+    # The first placement is kept for repeated requests: without the exclusion the same dead engine
+    # would be returned at each try.
     placer, _ = make_placer("a", "b")
     first = place(placer, "w1")
     check.assertNotEqual(place(placer, "w1", excluded=(first.runner,)).runner, first.runner)
--- a/tests/test_promises_properties.py
+++ b/tests/test_promises_properties.py
@@ -51,7 +51,7 @@
     strength=st.integers(0, 2),
 )
 _fleet_step = st.tuples(
-    st.sampled_from(("heard", "record_referral", "told", "add_listed", "own")),
+    st.sampled_from(("report", "record_referral", "live", "add_listed", "own")),
     _other,
     st.sampled_from((0.0, 0.0, 0.06, 0.3, 1.2, 4.0)),
 )
@@ -66,11 +66,11 @@
     for kind, other, passed_s in steps:
         now_s += passed_s
         for view in (cached, uncached):
-            if kind == "heard":
+            if kind == "report":
                 view.record_report(now_s, other)
             elif kind == "own":
                 view.own = replace(view.own, store=other.store, state=other.state)
-            elif kind == "told":
+            elif kind == "live":
                 view.record_live_instances(now_s, other.instance.id, [other])
             else:
                 getattr(view, kind)(now_s, [other])
@@ -124,14 +124,14 @@
     st.lists(st.booleans(), max_size=6), st.sampled_from(ErrorKind), st.sampled_from((None, 0.4))
 )
 def test_not_run_is_never_stated_once_a_request_may_have_run(sends, kind, retry_s):
-    knowledge = ExecutionStatus()
+    execution = ExecutionStatus()
     for unknown in sends:
         if unknown:
-            knowledge.mark_unknown()
-        failure = knowledge.failure(kind, "x", retry_after_s=retry_s)
-        if knowledge.may_have_run:
+            execution.mark_unknown()
+        failure = execution.failure(kind, "x", retry_after_s=retry_s)
+        if execution.may_have_run:
             check.assertNotIn(failure.status, NOT_RUN_STATUSES)
-    check.assertEqual(knowledge.may_have_run, any(sends))
+    check.assertEqual(execution.may_have_run, any(sends))
 
 
 @EXAMPLES
--- a/tests/test_runner_incarnations.py
+++ b/tests/test_runner_incarnations.py
@@ -36,8 +36,8 @@
 
 
 def test_a_runner_reports_its_start_before_the_store_lists_it():
-    # Its report comes from the new process while the store still lists the former one: without care
-    # each later reading of the old entry would undo the update.
+    # Its report comes from the new process while the store still lists the former one. A later
+    # reading of the old entry must not undo the update.
     table = RunnerTable()
     table.apply_reading(0.0, [runner("a", started_ms=100)], 10, 0.0)
     check.assertEqual(table.record_start(RunnerId("a@100"), 200).id, "a@100")
@@ -108,8 +108,8 @@
 
 
 def test_a_late_heartbeat_of_a_runner_that_was_replaced():
-    # By a heartbeat long in flight the store lists a runner again that is gone, and another one has
-    # its address. That one must not be sent health requests in the former one's name.
+    # A heartbeat that was in flight for long makes the store list a runner again that is gone, and
+    # another one has its address. That one must not get health requests in the former one's name.
     table = RunnerTable()
     table.apply_reading(0.0, [runner("a", address="10.2.0.9:80")], 10, 0.0)
     table.apply_reading(1.0, [], 11, 1.0)
--- a/tests/test_runner_rests.py
+++ b/tests/test_runner_rests.py
@@ -23,7 +23,7 @@
     (b"length-hint", b"6000"),
 )
 GRACE_S = 0.3
-"""Time after a runner asked for backoff in which requests on their way still reach it."""
+"""Time after a runner asked for backoff in which requests in flight still reach it."""
 
 
 def sender(attempt, entries):
@@ -32,7 +32,7 @@
 
 
 def max_in_backoff(runner, entries=1):
-    """Return the maximum number of requests to a runner during a backoff of their instance."""
+    """Return the most requests of one instance that reached a runner during its backoff."""
     maximum = 0
     for requested_s, rejected in runner.rests:
         begin_s, end_s, instance = (
--- a/tests/test_runner_strikes.py
+++ b/tests/test_runner_strikes.py
@@ -1,4 +1,4 @@
-"""Plain runners that break calls: found by the fleet, tried with what may be repeated."""
+"""Plain runners that break calls: the fleet detects them and tries them with repeatable calls."""
 
 import random
 
@@ -148,8 +148,8 @@
 
 @on_real_clock
 async def test_the_fleet_learns_of_a_runner_that_breaks_calls():
-    # Two calls through one instance find a runner that resets them; the other instance knows it
-    # before it has sent anything there, and its payments go elsewhere.
+    # Two calls through one instance reveal a runner that resets them; the other instance knows it
+    # before it has sent anything there, and sends its calls elsewhere.
     async with platform_site(entries=2, plain=2) as site:
         bad = site.plain[0]
         bad.faults = [PlainFault.BREAKS] * 500
