--- a/tests/test_limits_faults.py
+++ b/tests/test_limits_faults.py
@@ -59,15 +59,15 @@
     new = fleet.home_of("acme")
     remaining = [node for node in others if node is not old]
     fleet.cut([old], remaining)
-    asker = next(node for node in remaining if node is not new)
+    requester = next(node for node in remaining if node is not new)
     peak_open = [0]
 
     def watch():
-        heavy_demand(fleet, [old, asker], hold_s=0.5, each=10)()
+        heavy_demand(fleet, [old, requester], hold_s=0.5, each=10)()
         peak_open[0] = max(peak_open[0], fleet.open_total())
 
     fleet.run(SLICE_TTL_S, watch)
-    check.assertLessEqual(peak_open[0], SLOTS + fallback_slots([asker]))
+    check.assertLessEqual(peak_open[0], SLOTS + fallback_slots([requester]))
     peak_open[0] = 0
     fleet.run(WARM_UP_S + 3, watch)
     check.assertGreaterEqual(peak_open[0], SLOTS)
--- a/tests/test_limits_whole.py
+++ b/tests/test_limits_whole.py
@@ -220,11 +220,11 @@
 def test_one_query_carries_all_accounts_of_a_home():
     contracts = [contract(f"a{number}") for number in range(100)]
     fleet = Fleet(2, contracts)
-    asker = fleet.nodes()[0]
+    requester = fleet.nodes()[0]
     for known in contracts:
-        fleet.request(asker, known.account, hold_s=LONG_HOLD_S)
+        fleet.request(requester, known.account, hold_s=LONG_HOLD_S)
     fleet.run(5)
-    before = asker.sent_messages
+    before = requester.sent_messages
     fleet.run(90)
     # Ten renewals in 90 s, whatever the number of accounts; some are out of step at first.
-    check.assertLess(asker.sent_messages - before, 25)
+    check.assertLess(requester.sent_messages - before, 25)
--- a/tests/test_membership_services.py
+++ b/tests/test_membership_services.py
@@ -1,4 +1,4 @@
-"""Membership inside whole programs: answers to callers, leaving, runners, links that go silent."""
+"""Membership inside whole programs: answers to callers, leaving, runners, links that drop messages."""
 
 from collections import Counter
 from contextlib import asynccontextmanager
