--- a/tests/test_membership_services.py
+++ b/tests/test_membership_services.py
@@ -1,4 +1,4 @@
-"""Membership inside whole programs: answers to callers, leaving, runners, links that drop messages."""
+"""Membership in whole programs: answers to callers, leaving, runners, links that lose messages."""
 
 from collections import Counter
 from contextlib import asynccontextmanager
