--- a/tests/test_limits_faults.py
+++ b/tests/test_limits_faults.py
@@ -59,15 +59,15 @@
     new = fleet.home_of("acme")
     remaining = [node for node in others if node is not old]
     fleet.cut([old], remaining)
-    asker = next(node for node in remaining if node is not new)
+    requester = next(node for node in remaining if node is not new)
     peak_open = [0]
 
     def watch():
-        heavy_demand(fleet, [old, asker], hold_s=0.5, each=10)()
+        heavy_demand(fleet, [old, requester], hold_s=0.5, each=10)()
         peak_open[0] = max(peak_open[0], fleet.open_total())
 
     fleet.run(SLICE_TTL_S, watch)
-    check.assertLessEqual(peak_open[0], SLOTS + fallback_slots([asker]))
+    check.assertLessEqual(peak_open[0], SLOTS + fallback_slots([requester]))
     peak_open[0] = 0
     fleet.run(WARM_UP_S + 3, watch)
     check.assertGreaterEqual(peak_open[0], SLOTS)
@@ -132,7 +132,8 @@
 
 def test_open_requests_are_reported_to_a_new_home_at_once():
     # The slice of open streams is renewed only every 9 s, and their home leaves the list. The
-    # new home grants after 6 s; if it were told at the next renewal, it would grant their slots.
+    # new home grants after 6 s; if it learned of the streams only at the next renewal, it would
+    # have granted their slots before that.
     fleet, home, others = fleet_and_home()
     for _ in range(20):
         fleet.request(others[0], hold_s=LONG_HOLD_S)
