--- a/egretstack/contracts/_contract.py
+++ b/egretstack/contracts/_contract.py
@@ -62,5 +62,5 @@
 
 
 def read_contract(where: str, sections: dict[str, dict[str, str]]) -> Contract:
-    """Validate the sections of a contract; raise UserError that names `where` in each fault."""
+    """Validate the sections of a contract; raise UserError that names `where` in each error."""
     return Contract.from_document(CONTRACT_SCHEMA.check(where, sections))
--- a/egretstack/contracts/_service.py
+++ b/egretstack/contracts/_service.py
@@ -41,5 +41,5 @@
 
 
 def read_service(where: str, sections: dict[str, dict[str, str]]) -> ServiceSpec:
-    """Validate the sections of a description; raise UserError that names `where` in each fault."""
+    """Validate the sections of a description; raise UserError that names `where` in each error."""
     return ServiceSpec.from_document(SERVICE_SCHEMA.check(where, sections))
--- a/egretstack/events/_catalogue.py
+++ b/egretstack/events/_catalogue.py
@@ -152,11 +152,11 @@
     )
     ZONE_BACK = (451, Level.INFO, "An evacuation was revoked; the zone's runners get requests.")
     EVACUATION_UNREADABLE = (452, Level.WARNING, "An evacuation entry in the store is invalid.")
-    RUN_BROKEN = (453, Level.WARNING, "A run broke off; `ended` says if its runner did too.")
+    RUN_BROKEN = (453, Level.WARNING, "A run broke off; `ended` says if its runner ended as well.")
     CONTENT_REFUSED = (
         454,
         Level.WARNING,
-        "Runners ended while running a request; it is not sent now.",
+        "Runners ended while running a request; it is not sent to any runner now.",
     )
     CONTENT_CLEARED = (
         455,
@@ -190,7 +190,7 @@
     RUNNERS_SUSPECTED = (
         444,
         Level.WARNING,
-        "Requests sent to these runners break off unusually often.",
+        "Too many requests to these runners break off; an empty list if there are none now.",
     )
     RUNNER_NOT_BACK = (
         442,
@@ -221,7 +221,11 @@
     STREAM_NOT_CONTINUED = (433, Level.WARNING, "A stream could not continue at another runner.")
     STREAM_LOST = (434, Level.ERROR, "A stream broke off, and the client was notified.")
     STREAM_OUT_OF_TIME = (435, Level.WARNING, "A stream was aborted at its deadline.")
-    RUNNERS_SILENT = (437, Level.WARNING, "These runners do not answer the home; no new requests.")
+    RUNNERS_SILENT = (
+        437,
+        Level.WARNING,
+        "These runners do not answer the home; they get no new requests.",
+    )
     REPORT_UNREADABLE = (438, Level.WARNING, "An engine sent no readable load report.")
     NEWS_GAP = (445, Level.INFO, "Updates from the home were lost; they are requested again.")
     RUNNER_INTRODUCED = (
--- a/egretstack/kernel/_kernel.py
+++ b/egretstack/kernel/_kernel.py
@@ -33,7 +33,7 @@
         self._service_by_name[service.name] = service
 
     def get(self, kind: type[S]) -> S:
-        """Return the registered service named as `kind` is; raise TypeError for another class."""
+        """Return the service with the name of `kind`; raise TypeError if it is of another class."""
         service = self._service_by_name[kind.name]
         if not isinstance(service, kind):
             raise TypeError(f"service {kind.name} is not a {kind.__name__}")
--- a/egretstack/ledger/_shard.py
+++ b/egretstack/ledger/_shard.py
@@ -23,7 +23,7 @@
 MAX_HEAD_BYTES = 786_432
 """Size of a head's rows above which no new row is accepted; only open rows can add up to it."""
 MAX_SEGMENTS = 4_000
-"""Number of listed segments above which no new row is accepted: the list is part of the head."""
+"""Number of listed segments from which no new row is accepted: the list is part of the head."""
 MAX_SEGMENT_BYTES = 524_288
 _INDEX_DIGITS = 16
 _FINAL_STATES = frozenset({CallState.DONE, CallState.UNKNOWN})
--- a/egretstack/ledger/_store.py
+++ b/egretstack/ledger/_store.py
@@ -83,15 +83,15 @@
     @property
     def is_idle(self) -> bool:
         """Return whether no operation is waiting on any shard."""
-        return all(lane.writer.is_idle for lane in self._workers)
+        return all(worker.writer.is_idle for worker in self._workers)
 
     def submit(self, number: int, operation: Operation) -> None:
         """Start an operation on a shard."""
-        lane = self._workers[number]
-        lane.writer.submit(operation)
-        if not lane.is_running:
-            lane.is_running = True
-            self._nursery.start_soon(self._run_worker, lane)
+        worker = self._workers[number]
+        worker.writer.submit(operation)
+        if not worker.is_running:
+            worker.is_running = True
+            self._nursery.start_soon(self._run_worker, worker)
 
     def is_unavailable(self, number: int) -> bool:
         """Return whether the shard's store was unavailable a moment ago."""
@@ -108,52 +108,52 @@
             self._workers[number].writer.expire_begins(trio.current_time())
         return operation.outcome
 
-    async def _run_worker(self, lane: _ShardWorker) -> None:
+    async def _run_worker(self, worker: _ShardWorker) -> None:
         while True:
-            await trio.sleep_until(lane.next_write_s)
-            lane.writer.expire_begins(trio.current_time())
-            step = lane.writer.next_step(self._epoch.now())
+            await trio.sleep_until(worker.next_write_s)
+            worker.writer.expire_begins(trio.current_time())
+            step = worker.writer.next_step(self._epoch.now())
             self._notify_waiters()
             if step is None:
-                lane.is_running = False
+                worker.is_running = False
                 return
-            await self._execute(lane, step)
+            await self._execute(worker, step)
             self._notify_waiters()
 
     def _notify_waiters(self) -> None:
         for operation in [one for one in self._event_by_operation if one.outcome is not None]:
             self._event_by_operation.pop(operation).set()
 
-    async def _execute(self, lane: _ShardWorker, step: Step) -> None:
+    async def _execute(self, worker: _ShardWorker, step: Step) -> None:
         is_write = isinstance(step, WriteHead)
         try:
             with trio.fail_after(STORE_TIMEOUT_S):
-                await self._call_store(lane, step)
+                await self._call_store(worker, step)
             return
         except Conflict:
-            lane.conflicts += 1
-            lane.writer.on_conflict()
+            worker.conflicts += 1
+            worker.writer.on_conflict()
             pause_s = CONFLICT_PAUSE_S
         except (trio.TooSlowError, PlatformOutcomeUnknown):
-            lane.writer.on_failure(is_write)
+            worker.writer.on_failure(is_write)
             pause_s = CONFLICT_PAUSE_S if is_write else UNAVAILABLE_PAUSE_S
         except (PlatformError, CorruptShard):
-            lane.writer.on_failure(False)
+            worker.writer.on_failure(False)
             pause_s = UNAVAILABLE_PAUSE_S
         if isinstance(step, DeleteSegment):
-            lane.writer.on_segment_deleted()
+            worker.writer.on_segment_deleted()
         if pause_s == UNAVAILABLE_PAUSE_S:
-            lane.unavailable_until_s = trio.current_time() + UNAVAILABLE_PAUSE_S
+            worker.unavailable_until_s = trio.current_time() + UNAVAILABLE_PAUSE_S
         self._notify_waiters()
         # The pause is random: entries that wrote at the same moment would collide again after
         # equal pauses.
         await trio.sleep(pause_s * (0.5 + self._rng.random()))
 
-    async def _call_store(self, lane: _ShardWorker, step: Step) -> None:
-        writer = lane.writer
+    async def _call_store(self, worker: _ShardWorker, step: Step) -> None:
+        writer = worker.writer
         match step:
             case ReadHead():
-                stored = await self._api.get(ObjectKind.LEDGER, lane.name)
+                stored = await self._api.get(ObjectKind.LEDGER, worker.name)
                 writer.on_head_read(Shard.from_stored(stored), stored and stored.version)
             case ReadSegment(name):
                 stored = await self._api.get(ObjectKind.LEDGER, name)
@@ -161,7 +161,7 @@
             case CreateSegment():
                 # The name has a random part. Under a name that another process could use too, a
                 # delayed write could change a segment that is already listed.
-                name = f"seg-{lane.name}-{secrets.token_hex(8)}"
+                name = f"seg-{worker.name}-{secrets.token_hex(8)}"
                 await self._api.create(ObjectKind.LEDGER, name, _segment_spec(step))
                 writer.on_segment_created(name, step)
             case DeleteSegment(name):
@@ -170,15 +170,15 @@
                     await self._api.delete(ObjectKind.LEDGER, name, stored.version)
                 writer.on_segment_deleted()
             case WriteHead(spec, version):
-                lane.next_write_s = trio.current_time() + self._min_write_interval_s
-                await self._write(lane, spec, version)
+                worker.next_write_s = trio.current_time() + self._min_write_interval_s
+                await self._write(worker, spec, version)
 
-    async def _write(self, lane: _ShardWorker, spec: dict, version: str | None) -> None:
+    async def _write(self, worker: _ShardWorker, spec: dict, version: str | None) -> None:
         if version is None:
-            stored = await self._api.create(ObjectKind.LEDGER, lane.name, spec)
+            stored = await self._api.create(ObjectKind.LEDGER, worker.name, spec)
         else:
-            stored = await self._api.replace(ObjectKind.LEDGER, lane.name, spec, version)
-        lane.writer.on_written(stored.version)
+            stored = await self._api.replace(ObjectKind.LEDGER, worker.name, spec, version)
+        worker.writer.on_written(stored.version)
 
 
 def _segment_spec(step: CreateSegment) -> dict[str, object]:
--- a/egretstack/messages/_messages.py
+++ b/egretstack/messages/_messages.py
@@ -21,7 +21,8 @@
     """Base class of messages; a subclass defines its number and fields, which registers it.
 
     Numbers below 10 are reserved for the link. Each package that communicates with other instances
-    has a range of ten: configuration from 10, membership 20, limits 30, ledger 40, sessions 50.
+    has a range of numbers: configuration from 10, membership 20, limits 30, ledger 40, sessions 50,
+    lengths 60, fleet 70.
     """
 
     number: ClassVar[int]
--- a/egretstack/metrics/_pace.py
+++ b/egretstack/metrics/_pace.py
@@ -7,7 +7,7 @@
     """Counts a session's first token and the gaps between tokens, as delivered to its caller.
 
     `resumed` means that another entry delivered the first token. The wait until the next token
-    then counts as a gap from the time of the takeover, which is shorter than the caller saw.
+    then counts as a gap that starts at the takeover; the gap that the caller saw is longer.
     """
 
     def __init__(self, levels: AccountLevels, opened_s: float, *, resumed: bool = False) -> None:
--- a/egretstack/objectapi/_budget.py
+++ b/egretstack/objectapi/_budget.py
@@ -37,7 +37,7 @@
 """Calls per second of the whole fleet; the sum is under half of what the platform accepts."""
 
 SHARE_HEADROOM = 4.0
-"""Factor by which a share exceeds an equal one, since few processes are busy at the same time."""
+"""Factor by which a share exceeds an equal share, since few processes are busy at the same time."""
 
 MIN_RATE = 1.0
 """Calls per second that every process may make in each class."""
--- a/standins/network.py
+++ b/standins/network.py
@@ -85,11 +85,13 @@
             raise ConnectionRefusedError(f"{host}:{port}")
         handler, nursery = self._listeners[host, port]
         client_end, server_end = memory_stream_pair()
-        nursery.start_soon(_serve_one, handler, _NetworkStream(server_end, self, host, source))
+        nursery.start_soon(
+            _serve_connection, handler, _NetworkStream(server_end, self, host, source)
+        )
         return _NetworkStream(client_end, self, source, host)
 
 
-async def _serve_one(handler: Handler, stream: trio.abc.Stream) -> None:
+async def _serve_connection(handler: Handler, stream: trio.abc.Stream) -> None:
     try:
         await handler(stream)
     finally:
--- a/standins/platform_http.py
+++ b/standins/platform_http.py
@@ -80,12 +80,12 @@
             items = [_item(stored) for stored in store.of_kind(ObjectKind(kind))]
             return _json({"metadata": {"resourceVersion": str(store.version)}, "items": items})
         since = int(request.args.get("resourceVersion", store.version))
-        life_s = float(request.args.get("timeoutSeconds", "30"))
+        duration_s = float(request.args.get("timeoutSeconds", "30"))
         try:
             store.changes_since(ObjectKind(kind), since)
         except WatchLost:
             return Response(b"", status=410)
-        response = Response(_watch_lines(store, ObjectKind(kind), since, life_s))
+        response = Response(_watch_lines(store, ObjectKind(kind), since, duration_s))
         response.timeout = None
         return response
 
@@ -161,11 +161,11 @@
 
 
 async def _watch_lines(
-    store: ObjectStore, kind: ObjectKind, after: int, life_s: float
+    store: ObjectStore, kind: ObjectKind, after: int, duration_s: float
 ) -> AsyncIterator[bytes]:
     store.waiting_watches += 1
     try:
-        with trio.move_on_after(life_s):
+        with trio.move_on_after(duration_s):
             while not store.faults.down:
                 changed = store.changed
                 try:
--- a/tests/configuration_fixtures.py
+++ b/tests/configuration_fixtures.py
@@ -19,7 +19,7 @@
 from tests.support import check
 
 IN_FORCE_TIMEOUT_S = 5.0
-HEALTHY_ZONES = ("a", "b", "c")
+ZONES = ("a", "b", "c")
 
 
 def contract(name, mark=0):
@@ -59,7 +59,7 @@
         await deployment.configure(contract__acme=contract("acme"))
         started = []
         for number in range(max(stewards, entries)):
-            zone = HEALTHY_ZONES[number % len(HEALTHY_ZONES)]
+            zone = ZONES[number % len(ZONES)]
             if number < stewards:
                 started.append(await deployment.start(f"i-{number}", Program.STEWARD, zone))
             if number < entries:
--- a/tests/ledger_site.py
+++ b/tests/ledger_site.py
@@ -40,8 +40,8 @@
             service__llm=LLM_SERVICE,
         )
         world.add_engine("engine-0", "llm", ("story",), EngineParameters())
-        book = PlainServiceState(offers_lookup=bool(lookup), checks_fencing=fencing == "checked")
-        runner = world.add_plain("holds-0", "holds", book)
+        state = PlainServiceState(offers_lookup=bool(lookup), checks_fencing=fencing == "checked")
+        runner = world.add_plain("holds-0", "holds", state)
         started = []
         for number in range(entries):
             process = await world.start(f"entry-{number}", Program.ENTRY)
--- a/tests/test_ledger_faults.py
+++ b/tests/test_ledger_faults.py
@@ -216,7 +216,7 @@
         check.assertIs(await call(entries[1]), ErrorKind.OUTCOME_UNKNOWN)
 
 
-async def count_of_calls_without_home(inject_fault):
+async def count_calls_without_ledger_home(inject_fault):
     """Make calls of many shards at one entry after a fault at the other; return how many ran."""
     async with deployment() as (world, entries, runner):
         inject_fault(world, entries[1])
@@ -227,7 +227,7 @@
 
 
 async def test_calls_continue_while_the_ledger_home_of_their_shard_is_dead():
-    check.assertEqual(await count_of_calls_without_home(lambda _, other: other.kill()), 20)
+    check.assertEqual(await count_calls_without_ledger_home(lambda _, other: other.kill()), 20)
 
 
 async def test_calls_continue_while_the_ledger_home_of_their_shard_does_not_answer():
@@ -236,4 +236,4 @@
     def cut(world, other):
         world.network.cuts.add((other.host, "10.0.0.1"))
 
-    check.assertEqual(await count_of_calls_without_home(cut), 20)
+    check.assertEqual(await count_calls_without_ledger_home(cut), 20)
--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -184,10 +184,10 @@
 
 
 def test_continued_run_names_its_copy_and_last_event():
-    terms = SendOptions(
+    options = SendOptions(
         RunnerName("i-2"), 3.0, None, 4, "10.1.1.3:80", ContinueFrom("10.1.1.1:80", "h-9", "12")
     )
-    values = dict(runner_request(request(), terms).headers)
+    values = dict(runner_request(request(), options).headers)
     check.assertEqual(values[b"kv-from"], b"10.1.1.1:80/h-9")
     check.assertEqual(values[b"last-event-id"], b"12")
     check.assertEqual(values[b"kv-backup"], b"10.1.1.3:80")
