--- a/egretstack/lengths/_hazards.py
+++ b/egretstack/lengths/_hazards.py
@@ -3,7 +3,8 @@
 from egretstack.lengths._buckets import BUCKETS
 
 DECAY_SESSIONS = 300
-"""Sessions after which the weight of an observation is 1/e: lengths drift over a day."""
+"""Sessions in a bucket after which the weight of an observation in it is 1/e: lengths drift over
+a day."""
 _DECAY = 1 - 1 / DECAY_SESSIONS
 
 
