--- a/egretstack/operators/_recovery.py
+++ b/egretstack/operators/_recovery.py
@@ -44,7 +44,7 @@
 
 
 async def find_instance(listed: InstanceList, instance: str) -> Member:
-    """Return the listed instance with a name. Raises UserError, PlatformAway."""
+    """Return the listed instance named `instance`. Raises UserError, PlatformAway."""
     for member in await listed.members():
         if member.service == ENTRY_SERVICE and member.id == instance:
             return member
--- a/egretstack/platform/_runner_wire.py
+++ b/egretstack/platform/_runner_wire.py
@@ -224,7 +224,10 @@
 def move_request(
     source: str, attempt_id: str, destination: str, *, stop: bool
 ) -> tuple[RequestHead, bytes]:
-    """Return the request to copy a run's KV memory; `stop` ends the run before its last part."""
+    """Return the request to copy a run's KV memory.
+
+    With `stop` the run is stopped before the last part is copied.
+    """
     body = json.dumps({"id": attempt_id, "to": destination, "last": stop}).encode()
     return RequestHead(b"POST", _MOVE_PATH, _post_headers(source, body)), body
 
