--- a/tests/matrix/test_switch_offs.py
+++ b/tests/matrix/test_switch_offs.py
@@ -209,7 +209,7 @@
     async def accept_all(self, change, current):
         await trio.lowlevel.checkpoint()
 
-    with _without(_replace(ConfigurationStore, "_refuse_stale", accept_all)):
+    with _without(_replace(ConfigurationStore, "_check_expected", accept_all)):
         _turns_red(Point.CONFIGURATION_HOLDS, "test_change_head_update__operators_race")
 
 
