--- a/egretstack/programs/_ctl_common.py
+++ b/egretstack/programs/_ctl_common.py
@@ -17,7 +17,7 @@
     PlatformError,
     PlatformOutcomeUnknown,
 )
-from egretstack.programs._running import ExitCode, exit_with
+from egretstack.programs._running import ExitCode, run_or_exit
 
 TIMEOUT_S = 5.0
 
@@ -53,6 +53,6 @@
             sys.exit(ExitCode.UNKNOWN)
         except (PlatformError, httpx.HTTPError) as error:
             print(f"no answer, nothing was changed: {error}", file=sys.stderr)
-            sys.exit(ExitCode.AWAY)
+            sys.exit(ExitCode.UNAVAILABLE)
 
-    exit_with(lambda: trio.run(guarded))
+    run_or_exit(lambda: trio.run(guarded))
--- a/egretstack/programs/_ctl_parts.py
+++ b/egretstack/programs/_ctl_parts.py
@@ -18,7 +18,7 @@
     shown,
 )
 from egretstack.programs._ctl_common import Namespace, PlatformUrl, open_platform, run_command
-from egretstack.programs._running import exit_with
+from egretstack.programs._running import run_or_exit
 
 
 def add_part_commands(group: App, kind: PartKind) -> None:
@@ -32,7 +32,7 @@
     @group.command
     def check(file: Path) -> None:
         """Check a file without asking the platform."""
-        exit_with(lambda: print(f"{file}: a good {kind.value} of {check_file(file, kind)}"))
+        run_or_exit(lambda: print(f"{file}: a good {kind.value} of {check_file(file, kind)}"))
 
     @group.command
     def show(name: str, *, platform: PlatformUrl, namespace: Namespace = "egretstack") -> None:
--- a/egretstack/programs/_explain.py
+++ b/egretstack/programs/_explain.py
@@ -7,7 +7,7 @@
 from cyclopts import App, Parameter
 
 from egretstack.errors import UserError
-from egretstack.programs._running import exit_with
+from egretstack.programs._running import run_or_exit
 from egretstack.reports import Explanation, explain, read_log
 
 
@@ -33,7 +33,7 @@
         files
             Saved standard output of the instances, in any order.
         """
-        exit_with(lambda: _show(_explanation(request, files), json_output=json_output))
+        run_or_exit(lambda: _show(_explanation(request, files), json_output=json_output))
 
 
 def _explanation(request: str, files: list[Path]) -> Explanation:
--- a/egretstack/programs/_replay.py
+++ b/egretstack/programs/_replay.py
@@ -8,14 +8,14 @@
 from cyclopts import App, Parameter
 
 from egretstack.errors import UserError
-from egretstack.programs._running import exit_with
+from egretstack.programs._running import run_or_exit
 from egretstack.replay import (
     ALL_POLICIES,
     Figures,
-    policies_named,
-    read_site,
+    read_deployment,
     read_trace,
     replay,
+    resolve_policy_names,
 )
 
 MAX_ENTRIES = 1000
@@ -54,7 +54,7 @@
     json_output
         Print one JSON object a policy.
     """
-    exit_with(lambda: _print_replays(trace, engines, entries, policy, seed, json_output))
+    run_or_exit(lambda: _print_replays(trace, engines, entries, policy, seed, json_output))
 
 
 def _print_replays(
@@ -62,10 +62,10 @@
 ) -> None:
     if not 1 <= entries <= MAX_ENTRIES:
         raise UserError(f"--entries {entries}: allowed: 1 to {MAX_ENTRIES}")
-    site = read_site(engines)
+    site = read_deployment(engines)
     lines = read_trace(trace, site)
     all_figures = []
-    for name in policies_named(policy):
+    for name in resolve_policy_names(policy):
         all_figures.append(replay(lines, site, name, entries=entries, seed=seed))
         if as_json:
             print(json.dumps(asdict(all_figures[-1])))
--- a/egretstack/programs/_running.py
+++ b/egretstack/programs/_running.py
@@ -17,7 +17,7 @@
 
 Result = TypeVar("Result")
 
-COLLECT_EVERY_OBJECTS = 20_000
+GC_THRESHOLD_OBJECTS = 20_000
 """Objects made and not yet freed before the youngest are searched for cycles; 700 by default."""
 
 
@@ -33,7 +33,7 @@
     """Another operator's change came first."""
     UNKNOWN = 4
     """It is not known whether the change was accepted."""
-    AWAY = 5
+    UNAVAILABLE = 5
     """The platform or an instance does not answer; nothing was changed."""
 
 
@@ -61,10 +61,10 @@
             await kernel.run()
             nursery.cancel_scope.cancel()
 
-    exit_with(lambda: trio.run(main))
+    run_or_exit(lambda: trio.run(main))
 
 
-def exit_with(run: Callable[[], Result]) -> Result:
+def run_or_exit(run: Callable[[], Result]) -> Result:
     """Run, or exit: user errors in plain words, failed services by name, bugs as tracebacks."""
     try:
         return run()
@@ -87,7 +87,7 @@
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_EVERY_OBJECTS)
+    gc.set_threshold(GC_THRESHOLD_OBJECTS)
 
 
 async def _drain_on_signal(kernel: Kernel) -> None:
--- a/egretstack/programs/ctl.py
+++ b/egretstack/programs/ctl.py
@@ -26,7 +26,7 @@
 from egretstack.programs._ctl_parts import add_part_commands
 from egretstack.programs._explain import add_explain_command
 from egretstack.programs._replay import add_replay_command
-from egretstack.programs._running import ExitCode, exit_with
+from egretstack.programs._running import ExitCode, run_or_exit
 from egretstack.settings import Program, read_settings, settings_page
 
 _PAGES = {
@@ -56,7 +56,7 @@
     program
         The program that will read it.
     """
-    exit_with(lambda: read_settings(file, program))
+    run_or_exit(lambda: read_settings(file, program))
     print(f"{file}: good settings for {program.value}")
 
 
@@ -71,7 +71,7 @@
     file
         The settings file.
     """
-    exit_with(lambda: read_node_settings(file))
+    run_or_exit(lambda: read_node_settings(file))
     print(f"{file}: good settings for an instance of the platform")
 
 
@@ -90,7 +90,7 @@
     json_output
         Print what it holds as JSON.
     """
-    found = exit_with(lambda: read_configuration(file))
+    found = run_or_exit(lambda: read_configuration(file))
     counts = {
         "version": found.version,
         "routes": len(found.routes),
@@ -125,7 +125,7 @@
 def reference(page: str) -> None:
     """Print a reference page: contracts, events, services or settings."""
     if page not in _PAGES:
-        exit_with(lambda: _no_page(page))
+        run_or_exit(lambda: _no_page(page))
     print(_PAGES[page](), end="")
 
 
--- a/egretstack/programs/report.py
+++ b/egretstack/programs/report.py
@@ -9,9 +9,9 @@
 
 from egretstack import __version__
 from egretstack.errors import UserError
-from egretstack.programs._running import exit_with
+from egretstack.programs._running import run_or_exit
 from egretstack.reports import (
-    burns_of,
+    compute_burns,
     json_report,
     read_samples,
     read_snapshots,
@@ -46,7 +46,7 @@
     out
         Where it is written; standard output by default.
     """
-    exit_with(lambda: _write(_made(files, form), out))
+    run_or_exit(lambda: _write(_made(files, form), out))
 
 
 @app.command
@@ -64,12 +64,12 @@
         for (account, outcome), count in sorted(totals.items()):
             print(f"{account:24} {outcome:24} {count:8.0f}")
 
-    exit_with(work)
+    run_or_exit(work)
 
 
 def _made(files: tuple[Path, ...], form: Form) -> str:
     snapshots = read_snapshots(files)
-    burns = burns_of(snapshots)
+    burns = compute_burns(snapshots)
     if form is Form.TEXT:
         return text_report(burns) + "\n"
     if form is Form.JSON:
--- a/egretstack/replay/__init__.py
+++ b/egretstack/replay/__init__.py
@@ -9,8 +9,8 @@
     StepResult,
 )
 from egretstack.replay._figures import STALL_STEPS, Figures, Tally
-from egretstack.replay._run import ALL_POLICIES, policies_named, replay
-from egretstack.replay._site import EngineSpec, ServiceTerms, Site, read_site
+from egretstack.replay._run import ALL_POLICIES, replay, resolve_policy_names
+from egretstack.replay._site import Deployment, EngineSpec, ServiceTerms, read_deployment
 from egretstack.replay._trace import TraceLine, read_trace
 
 __all__ = [
@@ -24,12 +24,12 @@
     "ModelOutput",
     "OutputKind",
     "ServiceTerms",
-    "Site",
+    "Deployment",
     "StepResult",
     "Tally",
     "TraceLine",
-    "policies_named",
-    "read_site",
+    "resolve_policy_names",
+    "read_deployment",
     "read_trace",
     "replay",
 ]
--- a/egretstack/replay/_figures.py
+++ b/egretstack/replay/_figures.py
@@ -54,7 +54,7 @@
     stall_by_session: dict[int, float] = field(default_factory=dict)
     first_tokens: list[float] = field(default_factory=list)
 
-    def gap(self, session: int, gap_s: float, step_s: float) -> None:
+    def record_gap(self, session: int, gap_s: float, step_s: float) -> None:
         """Note a reader's wait for the next token; `step_s` is its engine's step time."""
         self.gaps[int(gap_s / _GAP_UNIT_S + 0.5)] += 1
         beyond_s = gap_s - STALL_STEPS * step_s
--- a/egretstack/replay/_loop.py
+++ b/egretstack/replay/_loop.py
@@ -30,7 +30,7 @@
 )
 from egretstack.replay._figures import Tally
 from egretstack.replay._fleet import ReplayEngine
-from egretstack.replay._site import Site
+from egretstack.replay._site import Deployment
 from egretstack.replay._trace import TraceLine
 
 REPORT_EVERY_TOKENS = 32
@@ -68,7 +68,12 @@
     """Replays a trace once; `run` gives the tally."""
 
     def __init__(
-        self, lines: list[TraceLine], site: Site, policies: list[Policy], entries: int, seed: int
+        self,
+        lines: list[TraceLine],
+        site: Deployment,
+        policies: list[Policy],
+        entries: int,
+        seed: int,
     ) -> None:
         self._rng = random.Random(f"replay-{seed}")
         self._site = site
@@ -235,7 +240,7 @@
         session.done += 1
         stream = session.line.stream
         if stream and session.seen:
-            self._tally.gap(session.number, self._now_s - session.last_s, step_s)
+            self._tally.record_gap(session.number, self._now_s - session.last_s, step_s)
         elif not session.seen:
             session.seen = True
             if stream:
--- a/egretstack/replay/_run.py
+++ b/egretstack/replay/_run.py
@@ -7,13 +7,13 @@
 from egretstack.policy import ORACLE, POLICIES, Feature, Policy, make_oracle, make_policy
 from egretstack.replay._figures import Figures
 from egretstack.replay._loop import ReplayLoop
-from egretstack.replay._site import Site
+from egretstack.replay._site import Deployment
 from egretstack.replay._trace import TraceLine
 
 ALL_POLICIES = "all"
 
 
-def policies_named(name: str) -> list[str]:
+def resolve_policy_names(name: str) -> list[str]:
     """Give the policies that a name stands for, the oracle last."""
     if name == ALL_POLICIES:
         return [*POLICIES, ORACLE]
@@ -22,12 +22,12 @@
 
 def replay(
     lines: list[TraceLine],
-    site: Site,
+    site: Deployment,
     policy: str,
     *,
     entries: int,
     seed: int,
-    left_out: Iterable[Feature] = (),
+    disabled_features: Iterable[Feature] = (),
 ) -> Figures:
     """Replay a trace under one policy; the same arguments give the same figures.
 
@@ -38,7 +38,7 @@
         lengths = {RequestId(str(n)): line.output_tokens for n, line in enumerate(lines)}
         made: list[Policy] = [make_oracle(random.Random(f"oracle-{seed}"), lengths)]
     else:
-        parts = frozenset(left_out)
+        parts = frozenset(disabled_features)
         made = [
             make_policy(policy, random.Random(f"entry-{number}-{seed}"), parts)
             for number in range(entries)
--- a/egretstack/replay/_site.py
+++ b/egretstack/replay/_site.py
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True)
-class Site:
+class Deployment:
     """The engines, and the terms of each service."""
 
     engines: tuple[EngineSpec, ...]
@@ -100,7 +100,7 @@
         return self.terms_by_service.get(service, ServiceTerms())
 
 
-def read_site(path: Path) -> Site:
+def read_deployment(path: Path) -> Deployment:
     """Read the file; raise UserError that names file, section and key of each fault."""
     engines: list[EngineSpec] = []
     terms = {}
@@ -116,7 +116,7 @@
             terms[ServiceName(name)] = _terms(document)
     if not 0 < len(engines) <= MAX_ENGINES:
         raise UserError(f"{path}: {len(engines)} engines; allowed: 1 to {MAX_ENGINES}")
-    return Site(tuple(engines), terms)
+    return Deployment(tuple(engines), terms)
 
 
 def _terms(document: Document) -> ServiceTerms:
--- a/egretstack/replay/_trace.py
+++ b/egretstack/replay/_trace.py
@@ -8,7 +8,7 @@
 
 from egretstack.errors import UserError
 from egretstack.ids import AccountId, ModelName, ServiceName, is_name
-from egretstack.replay._site import Site
+from egretstack.replay._site import Deployment
 
 MAX_LINES = 1_000_000
 MAX_LINE_BYTES = 16_384
@@ -40,7 +40,7 @@
         super().__init__(f"{field}: allowed: {allowed}")
 
 
-def read_trace(path: Path, site: Site) -> list[TraceLine]:
+def read_trace(path: Path, site: Deployment) -> list[TraceLine]:
     """Read a trace; raise UserError that names file, line and field of the first fault."""
     lines: list[TraceLine] = []
     try:
@@ -71,7 +71,7 @@
             yield number, text
 
 
-def _line(text: bytes, site: Site) -> TraceLine:
+def _line(text: bytes, site: Deployment) -> TraceLine:
     fields = _fields(text)
     line = TraceLine(
         at_s=_time(fields),
--- a/egretstack/reports/__init__.py
+++ b/egretstack/reports/__init__.py
@@ -6,7 +6,7 @@
     LevelBurn,
     Window,
     WindowBurn,
-    burns_of,
+    compute_burns,
 )
 from egretstack.reports._explain import Explanation, LogLine, explain, read_log
 from egretstack.reports._forms import json_report, text_report
@@ -22,7 +22,7 @@
     "Snapshot",
     "Window",
     "WindowBurn",
-    "burns_of",
+    "compute_burns",
     "explain",
     "json_report",
     "read_log",
--- a/egretstack/reports/_burn.py
+++ b/egretstack/reports/_burn.py
@@ -13,7 +13,7 @@
 
 from egretstack.ids import AccountId, InstanceId
 from egretstack.metrics import Objective, Tally
-from egretstack.reports._snapshots import Place, Snapshot
+from egretstack.reports._snapshots import LevelKey, Snapshot
 
 
 class Window(Enum):
@@ -99,20 +99,20 @@
         return None
 
 
-def burns_of(snapshots: Sequence[Snapshot]) -> list[LevelBurn]:
+def compute_burns(snapshots: Sequence[Snapshot]) -> list[LevelBurn]:
     """Work out every account's burn at the time of the newest snapshot."""
     end_s = max(one.at_s for one in snapshots)
     histories = _histories(snapshots)
-    newest = {place: one for one in snapshots for place in one.share_by_place}
+    newest = {place: one for one in snapshots for place in one.share_by_level}
     found = []
     for place, told in sorted(newest.items(), key=lambda item: _order(item[0])):
-        share = told.share_by_place[place]
+        share = told.share_by_level[place]
         burns = {window: _window_burn(histories, place, share, window, end_s) for window in Window}
-        found.append(LevelBurn(*place, told.target_s_by_place.get(place), share, burns))
+        found.append(LevelBurn(*place, told.target_s_by_level.get(place), share, burns))
     return found
 
 
-def _order(place: Place) -> tuple[str, int]:
+def _order(place: LevelKey) -> tuple[str, int]:
     return place[0], list(Objective).index(place[1])
 
 
@@ -125,7 +125,7 @@
 
 def _window_burn(
     histories: dict[InstanceId, list[Snapshot]],
-    place: Place,
+    place: LevelKey,
     share: float,
     window: Window,
     end_s: float,
@@ -155,7 +155,7 @@
     return 0, begin_s if _began(history, begin_s) else history[0].at_s
 
 
-def _growth(history: list[Snapshot], place: Place, *, from_zero: bool) -> Tally:
+def _growth(history: list[Snapshot], place: LevelKey, *, from_zero: bool) -> Tally:
     """Add up what the counters grew by; a process that restarted counts from 0 again."""
     grown = Tally()
     if from_zero:
@@ -173,5 +173,5 @@
     grown.good += max(0, min(new.good - old.good, new.total - old.total))
 
 
-def _tally(snapshot: Snapshot, place: Place) -> Tally:
-    return snapshot.tally_by_place.get(place, Tally())
+def _tally(snapshot: Snapshot, place: LevelKey) -> Tally:
+    return snapshot.tally_by_level.get(place, Tally())
--- a/egretstack/reports/_forms.py
+++ b/egretstack/reports/_forms.py
@@ -16,7 +16,7 @@
     lines = [f"{_HEAD}{windows} {'left':>7} alert"]
     lines.extend(_line(burn) for burn in burns)
     covered = {window: _least_covered(burns, window) for window in Window}
-    parts = [f"{w.label} {span(s)}" for w, s in covered.items() if s < w.length_s]
+    parts = [f"{w.label} {format_duration(s)}" for w, s in covered.items() if s < w.length_s]
     if parts:
         lines.append(f"~ covered by the snapshots in part: {', '.join(parts)}")
     return "\n".join(lines)
@@ -27,13 +27,13 @@
     return json.dumps([_row(burn) for burn in burns], indent=2)
 
 
-def target_text(burn: LevelBurn) -> str:
+def format_target(burn: LevelBurn) -> str:
     """Write a target, such as `95% in 0.63 s`."""
     share = f"{burn.share * 100:g}%"
     return share if burn.target_s is None else f"{share} in {burn.target_s:g} s"
 
 
-def span(seconds: float) -> str:
+def format_duration(seconds: float) -> str:
     """Write a length of time in the largest unit that suits."""
     if seconds >= HOUR_S:
         return f"{seconds / HOUR_S:.1f} h"
@@ -45,7 +45,7 @@
 def _line(burn: LevelBurn) -> str:
     rates = "".join(f" {_rate(one):>8}" for one in burn.burn_by_window.values())
     alert = "-" if burn.alert is None else burn.alert.label
-    head = f"{burn.account:20} {burn.objective.value:12} {target_text(burn):>18}"
+    head = f"{burn.account:20} {burn.objective.value:12} {format_target(burn):>18}"
     return f"{head}{rates} {burn.budget_left:>6.0%} {alert}"
 
 
--- a/egretstack/reports/_page.py
+++ b/egretstack/reports/_page.py
@@ -4,8 +4,8 @@
 from html import escape
 
 from egretstack.reports._burn import LevelBurn, Window
-from egretstack.reports._forms import span, target_text
-from egretstack.reports._plots import burn_figure, svg_of
+from egretstack.reports._forms import format_duration, format_target
+from egretstack.reports._plots import burn_figure, render_svg
 
 _STYLE = """body { font: 15px sans-serif; margin: 2em; max-width: 70em; }
 table { border-collapse: collapse; }
@@ -27,7 +27,7 @@
 <h1>Service-level burn</h1>
 <p>As of {escape(taken)}. A burn rate of 1 spends the budget exactly over its period; a window that
 the snapshots cover in part is marked with what they cover.</p>
-{svg_of(burn_figure(burns))}
+{render_svg(burn_figure(burns))}
 <table>
 <tr>{cells}</tr>
 {rows}
@@ -38,9 +38,9 @@
 
 
 def _row(burn: LevelBurn) -> str:
-    cells = [burn.account, burn.objective.value, target_text(burn)]
+    cells = [burn.account, burn.objective.value, format_target(burn)]
     for window, one in burn.burn_by_window.items():
-        part = "" if one.covered_s >= window.length_s else f" ({span(one.covered_s)})"
+        part = "" if one.covered_s >= window.length_s else f" ({format_duration(one.covered_s)})"
         cells.append(f"{one.rate:.2f} of {one.total:,}{part}" if one.total else "no events")
     cells.append(f"{burn.budget_left:.0%}")
     label = "" if burn.alert is None else burn.alert.label
--- a/egretstack/reports/_plots.py
+++ b/egretstack/reports/_plots.py
@@ -31,7 +31,7 @@
     return figure
 
 
-def svg_of(figure: Figure) -> str:
+def render_svg(figure: Figure) -> str:
     """Give a figure as an SVG element without the file's head; the same figure gives the same."""
     out = StringIO()
     with rc_context({"svg.hashsalt": SVG_SALT}):
@@ -40,7 +40,7 @@
     return text[text.index("<svg") :]
 
 
-def png_of(figure: Figure) -> bytes:
+def render_png(figure: Figure) -> bytes:
     """Give a figure as a PNG image."""
     out = BytesIO()
     figure.savefig(out, format="png", dpi=PNG_DPI, metadata={"Software": None})
--- a/egretstack/reports/_snapshots.py
+++ b/egretstack/reports/_snapshots.py
@@ -29,7 +29,7 @@
 MAX_FILE_BYTES = 16_777_216
 MAX_FILES = 10_000
 _OBJECTIVE_BY_NAME = {objective.value: objective for objective in Objective}
-Place = tuple[AccountId, Objective]
+LevelKey = tuple[AccountId, Objective]
 
 
 @dataclass
@@ -39,9 +39,9 @@
     instance: InstanceId
     at_s: float
     started_s: float
-    tally_by_place: dict[Place, Tally] = field(default_factory=dict)
-    share_by_place: dict[Place, float] = field(default_factory=dict)
-    target_s_by_place: dict[Place, float] = field(default_factory=dict)
+    tally_by_level: dict[LevelKey, Tally] = field(default_factory=dict)
+    share_by_level: dict[LevelKey, float] = field(default_factory=dict)
+    target_s_by_level: dict[LevelKey, float] = field(default_factory=dict)
 
 
 def read_snapshots(files: Iterable[Path]) -> list[Snapshot]:
@@ -80,10 +80,10 @@
     snapshot = Snapshot(instance, at_s, started_s)
     for sample in samples:
         _take(path, snapshot, sample)
-    for place, tally in snapshot.tally_by_place.items():
+    for place, tally in snapshot.tally_by_level.items():
         if not 0 <= tally.good <= tally.total:
             raise UserError(f"{path}: {place[0]} has more good events than events")
-        if not 0 < snapshot.share_by_place.get(place, 0) < 1:
+        if not 0 < snapshot.share_by_level.get(place, 0) < 1:
             raise UserError(f"{path}: {place[0]} has no share between 0 and 1")
     return snapshot
 
@@ -108,13 +108,13 @@
     place = (AccountId(account), objective)
     value = _finite(path, sample)
     if sample.name == TARGET_SHARE:
-        snapshot.share_by_place[place] = value
+        snapshot.share_by_level[place] = value
     elif sample.name == TARGET_SECONDS:
-        snapshot.target_s_by_place[place] = value
+        snapshot.target_s_by_level[place] = value
     elif sample.name == _EVENTS_SAMPLE:
-        snapshot.tally_by_place.setdefault(place, Tally()).total = int(value)
+        snapshot.tally_by_level.setdefault(place, Tally()).total = int(value)
     else:
-        snapshot.tally_by_place.setdefault(place, Tally()).good = int(value)
+        snapshot.tally_by_level.setdefault(place, Tally()).good = int(value)
 
 
 def _finite(path: Path, sample: Sample) -> float:
--- a/scripts/_capacity_lines.py
+++ b/scripts/_capacity_lines.py
@@ -4,8 +4,8 @@
 
 from egretstack.membership import MAX_REPORTS, ReadingPlan
 from egretstack.services.peer_port import MAX_LINKS
-from scripts._capacity_platform import placing_home, platform_sentences
-from scripts._sheet import Line, Resource, Slopes, amount
+from scripts._capacity_platform import placing_home, platform_prose_figures
+from scripts._sheet import Line, Resource, Slopes, format_amount
 from scripts._target import BOUNDS, DAY_S, TARGET
 
 PROCESSES = 2
@@ -36,7 +36,7 @@
             Resource.CORE,
             ("path.entry_token_cpu",),
             f"{TARGET.node_tokens:,.0f} tokens/s",
-            TARGET.node_tokens * slopes.each("path.entry_token_cpu"),
+            TARGET.node_tokens * slopes.unit_cost("path.entry_token_cpu"),
             "one write for each token",
         ),
         Line(
@@ -44,7 +44,7 @@
             Resource.CORE,
             ("path.entry_request_cpu",),
             f"{TARGET.node_requests:.1f} requests/s",
-            TARGET.node_requests * slopes.each("path.entry_request_cpu"),
+            TARGET.node_requests * slopes.unit_cost("path.entry_request_cpu"),
             "a new connection each way for each request",
         ),
         Line(
@@ -52,7 +52,7 @@
             Resource.CORE,
             ("runners.policy_request_cpu",),
             f"{TARGET.node_requests:.1f} requests/s x {TARGET.runners:,} runners",
-            TARGET.node_requests * slopes.at("runners.policy_request_cpu", TARGET.runners),
+            TARGET.node_requests * slopes.value_at("runners.policy_request_cpu", TARGET.runners),
             "policy",
         ),
         Line(
@@ -60,7 +60,7 @@
             Resource.DATA_MEMORY,
             ("path.entry_session_memory",),
             f"{TARGET.open_sessions:.0f} sessions",
-            TARGET.open_sessions * slopes.each("path.entry_session_memory"),
+            TARGET.open_sessions * slopes.unit_cost("path.entry_session_memory"),
             "connections, and the last events kept for a caller who comes back",
         ),
     ]
@@ -78,8 +78,8 @@
 
 def _list_lines(slopes: Slopes) -> list[Line]:
     how = f"{PROCESSES} x {TARGET.members:,} members every {LIST_PERIOD_S:.0f} s"
-    answer = slopes.at("runners.instance_list_answer", TARGET.members)
-    read = slopes.at("runners.instance_list_read_cpu", TARGET.members)
+    answer = slopes.value_at("runners.instance_list_answer", TARGET.members)
+    read = slopes.value_at("runners.instance_list_read_cpu", TARGET.members)
     return [
         Line(
             "instance list",
@@ -102,14 +102,14 @@
 
 def _report_lines(slopes: Slopes) -> list[Line]:
     how = f"{REPORTS:g} reports/s"
-    report_us = slopes.each("path.entry_idle_cpu") / REPORTS_A_RUNNER
+    report_us = slopes.unit_cost("path.entry_idle_cpu") / REPORTS_A_RUNNER
     return [
         Line(
             "load reports",
             Resource.TRAFFIC,
             ("runners.load_report_wire",),
             how,
-            slopes.each("runners.load_report_wire") * REPORTS,
+            slopes.unit_cost("runners.load_report_wire") * REPORTS,
             _REPORTS,
         ),
         Line(
@@ -125,7 +125,7 @@
             Resource.MEMORY,
             ("runners.policy_memory",),
             f"{TARGET.runners:,} runners",
-            slopes.at("runners.policy_memory", TARGET.runners),
+            slopes.value_at("runners.policy_memory", TARGET.runners),
             "one record for each runner",
         ),
     ]
@@ -135,14 +135,14 @@
     rate = PROCESSES * TARGET.changes
     how = f"{TARGET.changes_a_day:,} changes a day x {PROCESSES} processes"
     starts = (TARGET.failed_a_day + TARGET.replaced_a_day) / DAY_S
-    snapshot = slopes.at("accounts.configuration_snapshot_wire", TARGET.parts)
+    snapshot = slopes.value_at("accounts.configuration_snapshot_wire", TARGET.parts)
     return [
         Line(
             "changes",
             Resource.TRAFFIC,
             ("accounts.configuration_change_wire",),
             how,
-            rate * slopes.at("accounts.configuration_change_wire", TARGET.parts),
+            rate * slopes.value_at("accounts.configuration_change_wire", TARGET.parts),
             _CHANGED,
         ),
         Line(
@@ -150,7 +150,7 @@
             Resource.CPU,
             ("accounts.configuration_change_cpu",),
             f"{how} x {TARGET.parts} parts",
-            rate * slopes.at("accounts.configuration_change_cpu", TARGET.parts),
+            rate * slopes.value_at("accounts.configuration_change_cpu", TARGET.parts),
             _CHANGED,
         ),
         Line(
@@ -167,7 +167,7 @@
             Resource.MEMORY,
             ("accounts.configuration_memory",),
             f"{PROCESSES} processes x {TARGET.parts} parts",
-            PROCESSES * slopes.at("accounts.configuration_memory", TARGET.parts),
+            PROCESSES * slopes.value_at("accounts.configuration_memory", TARGET.parts),
             "each process holds all of it",
         ),
         Line(
@@ -175,7 +175,7 @@
             Resource.MEMORY,
             ("accounts.metrics_memory",),
             f"{TARGET.accounts} accounts",
-            slopes.at("accounts.metrics_memory", TARGET.accounts),
+            slopes.value_at("accounts.metrics_memory", TARGET.accounts),
             "a set of series for each account that an entry serves",
         ),
     ]
@@ -189,7 +189,7 @@
             Resource.TRAFFIC,
             ("membership.traffic",),
             nodes,
-            slopes.at("membership.traffic", TARGET.nodes),
+            slopes.value_at("membership.traffic", TARGET.nodes),
             "to a few neighbours chosen by hash",
         ),
         Line(
@@ -197,7 +197,7 @@
             Resource.TRAFFIC,
             ("nodes.idle_bytes",),
             nodes,
-            slopes.at("nodes.idle_bytes", TARGET.nodes),
+            slopes.value_at("nodes.idle_bytes", TARGET.nodes),
             "heartbeats and asking peers for a newer revision, as objects",
         ),
         Line(
@@ -205,7 +205,7 @@
             Resource.CPU,
             ("nodes.idle_cpu",),
             nodes,
-            slopes.at("nodes.idle_cpu", TARGET.nodes),
+            slopes.value_at("nodes.idle_cpu", TARGET.nodes),
             "timers of entry and steward",
         ),
         Line(
@@ -213,7 +213,7 @@
             Resource.MEMORY,
             ("path.entry_idle_memory",),
             f"{PROCESSES} processes, the steward taken to be as large as the entry",
-            PROCESSES * slopes.each("path.entry_idle_memory"),
+            PROCESSES * slopes.unit_cost("path.entry_idle_memory"),
             "interpreter and libraries",
         ),
         Line(
@@ -221,7 +221,7 @@
             Resource.MEMORY,
             ("memory.idle_memory",),
             nodes,
-            slopes.each("memory.idle_memory") * TARGET.nodes,
+            slopes.unit_cost("memory.idle_memory") * TARGET.nodes,
             "a buffer at each end of each link",
         ),
     ]
@@ -232,7 +232,7 @@
     lent = "limits lent by an account's home instance, renewed by the entries that use them"
     active = f"{ACTIVE_ACCOUNTS} active accounts on each entry"
     return [
-        Line(what, resource, (name,), active, slopes.at(name, ACTIVE_ACCOUNTS), lent)
+        Line(what, resource, (name,), active, slopes.value_at(name, ACTIVE_ACCOUNTS), lent)
         for what, resource, name in (
             ("asking and granting", Resource.TRAFFIC, "limits.traffic"),
             ("asking and granting", Resource.CPU, "limits.cpu"),
@@ -249,7 +249,7 @@
             Resource.TRAFFIC,
             ("configuration.busiest",),
             f"{TARGET.nodes} instances, {TARGET.changes_a_day:,} changes a day",
-            slopes.at("configuration.busiest", TARGET.nodes),
+            slopes.value_at("configuration.busiest", TARGET.nodes),
             "a tree of stewards, four below each; the busiest of them",
         )
     ]
@@ -265,7 +265,7 @@
             Resource.WRITES,
             ("ledger.writes",),
             how,
-            slopes.at("ledger.writes", LEDGER_CALLS),
+            slopes.value_at("ledger.writes", LEDGER_CALLS),
             carried,
         ),
         Line(
@@ -273,7 +273,7 @@
             Resource.READS,
             ("ledger.reads",),
             how,
-            slopes.at("ledger.reads", LEDGER_CALLS),
+            slopes.value_at("ledger.reads", LEDGER_CALLS),
             carried,
         ),
     ]
@@ -308,7 +308,7 @@
             Resource.READS,
             ("nodes.idle_object_api_calls",),
             f"{TARGET.nodes} instances",
-            slopes.at("nodes.idle_object_api_calls", TARGET.nodes),
+            slopes.value_at("nodes.idle_object_api_calls", TARGET.nodes),
             "a few watchers; the others read the head now and then at a rate the fleet shares",
         ),
         Line(
@@ -316,7 +316,7 @@
             Resource.READS,
             ("nodes.idle_waiting_watches",),
             f"{TARGET.nodes} instances, each watch as one call a second",
-            slopes.at("nodes.idle_waiting_watches", TARGET.nodes),
+            slopes.value_at("nodes.idle_waiting_watches", TARGET.nodes),
             "a few watchers",
         ),
         Line(
@@ -324,28 +324,28 @@
             Resource.READS,
             ("nodes.change_object_api_calls",),
             f"{TARGET.changes_a_day:,} changes a day",
-            TARGET.changes * slopes.at("nodes.change_object_api_calls", TARGET.nodes),
+            TARGET.changes * slopes.value_at("nodes.change_object_api_calls", TARGET.nodes),
             "the changed part comes with the head",
         ),
     ]
 
 
-def sentences(slopes: Slopes) -> dict[str, str]:
+def prose_figures(slopes: Slopes) -> dict[str, str]:
     """Give the figures that the page's prose names."""
     writes = slopes.slope_by_name["ledger.writes"]
-    token_us = slopes.each("path.entry_token_cpu")
-    report_us = slopes.each("path.entry_idle_cpu") / REPORTS_A_RUNNER
+    token_us = slopes.unit_cost("path.entry_token_cpu")
+    report_us = slopes.unit_cost("path.entry_idle_cpu") / REPORTS_A_RUNNER
     sessions = TARGET.open_sessions * TARGET.nodes
     return {
         "in_force": f"{max(slopes.slope_by_name['configuration.seconds'].values):.2f}",
         "ledger_calls": f"{max(writes.sizes):.0f}",
         "ledger_share": f"{TARGET.requests / max(writes.sizes):.1f}",
-        "links": f"{slopes.at('nodes.links_busiest', TARGET.nodes):.0f}",
-        "link_memory": amount(slopes.each("memory.idle_memory"), "bytes"),
+        "links": f"{slopes.value_at('nodes.links_busiest', TARGET.nodes):.0f}",
+        "link_memory": format_amount(slopes.unit_cost("memory.idle_memory"), "bytes"),
         "max_links": f"{MAX_LINKS}",
         "reports": f"{REPORTS:g}",
         "max_reports": f"{MAX_REPORTS}",
-        "link_end": amount(slopes.each("runners.link_memory"), "bytes"),
+        "link_end": format_amount(slopes.unit_cost("runners.link_memory"), "bytes"),
         "reports_a_core_share": f"{BOUNDS.cpu_us / report_us:.1f}",
         "node_tokens": f"{TARGET.node_tokens:,.0f}",
         "token_us": f"{token_us:.0f}",
@@ -356,11 +356,11 @@
         "zone_sessions": f"{sessions / TARGET.zones:,.0f}",
         "zone_sessions_a_node": f"{sessions / TARGET.zones / (TARGET.nodes * 0.9):.0f}",
         "zone_nodes": f"{TARGET.nodes // TARGET.zones}",
-        "snapshot": amount(
-            slopes.at("accounts.configuration_snapshot_wire", TARGET.parts), "bytes"
+        "snapshot": format_amount(
+            slopes.value_at("accounts.configuration_snapshot_wire", TARGET.parts), "bytes"
         ),
         "report_us": f"{report_us:,.0f}",
-    } | platform_sentences(slopes)
+    } | platform_prose_figures(slopes)
 
 
 TABLES: dict[str, Callable[[Slopes], list[Line]]] = {
--- a/scripts/_capacity_platform.py
+++ b/scripts/_capacity_platform.py
@@ -1,7 +1,7 @@
 """The lines of the capacity page for the users' platform, from the kept slopes."""
 
 from egretstack.fleet import REPORT_PERIOD_S
-from scripts._sheet import Line, Resource, Slopes, amount
+from scripts._sheet import Line, Resource, Slopes, format_amount
 from scripts._target import TARGET
 
 ENGINES_TODAY = 24
@@ -18,7 +18,7 @@
             Resource.CPU,
             ("fleet.home_report_cpu",),
             f"{reports:,.0f} reports/s",
-            reports * slopes.at("fleet.home_report_cpu", TARGET.nodes),
+            reports * slopes.value_at("fleet.home_report_cpu", TARGET.nodes),
             "one home for the fleet",
         ),
         Line(
@@ -26,7 +26,7 @@
             Resource.CPU,
             ("fleet.place_cpu",),
             f"{TARGET.requests:,} a second over {TARGET.runners:,} engines",
-            TARGET.requests * slopes.at("fleet.place_cpu", TARGET.runners),
+            TARGET.requests * slopes.value_at("fleet.place_cpu", TARGET.runners),
             "one home for the fleet",
         ),
         Line(
@@ -34,21 +34,23 @@
             Resource.TRAFFIC,
             ("fleet.report_wire",),
             f"{sessions:.0f} runs, {2 / REPORT_PERIOD_S:.0f} reports/s",
-            2 / REPORT_PERIOD_S * slopes.at("fleet.report_wire", sessions),
+            2 / REPORT_PERIOD_S * slopes.value_at("fleet.report_wire", sessions),
             "whole reports, so that a new home knows everything at once",
         ),
     ]
 
 
-def platform_sentences(slopes: Slopes) -> dict[str, str]:
+def platform_prose_figures(slopes: Slopes) -> dict[str, str]:
     """Give the figures that the page's sentences on the platform name."""
     return {
-        "whole_news": amount(
-            slopes.at("fleet.instance_news_wire", TARGET.nodes)
-            + slopes.at("fleet.runner_news_wire", TARGET.runners),
+        "whole_news": format_amount(
+            slopes.value_at("fleet.instance_news_wire", TARGET.nodes)
+            + slopes.value_at("fleet.runner_news_wire", TARGET.runners),
             "bytes",
         ),
-        "quiet_news": amount(slopes.at("fleet.quiet_news_wire", TARGET.nodes), "bytes"),
-        "place_ms": f"{slopes.at('fleet.place_cpu', TARGET.runners) / 1000:.0f}",
-        "place_small_ms": f"{slopes.at('fleet.place_cpu', ENGINES_TODAY) / 1000:.2g}",
+        "quiet_news": format_amount(
+            slopes.value_at("fleet.quiet_news_wire", TARGET.nodes), "bytes"
+        ),
+        "place_ms": f"{slopes.value_at('fleet.place_cpu', TARGET.runners) / 1000:.0f}",
+        "place_small_ms": f"{slopes.value_at('fleet.place_cpu', ENGINES_TODAY) / 1000:.2g}",
     }
--- a/scripts/_sheet.py
+++ b/scripts/_sheet.py
@@ -44,7 +44,7 @@
     @property
     def fits(self) -> bool:
         """Tell whether this line alone stays within the bound."""
-        return within(self.value, self.resource.bound)
+        return is_within(self.value, self.resource.bound)
 
 
 class Slopes:
@@ -81,7 +81,7 @@
         if value_by_size:
             self.slope_by_name[name] = fit(short, unit, per, value_by_size)
 
-    def at(self, name: str, size: float) -> float:
+    def value_at(self, name: str, size: float) -> float:
         """Give the value at a size by the fitted line.
 
         Where the line falls, which only scatter makes it do, it gives the largest value measured.
@@ -91,12 +91,12 @@
             return max(slope.values)
         return max(0.0, slope.base + slope.each * size)
 
-    def each(self, name: str) -> float:
+    def unit_cost(self, name: str) -> float:
         """Give what one more costs."""
         return self.slope_by_name[name].each
 
 
-def amount(value: float, unit: str) -> str:
+def format_amount(value: float, unit: str) -> str:
     """Write a value so that a person can read it."""
     head, _, tail = unit.partition("/")
     rate = "/" + tail if tail else ""
@@ -109,7 +109,7 @@
     return f"{value:.3g} {unit}"
 
 
-def fitted(slope: Slope) -> str:
+def format_slope(slope: Slope) -> str:
     """Write a slope as a line with its unit."""
     if len(slope.sizes) == 1:
         return f"{slope.each:,.4g} {slope.unit} a {slope.per}"
@@ -118,7 +118,7 @@
     return f"{slope.base:,.4g} {slope.unit}, and {slope.each:,.4g} for each {slope.per}"
 
 
-def table(lines: Iterable[Line], slopes: Slopes) -> str:
+def format_table(lines: Iterable[Line], slopes: Slopes) -> str:
     """Write lines as a table, with the sum of each resource below."""
     rows = [
         "| cost | carried by | measured | sum at the target | bound | |",
@@ -133,7 +133,7 @@
     return "\n".join(rows)
 
 
-def within(value: float, bound: float | None) -> bool:
+def is_within(value: float, bound: float | None) -> bool:
     """Tell whether a value stays within a bound, where there is one."""
     return bound is None or value <= bound
 
@@ -146,9 +146,11 @@
 
 
 def _row(line: Line, slopes: Slopes) -> str:
-    measured = "; ".join(f"`{name}`: {fitted(slopes.slope_by_name[name])}" for name in line.slopes)
+    measured = "; ".join(
+        f"`{name}`: {format_slope(slopes.slope_by_name[name])}" for name in line.slopes
+    )
     resource = line.resource
-    total = f"{line.sum_of}: {amount(line.value, resource.unit)}"
+    total = f"{line.sum_of}: {format_amount(line.value, resource.unit)}"
     found = verdict(line.value, resource.bound)
     return (
         f"| {line.what} | {line.carried_by} | {measured} | {total} | {_bound(resource)} | {found} |"
@@ -156,10 +158,10 @@
 
 
 def _total_row(resource: Resource, value: float) -> str:
-    total = f"**{amount(value, resource.unit)}**"
+    total = f"**{format_amount(value, resource.unit)}**"
     found = verdict(value, resource.bound)
     return f"| all of it: {resource.label} | | | {total} | {_bound(resource)} | {found} |"
 
 
 def _bound(resource: Resource) -> str:
-    return "none given" if resource.bound is None else amount(resource.bound, resource.unit)
+    return "none given" if resource.bound is None else format_amount(resource.bound, resource.unit)
--- a/scripts/_slope.py
+++ b/scripts/_slope.py
@@ -53,12 +53,12 @@
     return Slope(name, unit, per, sizes, _rounded(values), *_rounded((base, each, worst)))
 
 
-def show(slope: Slope) -> None:
+def print_slope(slope: Slope) -> None:
     """Print a slope as one JSON line."""
     print(json.dumps(asdict(slope)), flush=True)
 
 
-def held_bytes(make: Callable[[], object]) -> int:
+def measure_held_bytes(make: Callable[[], object]) -> int:
     """Give the memory that what `make` returns holds on to, in bytes."""
     gc.collect()
     tracemalloc.start()
@@ -73,7 +73,7 @@
     return after - before
 
 
-def cpu_us(work: Callable[[], object], rounds: int = 1) -> float:
+def measure_cpu_us(work: Callable[[], object], rounds: int = 1) -> float:
     """Give the processor time of one round of `work` in microseconds: the best of several."""
     best = float("inf")
     for _ in range(REPEATS):
--- a/scripts/burn_picture.py
+++ b/scripts/burn_picture.py
@@ -3,14 +3,14 @@
 import sys
 from pathlib import Path
 
-from egretstack.reports import burns_of, read_snapshots
-from egretstack.reports._plots import burn_figure, png_of
+from egretstack.reports import compute_burns, read_snapshots
+from egretstack.reports._plots import burn_figure, render_png
 
 
 def main() -> None:
     """Draw."""
     *files, picture = (Path(argument) for argument in sys.argv[1:])
-    picture.write_bytes(png_of(burn_figure(burns_of(read_snapshots(files)))))
+    picture.write_bytes(render_png(burn_figure(compute_burns(read_snapshots(files)))))
 
 
 if __name__ == "__main__":
--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -7,8 +7,8 @@
 import re
 from pathlib import Path
 
-from scripts._capacity_lines import TABLES, read_parts, sentences
-from scripts._sheet import Slopes, table
+from scripts._capacity_lines import TABLES, prose_figures, read_parts
+from scripts._sheet import Slopes, format_table
 
 ROOT = Path(__file__).parent.parent
 TEXT = Path(__file__).with_name("capacity.md")
@@ -19,11 +19,11 @@
 def capacity_page(slopes: Slopes) -> str:
     """Give the text of the page; a place that names nothing known is a KeyError."""
     read_parts(slopes)
-    figures = sentences(slopes)
+    figures = prose_figures(slopes)
 
     def fill(match: re.Match) -> str:
         if match.group(1):
-            return table(TABLES[match.group(2)](slopes), slopes)
+            return format_table(TABLES[match.group(2)](slopes), slopes)
         return figures[match.group(2)]
 
     return _PLACE.sub(fill, TEXT.read_text())
--- a/scripts/measure_idle.py
+++ b/scripts/measure_idle.py
@@ -10,7 +10,7 @@
 
 import httpx
 import trio
-from path_site import PathSite, path_site, print_figure
+from path_site import PathDeployment, open_path_deployment, print_figure
 
 ENGINES = (2, 7, 20)
 SETTLE_S = 8.0
@@ -22,12 +22,12 @@
 async def main() -> None:
     """Run the measurement."""
     for engines in [int(text) for text in sys.argv[1:]] or ENGINES:
-        async with path_site(NET, engines, STEP_S) as site:
+        async with open_path_deployment(NET, engines, STEP_S) as site:
             await trio.sleep(SETTLE_S)
             await _measure(site, engines)
 
 
-async def _measure(site: PathSite, engines: int) -> None:
+async def _measure(site: PathDeployment, engines: int) -> None:
     async with httpx.AsyncClient(trust_env=False) as client:
         lists, reports = await _readings(client, site)
         began_s, cpu_s = trio.current_time(), site.entry_cpu_s()
@@ -43,7 +43,7 @@
     )
 
 
-async def _readings(client: httpx.AsyncClient, site: PathSite) -> tuple[int, int]:
+async def _readings(client: httpx.AsyncClient, site: PathDeployment) -> tuple[int, int]:
     """Count readings of the list and of all load reports so far."""
     calls = (await client.get(f"http://{NET}.0.10:9000/calls")).json()
     reports = 0
--- a/scripts/measure_path.py
+++ b/scripts/measure_path.py
@@ -12,7 +12,7 @@
 
 import cyclopts
 import trio
-from path_site import path_site, print_figure
+from path_site import open_path_deployment, print_figure
 
 STREAMS = (1, 50, 300)
 TOKENS = 300
@@ -29,7 +29,7 @@
 
 
 async def _measure(wanted: tuple[int, ...], net: str) -> None:
-    async with path_site(net, ENGINES, STEP_S) as site:
+    async with open_path_deployment(net, ENGINES, STEP_S) as site:
         for streams in wanted:
             direct = await _load(site.engine_urls, streams, site.key)
             cpu_s = site.entry_cpu_s()
--- a/scripts/measure_policy.py
+++ b/scripts/measure_policy.py
@@ -18,7 +18,7 @@
 from make_trace import SITES, make
 
 from egretstack.policy import DEFAULT_POLICY, ORACLE, POLICIES, Feature
-from egretstack.replay import read_site, read_trace, replay
+from egretstack.replay import read_deployment, read_trace, replay
 
 HELD_APART = (11, 12, 13)
 """Seeds that no constant was chosen on."""
@@ -62,11 +62,16 @@
     def run(self) -> dict[str, float]:
         """Replay and give the figures."""
         suffix = f"-{self.seconds:g}s"
-        site = read_site(self.folder / f"{self.site}{suffix}.ini")
+        site = read_deployment(self.folder / f"{self.site}{suffix}.ini")
         name = f"{self.site}-{self.load:g}-{self.seed}{suffix}.jsonl"
         lines = read_trace(self.folder / name, site)
         figures = replay(
-            lines, site, self.policy, entries=ENTRIES, seed=self.seed, left_out=self.left_out
+            lines,
+            site,
+            self.policy,
+            entries=ENTRIES,
+            seed=self.seed,
+            disabled_features=self.left_out,
         )
         return asdict(figures)
 
--- a/scripts/path_site.py
+++ b/scripts/path_site.py
@@ -22,7 +22,7 @@
 BIN = Path(sys.executable).parent
 START_LIMIT_S = 30.0
 STOP_LIMIT_S = 10.0
-ANSWER_LIFE_S = 1
+ANSWER_TTL_S = 1
 MODEL = "story"
 _CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
@@ -67,7 +67,7 @@
 
 
 @dataclass
-class PathSite:
+class PathDeployment:
     """The running site: where to ask, with which key, and the entry's process id."""
 
     entry_url: str
@@ -82,7 +82,9 @@
 
 
 @asynccontextmanager
-async def path_site(net: str, engines: int, step_s: float) -> AsyncIterator[PathSite]:
+async def open_path_deployment(
+    net: str, engines: int, step_s: float
+) -> AsyncIterator[PathDeployment]:
     """Run the site for the length of the block."""
     started: list[subprocess.Popen] = []
     with tempfile.TemporaryDirectory() as folder:
@@ -94,7 +96,7 @@
 
 async def _start(
     folder: Path, net: str, engines: int, step_s: float, started: list[subprocess.Popen]
-) -> PathSite:
+) -> PathDeployment:
     platform = f"http://{net}.0.10:9000"
     hosts = [f"{net}.1.{number + 1}" for number in range(engines)]
     started.append(_run("-m", "standins", "platform", f"{net}.0.10:9000"))
@@ -113,12 +115,12 @@
             await client.put(f"{platform}/instances/{name}", json=slice_body)
         key = _configure(folder, platform)
         (folder / "session.keys").write_text(new_session_key() + "\n")
-        (folder / "entry.ini").write_text(_ENTRY.format(net=net, life=ANSWER_LIFE_S))
+        (folder / "entry.ini").write_text(_ENTRY.format(net=net, life=ANSWER_TTL_S))
         entry = subprocess.Popen([BIN / "egret-entry", folder / "entry.ini"])
         started.append(entry)
         url = f"http://{net}.0.11:8080"
         await _wait(client, f"{url}/v1/entries", {"Authorization": f"Bearer {key}"})
-    return PathSite(url, [f"http://{host}:8000" for host in hosts], key, entry.pid)
+    return PathDeployment(url, [f"http://{host}:8000" for host in hosts], key, entry.pid)
 
 
 async def _stop(started: list[subprocess.Popen]) -> None:
--- a/scripts/slopes_accounts.py
+++ b/scripts/slopes_accounts.py
@@ -17,7 +17,14 @@
 from egretstack.ids import ChangeId, Revision
 from egretstack.metrics import Metrics
 from egretstack.peers import encode
-from scripts._slope import OBJECT_SIZES, REPEATS, cpu_us, fit, held_bytes, show
+from scripts._slope import (
+    OBJECT_SIZES,
+    REPEATS,
+    fit,
+    measure_cpu_us,
+    measure_held_bytes,
+    print_slope,
+)
 
 ROUNDS = 10
 DELTAS = ROUNDS * REPEATS
@@ -118,21 +125,25 @@
 def show_accounts() -> None:
     """Measure accounts."""
     sizes = OBJECT_SIZES
-    held = {size: held_bytes(lambda size=size: configured(size)) for size in sizes}
-    show(fit("configuration_memory", "bytes", "account", held))
+    held = {size: measure_held_bytes(lambda size=size: configured(size)) for size in sizes}
+    print_slope(fit("configuration_memory", "bytes", "account", held))
     wire = {size: snapshot_bytes(size) for size in sizes}
-    show(fit("configuration_snapshot_wire", "bytes", "account", wire))
+    print_slope(fit("configuration_snapshot_wire", "bytes", "account", wire))
     changed = {size: len(encode(tell(change_of_one(size)))) for size in sizes}
-    show(fit("configuration_change_wire", "bytes", "account", changed))
-    started = {size: cpu_us(partial(apply, snapshot(size))) for size in sizes}
-    show(fit("configuration_start_cpu", "us", "account", started))
+    print_slope(fit("configuration_change_wire", "bytes", "account", changed))
+    started = {size: measure_cpu_us(partial(apply, snapshot(size))) for size in sizes}
+    print_slope(fit("configuration_start_cpu", "us", "account", started))
     applied = {
-        size: cpu_us(partial(apply_delta, configured(size), deltas_of(size, DELTAS)), ROUNDS)
+        size: measure_cpu_us(
+            partial(apply_delta, configured(size), deltas_of(size, DELTAS)), ROUNDS
+        )
         for size in sizes
     }
-    show(fit("configuration_change_cpu", "us", "account", applied))
-    metrics = {size: held_bytes(lambda size=size: measured_accounts(size)) for size in sizes}
-    show(fit("metrics_memory", "bytes", "account", metrics))
+    print_slope(fit("configuration_change_cpu", "us", "account", applied))
+    metrics = {
+        size: measure_held_bytes(lambda size=size: measured_accounts(size)) for size in sizes
+    }
+    print_slope(fit("metrics_memory", "bytes", "account", metrics))
 
 
 if __name__ == "__main__":
--- a/scripts/slopes_fleet.py
+++ b/scripts/slopes_fleet.py
@@ -35,7 +35,7 @@
 from egretstack.messages import decode, encode
 from egretstack.placing import GenerationRequest, Placer, Run, run_from_row, run_row
 from egretstack.routing import EngineConfig
-from scripts._slope import MICROSECONDS, REPEATS, Slope, fit, show
+from scripts._slope import MICROSECONDS, REPEATS, Slope, fit, print_slope
 
 INSTANCES = (7, 30, 70, 420)
 ENGINES = (6, 24, 96, 384)
@@ -59,13 +59,13 @@
 def main() -> None:
     """Measure and print."""
     for slope in wire_slopes():
-        show(slope)
+        print_slope(slope)
     reports = {n: _report_us(n) for n in INSTANCES}
-    show(fit("home_report_cpu", "us", "instance", reports))
+    print_slope(fit("home_report_cpu", "us", "instance", reports))
     places = {n: _place_us(n) for n in ENGINES}
-    show(fit("place_cpu", "us", "engine", places))
+    print_slope(fit("place_cpu", "us", "engine", places))
     per_s = {n: n / REPORT_PERIOD_S for n in INSTANCES}
-    show(fit("home_reports", "messages/s", "instance", per_s))
+    print_slope(fit("home_reports", "messages/s", "instance", per_s))
 
 
 def wire_slopes() -> list[Slope]:
--- a/scripts/slopes_memory.py
+++ b/scripts/slopes_memory.py
@@ -2,7 +2,7 @@
 
 from loguru import logger
 
-from scripts._slope import fit, show
+from scripts._slope import fit, print_slope
 from scripts.slopes_nodes import run
 
 FLEET_SIZES = (5, 10, 20)
@@ -11,7 +11,7 @@
 def main() -> None:
     """Measure fleets of every size."""
     held = {size: run(size, memory=True).memory_bytes for size in FLEET_SIZES}
-    show(fit("idle_memory", "bytes an instance", "instance", held))
+    print_slope(fit("idle_memory", "bytes an instance", "instance", held))
 
 
 if __name__ == "__main__":
--- a/scripts/slopes_nodes.py
+++ b/scripts/slopes_nodes.py
@@ -13,7 +13,7 @@
 import trio.testing
 
 from egretstack.settings import Program
-from scripts._slope import MICROSECONDS, fit, show
+from scripts._slope import MICROSECONDS, fit, print_slope
 from standins.network import Network
 from standins.world import open_world
 
@@ -154,7 +154,7 @@
         ("change_calls", "change_object_api_calls", "calls a change"),
     ):
         values = {size: getattr(idle, field) for size, idle in timed.items()}
-        show(fit(name, unit, "instance", values))
+        print_slope(fit(name, unit, "instance", values))
 
 
 if __name__ == "__main__":
--- a/scripts/slopes_path.py
+++ b/scripts/slopes_path.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 
 import trio
-from path_site import PathSite, path_site
+from path_site import PathDeployment, open_path_deployment
 
-from scripts._slope import MICROSECONDS, fit, show
+from scripts._slope import MICROSECONDS, fit, print_slope
 
 NET = "127.28"
 ENGINES = 6
@@ -36,43 +36,43 @@
     """Measure an idle entry, then one under load."""
     idle = {}
     for engines in IDLE_ENGINES:
-        async with path_site(NET, engines, STEP_S) as site:
+        async with open_path_deployment(NET, engines, STEP_S) as site:
             await trio.sleep(SETTLE_S)
             idle[engines] = await _idle_us(site)
-    show(fit("entry_idle_cpu", "us/s", "runner", idle))
+    print_slope(fit("entry_idle_cpu", "us/s", "runner", idle))
     await _show_load()
 
 
 async def _show_load() -> None:
     """Measure under load; the sizes grow, so that the peak of memory belongs to the last one."""
-    async with path_site(NET, ENGINES, STEP_S) as site:
+    async with open_path_deployment(NET, ENGINES, STEP_S) as site:
         await trio.sleep(WARM_S)
         await _load(site, AT_ONCE, SHORT_TOKENS)
-        show(fit("entry_idle_memory", "bytes", "process", {1: _peak_bytes(site)}))
+        print_slope(fit("entry_idle_memory", "bytes", "process", {1: _peak_bytes(site)}))
         short = {count: await _load(site, count, SHORT_TOKENS) for count in REQUESTS}
-        show(fit("entry_request_cpu", "us", "request", short))
+        print_slope(fit("entry_request_cpu", "us", "request", short))
         cpu_by_tokens = {}
         peak_by_streams = {}
         for streams in STREAMS:
             cpu_by_tokens[streams * TOKENS] = await _load(site, streams, TOKENS)
             peak_by_streams[streams] = _peak_bytes(site)
-        show(fit("entry_token_cpu", "us", "token", cpu_by_tokens))
-        show(fit("entry_session_memory", "bytes", "session", peak_by_streams))
+        print_slope(fit("entry_token_cpu", "us", "token", cpu_by_tokens))
+        print_slope(fit("entry_session_memory", "bytes", "session", peak_by_streams))
 
 
-async def _idle_us(site: PathSite) -> float:
+async def _idle_us(site: PathDeployment) -> float:
     before_s = site.entry_cpu_s()
     await trio.sleep(IDLE_S)
     return (site.entry_cpu_s() - before_s) / IDLE_S * MICROSECONDS
 
 
-def _peak_bytes(site: PathSite) -> int:
+def _peak_bytes(site: PathDeployment) -> int:
     lines = Path(f"/proc/{site.entry_pid}/status").read_text().splitlines()
     [peak] = [line.split()[1] for line in lines if line.startswith("VmHWM")]
     return int(peak) * KILOBYTE
 
 
-async def _load(site: PathSite, streams: int, tokens: int) -> float:
+async def _load(site: PathDeployment, streams: int, tokens: int) -> float:
     """Stream through the entry; give its processor time in microseconds."""
     before_s = site.entry_cpu_s()
     running = []
@@ -87,7 +87,7 @@
     return (site.entry_cpu_s() - before_s) * MICROSECONDS
 
 
-def _client(site: PathSite, streams: int, tokens: int) -> subprocess.Popen:
+def _client(site: PathDeployment, streams: int, tokens: int) -> subprocess.Popen:
     command = [sys.executable, LOAD_CLIENT, site.entry_url, str(streams), str(tokens)]
     process = subprocess.Popen(
         command,
--- a/scripts/slopes_runners.py
+++ b/scripts/slopes_runners.py
@@ -22,7 +22,7 @@
     make_policy,
 )
 from egretstack.upstreams import HttpEngine
-from scripts._slope import OBJECT_SIZES, cpu_us, fit, held_bytes, show
+from scripts._slope import OBJECT_SIZES, fit, measure_cpu_us, measure_held_bytes, print_slope
 
 MODELS = 27
 
@@ -100,18 +100,19 @@
     """Measure instances and runners."""
     bodies = {size: endpoint_list(size) for size in OBJECT_SIZES}
     wire = {size: len(body) for size, body in bodies.items()}
-    show(fit("instance_list_answer", "bytes", "member", wire))
+    print_slope(fit("instance_list_answer", "bytes", "member", wire))
     read = {
-        size: cpu_us(lambda body=body: read_list(body)) / READS for size, body in bodies.items()
+        size: measure_cpu_us(lambda body=body: read_list(body)) / READS
+        for size, body in bodies.items()
     }
-    show(fit("instance_list_read_cpu", "us", "member", read))
-    held = {size: held_bytes(lambda size=size: policy_with(size)) for size in OBJECT_SIZES}
-    show(fit("policy_memory", "bytes", "runner", held))
+    print_slope(fit("instance_list_read_cpu", "us", "member", read))
+    held = {size: measure_held_bytes(lambda size=size: policy_with(size)) for size in OBJECT_SIZES}
+    print_slope(fit("policy_memory", "bytes", "runner", held))
     placed = {}
     for size in OBJECT_SIZES:
         policy = policy_with(size)
-        placed[size] = cpu_us(lambda policy=policy: serve_requests(policy)) / REQUESTS
-    show(fit("policy_request_cpu", "us", "runner", placed))
+        placed[size] = measure_cpu_us(lambda policy=policy: serve_requests(policy)) / REQUESTS
+    print_slope(fit("policy_request_cpu", "us", "runner", placed))
 
 
 def read_reports(count: int) -> None:
@@ -140,10 +141,10 @@
 def show_reports() -> None:
     """Measure load reports of engines."""
     sizes = (5, 20, 80)
-    read = {size: cpu_us(lambda size=size: read_reports(size)) for size in sizes}
-    show(fit("load_report_read_cpu", "us", "report", read))
+    read = {size: measure_cpu_us(lambda size=size: read_reports(size)) for size in sizes}
+    print_slope(fit("load_report_read_cpu", "us", "report", read))
     wire = {size: size * (len(LOAD_REPORT) + REPORT_HEAD_BYTES) for size in sizes}
-    show(fit("load_report_wire", "bytes", "report", wire))
+    print_slope(fit("load_report_wire", "bytes", "report", wire))
 
 
 class NoStream(trio.abc.Stream):
@@ -166,10 +167,10 @@
 def show_links() -> None:
     """Measure what one end of a link holds."""
     held = {
-        size: held_bytes(lambda size=size: [PeerLink(NoStream()) for _ in range(size)])
+        size: measure_held_bytes(lambda size=size: [PeerLink(NoStream()) for _ in range(size)])
         for size in OBJECT_SIZES
     }
-    show(fit("link_memory", "bytes", "link end", held))
+    print_slope(fit("link_memory", "bytes", "link end", held))
 
 
 if __name__ == "__main__":
--- a/scripts/slopes_tokens.py
+++ b/scripts/slopes_tokens.py
@@ -18,7 +18,7 @@
 )
 from egretstack.sessions import Session, SessionRequest
 from egretstack.upstreams import EngineEvent, EngineEventKind, GenerationRequest
-from scripts._slope import cpu_us, fit, held_bytes, show
+from scripts._slope import fit, measure_cpu_us, measure_held_bytes, print_slope
 
 TOKEN_SIZES = (64, 128, 256)
 BATCH_SIZES = (1, 4, 16, 64)
@@ -49,16 +49,16 @@
 
 def show_tokens() -> None:
     """Measure tokens."""
-    held = {size: held_bytes(lambda size=size: session_with(size)) for size in TOKEN_SIZES}
-    show(fit("session_kept_events", "bytes", "token", held))
+    held = {size: measure_held_bytes(lambda size=size: session_with(size)) for size in TOKEN_SIZES}
+    print_slope(fit("session_kept_events", "bytes", "token", held))
     session = SessionId("resp_" + "x" * 200)
     encoded = {
-        size: cpu_us(partial(encode_batch, events(size), session, ModelName("m")), 50)
+        size: measure_cpu_us(partial(encode_batch, events(size), session, ModelName("m")), 50)
         for size in BATCH_SIZES
     }
-    show(fit("event_encode_cpu", "us", "token", encoded))
+    print_slope(fit("event_encode_cpu", "us", "token", encoded))
     sent = {size: len(encode_batch(events(size), session, ModelName("m"))) for size in BATCH_SIZES}
-    show(fit("event_wire", "bytes", "token", sent))
+    print_slope(fit("event_wire", "bytes", "token", sent))
     box = TokenBox([TokenBox.new_key()])
     ref = SessionRef(
         AccountId("acme"),
@@ -68,9 +68,10 @@
         GenerationId("gen0123456789abcdef"),
     )
     sealed = {
-        size: cpu_us(lambda size=size: [box.seal(ref) for _ in range(size)]) for size in BATCH_SIZES
+        size: measure_cpu_us(lambda size=size: [box.seal(ref) for _ in range(size)])
+        for size in BATCH_SIZES
     }
-    show(fit("session_id_seal_cpu", "us", "session", sealed))
+    print_slope(fit("session_id_seal_cpu", "us", "session", sealed))
 
 
 if __name__ == "__main__":
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -6,7 +6,14 @@
 from egretstack.errors import UserError
 from egretstack.ids import AccountId
 from egretstack.metrics import Objective
-from egretstack.reports import Alert, Window, burns_of, json_report, read_snapshots, text_report
+from egretstack.reports import (
+    Alert,
+    Window,
+    compute_burns,
+    json_report,
+    read_snapshots,
+    text_report,
+)
 from egretstack.reports._page import html_report
 from tests.burn_fixtures import Entry, saved_files
 from tests.support import check, tests_of
@@ -18,7 +25,7 @@
 
 
 def burn_of(files, objective=Objective.GAP):
-    [found] = [one for one in burns_of(read_snapshots(files)) if one.objective is objective]
+    [found] = [one for one in compute_burns(read_snapshots(files)) if one.objective is objective]
     return found
 
 
@@ -120,7 +127,7 @@
         entry.levels().first_token(0.2)
         entry.levels().ended(kept=False)
         entry.levels(AccountId("zeta")).gap(0.2, 3)
-        burns = burns_of(read_snapshots([entry.save(START_S + 60)]))
+        burns = compute_burns(read_snapshots([entry.save(START_S + 60)]))
         rows = json.loads(json_report(burns))
         page = html_report(burns, "now")
     check.assertEqual(len(rows), 6)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -4,7 +4,7 @@
 import re
 
 from scripts._capacity_lines import TABLES, read_parts
-from scripts._sheet import SLOPES_FILE, Resource, Slopes, within
+from scripts._sheet import SLOPES_FILE, Resource, Slopes, is_within
 from scripts._slope import Slope, fit
 from scripts.capacity import PAGE, capacity_page
 from tests.support import check, tests_of
@@ -64,7 +64,7 @@
                 for text in page.splitlines()
                 if f"| {line.what} |" in text and f"`{line.slopes[0]}`" in text
             ]
-            fits = within(line.value, line.resource.bound)
+            fits = is_within(line.value, line.resource.bound)
             if line.resource.bound is not None:
                 check.assertEqual("does not fit" not in row, fits, row)
 
--- a/tests/test_expected.py
+++ b/tests/test_expected.py
@@ -3,7 +3,7 @@
 import json
 from pathlib import Path
 
-from egretstack.replay import read_site, read_trace, replay
+from egretstack.replay import read_deployment, read_trace, replay
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
@@ -13,7 +13,7 @@
 
 
 def replayed(stated, policy):
-    site = read_site(ROOT / "traces" / stated["engines"])
+    site = read_deployment(ROOT / "traces" / stated["engines"])
     lines = read_trace(ROOT / "traces" / stated["trace"], site)
     return replay(lines, site, policy, entries=stated["entries"], seed=stated["seed"])
 
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -8,7 +8,7 @@
 
 from egretstack.errors import UserError
 from egretstack.programs.ctl import app
-from egretstack.replay import read_site, read_trace, replay
+from egretstack.replay import read_deployment, read_trace, replay
 from tests.support import check, tests_of
 
 load_tests = tests_of(globals())
@@ -50,7 +50,7 @@
 
 def figures(lines, policy, engines=ENGINE, entries=2):
     with files(lines, engines) as (trace, path):
-        site = read_site(path)
+        site = read_deployment(path)
         return replay(read_trace(trace, site), site, policy, entries=entries, seed=1)
 
 
@@ -86,7 +86,7 @@
         for value in values:
             bad = {name: one for name, one in (GOOD | {field: value}).items() if one is not None}
             with files([GOOD, bad]) as (trace, path), check.assertRaises(UserError) as caught:
-                read_trace(trace, read_site(path))
+                read_trace(trace, read_deployment(path))
             check.assertIn(f"{trace}:2: {field}", str(caught.exception))
 
 
@@ -94,10 +94,10 @@
     long = json.dumps(GOOD) + " " * 20_000
     for text in ("[]", "{", long, json.dumps(GOOD | {"extra": 1}), "[" * 10_000):
         with files([GOOD, text]) as (trace, path), check.assertRaises(UserError) as caught:
-            read_trace(trace, read_site(path))
+            read_trace(trace, read_deployment(path))
         check.assertIn(f"{trace}:2: ", str(caught.exception))
     with files([GOOD, GOOD | {"at_s": 0.5}]) as (trace, path):
-        check.assertRaisesRegex(UserError, ":2: at_s", read_trace, trace, read_site(path))
+        check.assertRaisesRegex(UserError, ":2: at_s", read_trace, trace, read_deployment(path))
 
 
 def test_engine_faults_name_section_and_key():
@@ -110,7 +110,7 @@
         "",
     ):
         with files([GOOD], engines) as (_, path), check.assertRaises(UserError) as caught:
-            read_site(path)
+            read_deployment(path)
         check.assertIn(str(path), str(caught.exception))
 
 
