--- a/egretstack/programs/_ctl_common.py
+++ b/egretstack/programs/_ctl_common.py
@@ -34,12 +34,12 @@
         )
 
 
-def run_command(work: Callable[[], Awaitable[None]]) -> None:
+def run_command(command: Callable[[], Awaitable[None]]) -> None:
     """Run an asynchronous command and turn its errors into words and exit codes."""
 
     async def guarded() -> None:
         try:
-            await work()
+            await command()
         except ApplyConflict as error:
             print(f"conflict: {error}; in force now:", file=sys.stderr)
             print(json.dumps(error.theirs, indent=2), file=sys.stderr)
--- a/egretstack/programs/_ctl_parts.py
+++ b/egretstack/programs/_ctl_parts.py
@@ -93,7 +93,7 @@
                 except ApplyConflict as error:
                     print(sections_diff(error.theirs, part.sections, "in force", str(file)))
                     raise
-            print(f"{part.part}: {_accepted(accepted)}")
+            print(f"{part.part}: {_describe_accepted(accepted)}")
 
         run_command(work)
 
@@ -106,10 +106,10 @@
                 store = ConfigurationStore(api)
                 await refuse_older_store(client, listed, store)
                 accepted = await remove_part(store, kind, name)
-            print(f"{kind.value}.{name}: removed, {_accepted(accepted)}")
+            print(f"{kind.value}.{name}: removed, {_describe_accepted(accepted)}")
 
         run_command(work)
 
 
-def _accepted(accepted: Accepted) -> str:
+def _describe_accepted(accepted: Accepted) -> str:
     return f"accepted as revision {accepted.revision}, change {accepted.change_id}"
--- a/egretstack/programs/_explain.py
+++ b/egretstack/programs/_explain.py
@@ -33,10 +33,12 @@
         files
             Saved standard output of the instances, in any order.
         """
-        run_or_exit(lambda: _show(_explanation(request, files), json_output=json_output))
+        run_or_exit(
+            lambda: _print_explanation(_explain_files(request, files), json_output=json_output)
+        )
 
 
-def _explanation(request: str, files: list[Path]) -> Explanation:
+def _explain_files(request: str, files: list[Path]) -> Explanation:
     lines = []
     for file in files:
         try:
@@ -47,15 +49,17 @@
     return explain(request, lines)
 
 
-def _show(found: Explanation, *, json_output: bool) -> None:
+def _print_explanation(explanation: Explanation, *, json_output: bool) -> None:
     if json_output:
         rows = [
             {"time": line.time, "instance": line.instance, "name": line.name} | line.fields
-            for line in found.lines
+            for line in explanation.lines
         ]
-        print(json.dumps({"request": found.request, "cause": found.cause, "lines": rows}))
+        print(
+            json.dumps({"request": explanation.request, "cause": explanation.cause, "lines": rows})
+        )
         return
-    for line in found.lines:
-        told = " ".join(f"{name}={value}" for name, value in line.fields.items())
-        print(f"{line.time}  {line.instance:18} {line.name:20} {told}")
-    print(f"cause: {found.cause}")
+    for line in explanation.lines:
+        fields = " ".join(f"{name}={value}" for name, value in line.fields.items())
+        print(f"{line.time}  {line.instance:18} {line.name:20} {fields}")
+    print(f"cause: {explanation.cause}")
--- a/egretstack/programs/_replay.py
+++ b/egretstack/programs/_replay.py
@@ -62,21 +62,21 @@
 ) -> None:
     if not 1 <= entries <= MAX_ENTRIES:
         raise UserError(f"--entries {entries}: allowed: 1 to {MAX_ENTRIES}")
-    site = read_deployment(engines)
-    lines = read_trace(trace, site)
+    deployment = read_deployment(engines)
+    lines = read_trace(trace, deployment)
     all_figures = []
     for name in resolve_policy_names(policy):
-        all_figures.append(replay(lines, site, name, entries=entries, seed=seed))
+        all_figures.append(replay(lines, deployment, name, entries=entries, seed=seed))
         if as_json:
             print(json.dumps(asdict(all_figures[-1])))
     if not as_json:
-        print(_table(all_figures))
+        print(_format_table(all_figures))
 
 
-def _table(all_figures: list[Figures]) -> str:
+def _format_table(all_figures: list[Figures]) -> str:
     """Give the figures as a table: one row a figure, one column a policy."""
     rows = []
-    for one in fields(Figures):
-        cells = [str(getattr(figures, one.name)) for figures in all_figures]
-        rows.append(f"{one.name:20}" + "".join(f"{cell:>14}" for cell in cells))
+    for field in fields(Figures):
+        cells = [str(getattr(figures, field.name)) for figures in all_figures]
+        rows.append(f"{field.name:20}" + "".join(f"{cell:>14}" for cell in cells))
     return "\n".join(rows)
--- a/egretstack/programs/_running.py
+++ b/egretstack/programs/_running.py
@@ -57,17 +57,17 @@
         load_services(kernel, services)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_drain_on_signal, kernel)
-            _spare_collections()
+            _tune_garbage_collection()
             await kernel.run()
             nursery.cancel_scope.cancel()
 
     run_or_exit(lambda: trio.run(main))
 
 
-def run_or_exit(run: Callable[[], Result]) -> Result:
+def run_or_exit(function: Callable[[], Result]) -> Result:
     """Run, or exit: user errors in plain words, failed services by name, bugs as tracebacks."""
     try:
-        return run()
+        return function()
     except* UserError as group:
         for error in _leaves(group):
             print(error, file=sys.stderr)
@@ -78,7 +78,7 @@
         sys.exit(ExitCode.FAILED)
 
 
-def _spare_collections() -> None:
+def _tune_garbage_collection() -> None:
     """Keep what start-up made out of later collections, and collect less often.
 
     Each token makes a few short-lived objects for each of many streams. At the default threshold
--- a/egretstack/programs/ctl.py
+++ b/egretstack/programs/ctl.py
@@ -90,18 +90,18 @@
     json_output
         Print what it holds as JSON.
     """
-    found = run_or_exit(lambda: read_configuration(file))
+    configuration = run_or_exit(lambda: read_configuration(file))
     counts = {
-        "version": found.version,
-        "routes": len(found.routes),
-        "services": len(found.service_by_name),
-        "accounts": len({one.name for one in found.account_by_key_digest.values()}),
+        "version": configuration.version,
+        "routes": len(configuration.routes),
+        "services": len(configuration.service_by_name),
+        "accounts": len({one.name for one in configuration.account_by_key_digest.values()}),
     }
     if json_output:
         print(json.dumps(counts))
         return
-    listed = ", ".join(f"{name} {count}" for name, count in counts.items())
-    print(f"{file}: good configuration: {listed}")
+    summary = ", ".join(f"{name} {count}" for name, count in counts.items())
+    print(f"{file}: good configuration: {summary}")
 
 
 @app.command
@@ -125,11 +125,11 @@
 def reference(page: str) -> None:
     """Print a reference page: contracts, events, services or settings."""
     if page not in _PAGES:
-        run_or_exit(lambda: _no_page(page))
+        run_or_exit(lambda: _raise_unknown_page(page))
     print(_PAGES[page](), end="")
 
 
-def _no_page(page: str) -> None:
+def _raise_unknown_page(page: str) -> None:
     raise UserError(f"no page named {page}; known: {', '.join(sorted(_PAGES))}")
 
 
--- a/egretstack/programs/platform_entry.py
+++ b/egretstack/programs/platform_entry.py
@@ -40,10 +40,10 @@
 
     Exit codes: 0 stopped, 1 a service failed, 2 wrong settings.
     """
-    run_services(_start, SERVICES)
+    run_services(_load_settings, SERVICES)
 
 
-def _start() -> NodeSettings:
+def _load_settings() -> NodeSettings:
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
         raise UserError(f"{SETTINGS_VARIABLE} does not name a settings file")
--- a/egretstack/programs/report.py
+++ b/egretstack/programs/report.py
@@ -46,7 +46,7 @@
     out
         Where it is written; standard output by default.
     """
-    run_or_exit(lambda: _write(_made(files, form), out))
+    run_or_exit(lambda: _write(_make_report(files, form), out))
 
 
 @app.command
@@ -67,7 +67,7 @@
     run_or_exit(work)
 
 
-def _made(files: tuple[Path, ...], form: Form) -> str:
+def _make_report(files: tuple[Path, ...], form: Form) -> str:
     snapshots = read_snapshots(files)
     burns = compute_burns(snapshots)
     if form is Form.TEXT:
--- a/egretstack/replay/_engine_model.py
+++ b/egretstack/replay/_engine_model.py
@@ -81,15 +81,15 @@
     output_tokens: int
     prefix: str
     priority: int
-    order: int
-    done: int = 0
-    unread: int = 0
+    queue_order: int
+    decoded_tokens: int = 0
+    prefill_remaining: int = 0
     """Tokens of the prompt, and of recomputed output, that are still to be read."""
-    started: int = field(default=0)
+    start_order: int = field(default=0)
 
     @property
-    def held(self) -> int:
-        return self.prompt_tokens + self.done
+    def kv_tokens(self) -> int:
+        return self.prompt_tokens + self.decoded_tokens
 
 
 class EngineModel:
@@ -102,10 +102,10 @@
         self._running: list[_Sequence] = []
         self._decoding: list[_Sequence] = []
         self._preempted: list[GenerationId] = []
-        self._used = 0
-        self._cached: OrderedDict[str, int] = OrderedDict()
-        self._order = 0
-        self._next_s: float | None = None
+        self._kv_used_tokens = 0
+        self._prefix_cache: OrderedDict[str, int] = OrderedDict()
+        self._last_order = 0
+        self._step_end_s: float | None = None
         self._snapshots: list[LoadSnapshot] = []
 
     def submit(
@@ -119,23 +119,23 @@
         priority: int = 0,
     ) -> None:
         """Take a generation in; it starts at a step for which there is memory."""
-        self._order += 1
+        self._last_order += 1
         self._waiting.append(
-            _Sequence(generation, prompt_tokens, output_tokens, prefix, priority, self._order)
+            _Sequence(generation, prompt_tokens, output_tokens, prefix, priority, self._last_order)
         )
-        if self._next_s is None:
+        if self._step_end_s is None:
             self._begin_step(now_s)
-        self._snapshot(now_s)
+        self._take_snapshot(now_s)
 
     def cancel(self, generation: GenerationId) -> None:
         """Drop a generation, waiting or running."""
         self._waiting = [one for one in self._waiting if one.id != generation]
         for sequence in [one for one in self._running if one.id == generation]:
-            self._leave(sequence)
+            self._remove(sequence)
 
     def next_step_s(self) -> float | None:
         """Give the time at which the step in progress ends, or None when there is none."""
-        return self._next_s
+        return self._step_end_s
 
     def step(self, now_s: float) -> list[ModelOutput]:
         """End the step in progress, begin the next, and tell what happened to each sequence."""
@@ -151,30 +151,30 @@
         sequences = len(self._running)
         finished = []
         for sequence in decoded:
-            sequence.done += 1
-            if sequence.done >= sequence.output_tokens:
+            sequence.decoded_tokens += 1
+            if sequence.decoded_tokens >= sequence.output_tokens:
                 finished.append(sequence)
-        self._used += len(decoded)
+        self._kv_used_tokens += len(decoded)
         for sequence in finished:
-            self._leave(sequence)
+            self._remove(sequence)
         preempted = self._preempted
         self._begin_step(now_s)
-        self._snapshot(now_s)
+        self._take_snapshot(now_s)
         return StepResult(
             [one.id for one in decoded], [one.id for one in finished], preempted, sequences
         )
 
     def kv_used_tokens(self) -> int:
         """Give the tokens of memory that running sequences hold."""
-        return self._used
+        return self._kv_used_tokens
 
     def cached_prefixes(self) -> list[str]:
         """Give the prefixes in the cache, the least recently used first."""
-        return list(self._cached)
+        return list(self._prefix_cache)
 
     def report(self, now_s: float) -> LoadSnapshot:
         """Give the newest snapshot that the reporting lag lets out."""
-        self._snapshot(now_s)
+        self._take_snapshot(now_s)
         latest_s = now_s - self.parameters.report_lag_s
         visible = [one for one in self._snapshots if one.taken_s <= latest_s]
         if not visible:
@@ -182,78 +182,86 @@
         self._snapshots = self._snapshots[len(visible) - 1 :]
         return visible[-1]
 
-    def _snapshot(self, now_s: float) -> None:
-        last = self._snapshots[-1].taken_s if self._snapshots else None
-        if last is None or now_s - last >= self.parameters.report_period_s:
+    def _take_snapshot(self, now_s: float) -> None:
+        last_taken_s = self._snapshots[-1].taken_s if self._snapshots else None
+        if last_taken_s is None or now_s - last_taken_s >= self.parameters.report_period_s:
             self._snapshots.append(
                 LoadSnapshot(
-                    now_s, len(self._running), len(self._waiting), self._used, self.preemptions
+                    now_s,
+                    len(self._running),
+                    len(self._waiting),
+                    self._kv_used_tokens,
+                    self.preemptions,
                 )
             )
             del self._snapshots[:-MAX_SNAPSHOTS]
 
-    def _leave(self, sequence: _Sequence) -> None:
+    def _remove(self, sequence: _Sequence) -> None:
         self._running.remove(sequence)
-        self._used -= sequence.held
+        self._kv_used_tokens -= sequence.kv_tokens
         if sequence in self._decoding:
             self._decoding = [one for one in self._decoding if one is not sequence]
 
     def _begin_step(self, now_s: float) -> None:
         self._admit()
-        self._preempted = self._make_room()
-        read = self._read_prompts()
-        self._decoding = [one for one in self._running if one.unread == 0]
+        self._preempted = self._preempt_until_fits()
+        prefilled_tokens = self._prefill()
+        self._decoding = [one for one in self._running if one.prefill_remaining == 0]
         if not self._running:
-            self._next_s = None
+            self._step_end_s = None
             return
         duration_s = self.parameters.step_base_s
         duration_s += self.parameters.step_per_sequence_s * len(self._running)
-        duration_s += read / self.parameters.prefill_tokens_per_s
-        self._next_s = now_s + duration_s
+        duration_s += prefilled_tokens / self.parameters.prefill_tokens_per_s
+        self._step_end_s = now_s + duration_s
 
     def _admit(self) -> None:
         if not self._waiting:
             return
-        self._waiting.sort(key=lambda one: (-one.priority, one.order))
-        kept_free = self.parameters.watermark * self.parameters.kv_capacity_tokens
+        self._waiting.sort(key=lambda one: (-one.priority, one.queue_order))
+        reserved_tokens = self.parameters.watermark * self.parameters.kv_capacity_tokens
         while self._waiting and len(self._running) < self.parameters.max_batch:
-            first = self._waiting[0]
-            room = self.parameters.kv_capacity_tokens - self._used - len(self._running)
-            if first.held + 1 + kept_free > room and self._running:
+            candidate = self._waiting[0]
+            free_tokens = (
+                self.parameters.kv_capacity_tokens - self._kv_used_tokens - len(self._running)
+            )
+            if candidate.kv_tokens + 1 + reserved_tokens > free_tokens and self._running:
                 return
             self._waiting.pop(0)
-            self._order += 1
-            first.started = self._order
-            first.unread = max(1, first.held - self._cached_tokens(first))
-            self._running.append(first)
-            self._used += first.held
+            self._last_order += 1
+            candidate.start_order = self._last_order
+            candidate.prefill_remaining = max(
+                1, candidate.kv_tokens - self._cached_tokens(candidate)
+            )
+            self._running.append(candidate)
+            self._kv_used_tokens += candidate.kv_tokens
 
-    def _read_prompts(self) -> int:
+    def _prefill(self) -> int:
         budget = self.parameters.prefill_step_tokens
         for sequence in self._running:
-            if sequence.unread and budget:
-                read = min(budget, sequence.unread)
-                sequence.unread -= read
-                budget -= read
+            if sequence.prefill_remaining and budget:
+                prefilled = min(budget, sequence.prefill_remaining)
+                sequence.prefill_remaining -= prefilled
+                budget -= prefilled
         return self.parameters.prefill_step_tokens - budget
 
     def _cached_tokens(self, sequence: _Sequence) -> int:
         if not sequence.prefix:
             return 0
-        shared = int(sequence.prompt_tokens * self.parameters.prefix_share)
-        hit = min(shared, self._cached.pop(sequence.prefix, 0))
-        self._cached[sequence.prefix] = max(hit, shared)
-        while sum(self._cached.values()) > self.parameters.prefix_cache_tokens:
-            self._cached.popitem(last=False)
-        return hit
-
-    def _make_room(self) -> list[GenerationId]:
+        prefix_tokens = int(sequence.prompt_tokens * self.parameters.prefix_share)
+        hit_tokens = min(prefix_tokens, self._prefix_cache.pop(sequence.prefix, 0))
+        self._prefix_cache[sequence.prefix] = max(hit_tokens, prefix_tokens)
+        while sum(self._prefix_cache.values()) > self.parameters.prefix_cache_tokens:
+            self._prefix_cache.popitem(last=False)
+        return hit_tokens
+
+    def _preempt_until_fits(self) -> list[GenerationId]:
         preempted = []
-        needed = self._used + len(self._running)
+        needed = self._kv_used_tokens + len(self._running)
         while needed > self.parameters.kv_capacity_tokens and len(self._running) > 1:
-            victim = min(self._running, key=lambda one: (one.priority, -one.started))
-            needed -= victim.held + 1
-            self._leave(victim)
+            victim = min(self._running, key=lambda one: (one.priority, -one.start_order))
+            needed -= victim.kv_tokens + 1
+            self._remove(victim)
             self._waiting.append(victim)
             self.preemptions += 1
             preempted.append(victim.id)
--- a/egretstack/replay/_figures.py
+++ b/egretstack/replay/_figures.py
@@ -6,7 +6,7 @@
 
 STALL_STEPS = 4
 """A reader's wait counts as stall time beyond this many steps of the engine."""
-_GAP_UNIT_S = 0.0001
+_GAP_RESOLUTION_S = 0.0001
 
 
 @dataclass(frozen=True)
@@ -50,21 +50,21 @@
     preemptions: int = 0
     evictions: int = 0
     sessions: int = 0
-    gaps: Counter[int] = field(default_factory=Counter)
-    stall_by_session: dict[int, float] = field(default_factory=dict)
-    first_tokens: list[float] = field(default_factory=list)
+    gap_histogram: Counter[int] = field(default_factory=Counter)
+    stall_s_by_session: dict[int, float] = field(default_factory=dict)
+    first_token_delays_s: list[float] = field(default_factory=list)
 
     def record_gap(self, session: int, gap_s: float, step_s: float) -> None:
         """Note a reader's wait for the next token; `step_s` is its engine's step time."""
-        self.gaps[int(gap_s / _GAP_UNIT_S + 0.5)] += 1
-        beyond_s = gap_s - STALL_STEPS * step_s
-        if beyond_s > 0:
-            self.stall_by_session[session] = self.stall_by_session.get(session, 0.0) + beyond_s
+        self.gap_histogram[int(gap_s / _GAP_RESOLUTION_S + 0.5)] += 1
+        stall_s = gap_s - STALL_STEPS * step_s
+        if stall_s > 0:
+            self.stall_s_by_session[session] = self.stall_s_by_session.get(session, 0.0) + stall_s
 
-    def figures(self, policy: str) -> Figures:
+    def make_figures(self, policy: str) -> Figures:
         """Give the figures."""
-        stalls = sorted(self.stall_by_session.values())
-        streamed = len(self.first_tokens)
+        stalls = sorted(self.stall_s_by_session.values())
+        streamed = len(self.first_token_delays_s)
         stalls = [0.0] * (streamed - len(stalls)) + stalls
         return Figures(
             policy=policy,
@@ -73,25 +73,25 @@
             refused=self.refused,
             given_up=self.given_up,
             lost=self.lost,
-            value_share=_rounded(self.finished_value / max(1, self.offered_value)),
-            token_share=_rounded(self.finished_tokens / max(1, self.offered_tokens)),
-            stall_total_s=_rounded(sum(stalls)),
-            stall_p95_s=_rounded(_quantile(stalls, 0.95)),
-            stall_worst_s=_rounded(max(stalls, default=0.0)),
+            value_share=_round_figure(self.finished_value / max(1, self.offered_value)),
+            token_share=_round_figure(self.finished_tokens / max(1, self.offered_tokens)),
+            stall_total_s=_round_figure(sum(stalls)),
+            stall_p95_s=_round_figure(_quantile(stalls, 0.95)),
+            stall_worst_s=_round_figure(max(stalls, default=0.0)),
             preemptions=self.preemptions,
             evictions=self.evictions,
-            gap_p50_s=self._gap(0.5),
-            gap_p95_s=self._gap(0.95),
-            gap_p99_s=self._gap(0.99),
-            first_token_p95_s=_rounded(_quantile(sorted(self.first_tokens), 0.95)),
+            gap_p50_s=self._gap_quantile_s(0.5),
+            gap_p95_s=self._gap_quantile_s(0.95),
+            gap_p99_s=self._gap_quantile_s(0.99),
+            first_token_p95_s=_round_figure(_quantile(sorted(self.first_token_delays_s), 0.95)),
         )
 
-    def _gap(self, share: float) -> float:
-        left = ceil(share * sum(self.gaps.values()))
-        for unit in sorted(self.gaps):
-            left -= self.gaps[unit]
+    def _gap_quantile_s(self, share: float) -> float:
+        left = ceil(share * sum(self.gap_histogram.values()))
+        for unit in sorted(self.gap_histogram):
+            left -= self.gap_histogram[unit]
             if left <= 0:
-                return _rounded(unit * _GAP_UNIT_S)
+                return _round_figure(unit * _GAP_RESOLUTION_S)
         return 0.0
 
 
@@ -101,5 +101,5 @@
     return ordered[min(len(ordered) - 1, ceil(share * len(ordered)) - 1)]
 
 
-def _rounded(value: float) -> float:
+def _round_figure(value: float) -> float:
     return round(value, 4)
--- a/egretstack/replay/_fleet.py
+++ b/egretstack/replay/_fleet.py
@@ -11,14 +11,14 @@
 
     def __init__(self, spec: EngineSpec) -> None:
         self.spec = spec
-        self.up = True
-        self.leaving = False
+        self.is_up = True
+        self.is_leaving = False
         self.running: set[int] = set()
-        self.planned_s: float | None = None
+        self.scheduled_step_s: float | None = None
         """Time of the step that is in the event loop."""
         self.model = EngineModel(spec.parameters)
         self.preemptions = 0
-        self._cached: set[str] = set()
+        self._published_prefixes: set[str] = set()
 
     @property
     def id(self) -> RunnerId:
@@ -31,23 +31,30 @@
         return self.spec.info
 
     def submit(
-        self, now_s: float, number: int, *, prompt: int, output: int, prefix: str, priority: int
+        self,
+        now_s: float,
+        session_number: int,
+        *,
+        prompt: int,
+        output: int,
+        prefix: str,
+        priority: int,
     ) -> None:
         """Take a session's generation in."""
-        self.running.add(number)
+        self.running.add(session_number)
         self.model.submit(
             now_s,
-            GenerationId(number),
+            GenerationId(session_number),
             prompt_tokens=prompt,
             output_tokens=output,
             prefix=prefix,
             priority=priority,
         )
 
-    def cancel(self, number: int) -> None:
+    def cancel(self, session_number: int) -> None:
         """Drop a session's generation."""
-        self.running.discard(number)
-        self.model.cancel(GenerationId(number))
+        self.running.discard(session_number)
+        self.model.cancel(GenerationId(session_number))
 
     def advance(self, now_s: float) -> StepResult:
         """End a step."""
@@ -63,23 +70,25 @@
 
     def reclaim(self) -> list[int]:
         """Take the engine away; give the sessions that ran on it."""
-        cut = sorted(self.running)
+        interrupted = sorted(self.running)
         self.running.clear()
-        self.up = False
+        self.is_up = False
         self.model = EngineModel(self.spec.parameters)
-        return cut
+        return interrupted
 
-    def replace(self) -> None:
+    def restore(self) -> None:
         """Put an empty engine in its place."""
-        self.up = True
-        self.leaving = False
-        self._cached = set()
+        self.is_up = True
+        self.is_leaving = False
+        self._published_prefixes = set()
 
     def cache_changes(self) -> list[tuple[str, bool]]:
         """Give the prefixes that came (true) or went (false) since the last call."""
         cached = set(self.model.cached_prefixes())
-        changed = [(prefix, prefix in cached) for prefix in sorted(cached ^ self._cached)]
-        self._cached = cached
+        changed = [
+            (prefix, prefix in cached) for prefix in sorted(cached ^ self._published_prefixes)
+        ]
+        self._published_prefixes = cached
         return changed
 
     def report(self, now_s: float) -> RunnerReported:
--- a/egretstack/replay/_run.py
+++ b/egretstack/replay/_run.py
@@ -22,7 +22,7 @@
 
 def replay(
     lines: list[TraceLine],
-    site: Deployment,
+    deployment: Deployment,
     policy: str,
     *,
     entries: int,
@@ -36,11 +36,11 @@
     """
     if policy == ORACLE:
         lengths = {RequestId(str(n)): line.output_tokens for n, line in enumerate(lines)}
-        made: list[Policy] = [make_oracle(random.Random(f"oracle-{seed}"), lengths)]
+        instances: list[Policy] = [make_oracle(random.Random(f"oracle-{seed}"), lengths)]
     else:
-        parts = frozenset(disabled_features)
-        made = [
-            make_policy(policy, random.Random(f"entry-{number}-{seed}"), parts)
+        features = frozenset(disabled_features)
+        instances = [
+            make_policy(policy, random.Random(f"entry-{number}-{seed}"), features)
             for number in range(entries)
         ]
-    return ReplayLoop(lines, site, made, entries, seed).run().figures(policy)
+    return ReplayLoop(lines, deployment, instances, entries, seed).run().make_figures(policy)
--- a/egretstack/replay/_site.py
+++ b/egretstack/replay/_site.py
@@ -10,18 +10,18 @@
 from egretstack.schema import Document, Key, Name, Names, Number, Schema, read_ini
 
 MAX_ENGINES = 256
-NEVER_S = 0.0
-_TOKENS = "tokens"
-_SECONDS = "seconds"
-_SHARE = "share of the whole"
+NEVER = 0.0
+_TOKENS_UNIT = "tokens"
+_SECONDS_UNIT = "seconds"
+_SHARE_UNIT = "share of the whole"
 
 
-def _whole(name: str, high: int, meaning: str, default: str | None) -> Key:
-    return Key("engine", name, Number(1, high, _TOKENS, whole=True), meaning, default)
+def _integer_key(name: str, high: int, meaning: str, default: str | None) -> Key:
+    return Key("engine", name, Number(1, high, _TOKENS_UNIT, whole=True), meaning, default)
 
 
-def _time(name: str, low: float, meaning: str, default: str) -> Key:
-    return Key("engine", name, Number(low, 1_000_000, _SECONDS), meaning, default)
+def _duration_key(name: str, low: float, meaning: str, default: str) -> Key:
+    return Key("engine", name, Number(low, 1_000_000, _SECONDS_UNIT), meaning, default)
 
 
 ENGINE_SCHEMA = Schema(
@@ -30,33 +30,35 @@
         Key("engine", "models", Names(), "Models it serves."),
         Key("engine", "zone", Name(), "Availability zone."),
         Key("engine", "count", Number(1, MAX_ENGINES, "engines", whole=True), "How many.", "1"),
-        _whole("kv_capacity_tokens", 100_000_000, "Memory.", None),
-        _whole("max_batch", 4096, "Most sequences decoded together.", "64"),
-        _time("step_base_s", 0.0001, "Time of a step.", "0.02"),
-        _time("step_per_sequence_s", 0, "Added for each running sequence.", "0.0003"),
-        _whole("prefill_tokens_per_s", 10_000_000, "Prompt tokens read a second.", "20000"),
-        _whole("prefill_step_tokens", 1_000_000, "Most prompt tokens read in a step.", "2048"),
-        _whole("prefix_cache_tokens", 100_000_000, "Memory of the prefix cache.", "20000"),
-        _time("report_period_s", 0.01, "How often a report is made and read.", "0.5"),
-        _time("report_lag_s", 0, "How old a report is when it can be read.", "0.5"),
-        _time("reclaimed_at_s", 0, "When the engine is taken away; 0: never.", "0"),
-        _time("notice_s", 0, "How long before that it is known to leave.", "0"),
-        _time("back_at_s", 0, "When an empty engine takes its place; 0: never.", "0"),
+        _integer_key("kv_capacity_tokens", 100_000_000, "Memory.", None),
+        _integer_key("max_batch", 4096, "Most sequences decoded together.", "64"),
+        _duration_key("step_base_s", 0.0001, "Time of a step.", "0.02"),
+        _duration_key("step_per_sequence_s", 0, "Added for each running sequence.", "0.0003"),
+        _integer_key("prefill_tokens_per_s", 10_000_000, "Prompt tokens read a second.", "20000"),
+        _integer_key(
+            "prefill_step_tokens", 1_000_000, "Most prompt tokens read in a step.", "2048"
+        ),
+        _integer_key("prefix_cache_tokens", 100_000_000, "Memory of the prefix cache.", "20000"),
+        _duration_key("report_period_s", 0.01, "How often a report is made and read.", "0.5"),
+        _duration_key("report_lag_s", 0, "How old a report is when it can be read.", "0.5"),
+        _duration_key("reclaimed_at_s", 0, "When the engine is taken away; 0: never.", "0"),
+        _duration_key("notice_s", 0, "How long before that it is known to leave.", "0"),
+        _duration_key("back_at_s", 0, "When an empty engine takes its place; 0: never.", "0"),
     )
 )
 SERVICE_SCHEMA = Schema(
     (
-        Key("service", "start_deadline_s", Number(0.1, 3600, _SECONDS), "Wait allowed.", "10"),
+        Key("service", "start_deadline_s", Number(0.1, 3600, _SECONDS_UNIT), "Wait allowed.", "10"),
         Key(
             "service",
             "max_output_tokens",
-            Number(1, 200_000, _TOKENS, whole=True),
+            Number(1, 200_000, _TOKENS_UNIT, whole=True),
             "Longest output asked for.",
             "32000",
         ),
-        Key("service", "stall", Number(0, 1, _SHARE), "Weight of stall time.", "0.34"),
-        Key("service", "preemptions", Number(0, 1, _SHARE), "Weight of preemptions.", "0.33"),
-        Key("service", "tail", Number(0, 1, _SHARE), "Weight of gaps.", "0.33"),
+        Key("service", "stall", Number(0, 1, _SHARE_UNIT), "Weight of stall time.", "0.34"),
+        Key("service", "preemptions", Number(0, 1, _SHARE_UNIT), "Weight of preemptions.", "0.33"),
+        Key("service", "tail", Number(0, 1, _SHARE_UNIT), "Weight of gaps.", "0.33"),
     )
 )
 
@@ -67,9 +69,9 @@
 
     info: RunnerInfo
     parameters: EngineParameters
-    reclaimed_at_s: float = NEVER_S
+    reclaimed_at_s: float = NEVER
     notice_s: float = 0.0
-    back_at_s: float = NEVER_S
+    back_at_s: float = NEVER
 
 
 @dataclass(frozen=True)
@@ -110,16 +112,16 @@
             raise UserError(f"{path}: [{section}]: unknown section; allowed: engine.*, service.*")
         where = f"{path}: {name}"
         if kind == "engine":
-            engines += _engines(where, name, ENGINE_SCHEMA.check(where, {kind: keys}))
+            engines += _make_engines(where, name, ENGINE_SCHEMA.check(where, {kind: keys}))
         else:
             document = SERVICE_SCHEMA.check(where, {kind: keys})
-            terms[ServiceName(name)] = _terms(document)
+            terms[ServiceName(name)] = _make_terms(document)
     if not 0 < len(engines) <= MAX_ENGINES:
         raise UserError(f"{path}: {len(engines)} engines; allowed: 1 to {MAX_ENGINES}")
     return Deployment(tuple(engines), terms)
 
 
-def _terms(document: Document) -> ServiceTerms:
+def _make_terms(document: Document) -> ServiceTerms:
     return ServiceTerms(
         start_deadline_s=document.number("service", "start_deadline_s"),
         max_output_tokens=document.whole("service", "max_output_tokens"),
@@ -129,7 +131,7 @@
     )
 
 
-def _engines(where: str, name: str, document: Document) -> list[EngineSpec]:
+def _make_engines(where: str, name: str, document: Document) -> list[EngineSpec]:
     count = document.whole("engine", "count")
     names = [name] if count == 1 else [f"{name}-{number + 1}" for number in range(count)]
     reclaimed_at_s = document.number("engine", "reclaimed_at_s")
@@ -138,8 +140,8 @@
         raise UserError(f"{where}: [engine] back_at_s: not after reclaimed_at_s")
     return [
         EngineSpec(
-            _info(one, document),
-            _parameters(document),
+            _make_info(one, document),
+            _make_parameters(document),
             reclaimed_at_s,
             document.number("engine", "notice_s"),
             back_at_s,
@@ -148,7 +150,7 @@
     ]
 
 
-def _info(name: str, document: Document) -> RunnerInfo:
+def _make_info(name: str, document: Document) -> RunnerInfo:
     return RunnerInfo(
         id=RunnerId(name),
         service=ServiceName(document.text("engine", "service")),
@@ -159,7 +161,7 @@
     )
 
 
-def _parameters(document: Document) -> EngineParameters:
+def _make_parameters(document: Document) -> EngineParameters:
     return EngineParameters(
         kv_capacity_tokens=document.whole("engine", "kv_capacity_tokens"),
         max_batch=document.whole("engine", "max_batch"),
--- a/egretstack/replay/_trace.py
+++ b/egretstack/replay/_trace.py
@@ -33,23 +33,23 @@
     stream: bool
 
 
-class _Bad(Exception):
+class _InvalidField(Exception):
     """A field is wrong."""
 
     def __init__(self, field: str, allowed: str) -> None:
         super().__init__(f"{field}: allowed: {allowed}")
 
 
-def read_trace(path: Path, site: Deployment) -> list[TraceLine]:
+def read_trace(path: Path, deployment: Deployment) -> list[TraceLine]:
     """Read a trace; raise UserError that names file, line and field of the first fault."""
     lines: list[TraceLine] = []
     try:
-        for number, text in _numbered(path):
+        for number, text in _read_lines(path):
             try:
-                line = _line(text, site)
+                line = _parse_line(text, deployment)
                 if lines and line.at_s < lines[-1].at_s:
-                    raise _Bad("at_s", f"not before the line above, {lines[-1].at_s}")
-            except _Bad as error:
+                    raise _InvalidField("at_s", f"not before the line above, {lines[-1].at_s}")
+            except _InvalidField as error:
                 raise UserError(f"{path}:{number}: {error}") from error
             lines.append(line)
     except OSError as error:
@@ -59,7 +59,7 @@
     return lines
 
 
-def _numbered(path: Path) -> Iterator[tuple[int, bytes]]:
+def _read_lines(path: Path) -> Iterator[tuple[int, bytes]]:
     with path.open("rb") as file:
         number = 0
         while text := file.readline(MAX_LINE_BYTES + 1):
@@ -71,71 +71,71 @@
             yield number, text
 
 
-def _line(text: bytes, site: Deployment) -> TraceLine:
-    fields = _fields(text)
+def _parse_line(text: bytes, deployment: Deployment) -> TraceLine:
+    fields = _parse_object(text)
     line = TraceLine(
-        at_s=_time(fields),
-        account=AccountId(_name(fields, "account")),
-        service=ServiceName(_name(fields, "service")),
-        model=ModelName(_name(fields, "model")),
-        prompt_tokens=_whole(fields, "prompt_tokens", MAX_TOKENS),
-        output_tokens=_whole(fields, "output_tokens", MAX_TOKENS),
-        prefix=_prefix(fields),
-        value=_whole(fields, "value", MAX_VALUE),
-        stream=_flag(fields),
+        at_s=_parse_at_s(fields),
+        account=AccountId(_parse_name(fields, "account")),
+        service=ServiceName(_parse_name(fields, "service")),
+        model=ModelName(_parse_name(fields, "model")),
+        prompt_tokens=_parse_integer(fields, "prompt_tokens", MAX_TOKENS),
+        output_tokens=_parse_integer(fields, "output_tokens", MAX_TOKENS),
+        prefix=_parse_prefix(fields),
+        value=_parse_integer(fields, "value", MAX_VALUE),
+        stream=_parse_stream(fields),
     )
-    if not site.serves(line.service, line.model):
-        raise _Bad("model", "a model that an engine of the service serves")
-    if line.output_tokens > site.terms(line.service).max_output_tokens:
-        raise _Bad("output_tokens", "at most the service's max_output_tokens")
+    if not deployment.serves(line.service, line.model):
+        raise _InvalidField("model", "a model that an engine of the service serves")
+    if line.output_tokens > deployment.terms(line.service).max_output_tokens:
+        raise _InvalidField("output_tokens", "at most the service's max_output_tokens")
     return line
 
 
-def _fields(text: bytes) -> dict[str, object]:
+def _parse_object(text: bytes) -> dict[str, object]:
     try:
         fields = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise _Bad("line", "one JSON object") from error
+        raise _InvalidField("line", "one JSON object") from error
     if not isinstance(fields, dict):
-        raise _Bad("line", "one JSON object")
+        raise _InvalidField("line", "one JSON object")
     names = TraceLine.__slots__
     for name in fields:
         if name not in names:
-            raise _Bad(name[:MAX_PREFIX_CHARACTERS], f"only the fields {', '.join(names)}")
+            raise _InvalidField(name[:MAX_PREFIX_CHARACTERS], f"only the fields {', '.join(names)}")
     return fields
 
 
-def _time(fields: dict[str, object]) -> float:
+def _parse_at_s(fields: dict[str, object]) -> float:
     value = fields.get("at_s")
-    good = isinstance(value, int | float) and not isinstance(value, bool)
-    if not good or not 0 <= value <= MAX_AT_S or not isfinite(value):
-        raise _Bad("at_s", f"a number from 0 to {MAX_AT_S:g}, seconds")
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or not 0 <= value <= MAX_AT_S or not isfinite(value):
+        raise _InvalidField("at_s", f"a number from 0 to {MAX_AT_S:g}, seconds")
     return float(value)
 
 
-def _name(fields: dict[str, object], name: str) -> str:
+def _parse_name(fields: dict[str, object], name: str) -> str:
     value = fields.get(name)
     if not is_name(value):
-        raise _Bad(name, "a name of lower-case letters, digits, '.' and '-'")
+        raise _InvalidField(name, "a name of lower-case letters, digits, '.' and '-'")
     return value
 
 
-def _whole(fields: dict[str, object], name: str, high: int) -> int:
+def _parse_integer(fields: dict[str, object], name: str, high: int) -> int:
     value = fields.get(name)
     if not isinstance(value, int) or isinstance(value, bool) or not 1 <= value <= high:
-        raise _Bad(name, f"a whole number from 1 to {high}")
+        raise _InvalidField(name, f"a whole number from 1 to {high}")
     return value
 
 
-def _prefix(fields: dict[str, object]) -> str:
+def _parse_prefix(fields: dict[str, object]) -> str:
     value = fields.get("prefix")
     if not isinstance(value, str) or len(value) > MAX_PREFIX_CHARACTERS:
-        raise _Bad("prefix", f"text of at most {MAX_PREFIX_CHARACTERS} characters")
+        raise _InvalidField("prefix", f"text of at most {MAX_PREFIX_CHARACTERS} characters")
     return value
 
 
-def _flag(fields: dict[str, object]) -> bool:
+def _parse_stream(fields: dict[str, object]) -> bool:
     value = fields.get("stream")
     if not isinstance(value, bool):
-        raise _Bad("stream", "true or false")
+        raise _InvalidField("stream", "true or false")
     return value
--- a/egretstack/reports/_burn.py
+++ b/egretstack/reports/_burn.py
@@ -55,7 +55,7 @@
     window: Window
     total: int
     good: int
-    share: float
+    target_share: float
     covered_s: float
 
     @property
@@ -66,7 +66,7 @@
     @property
     def rate(self) -> float:
         """Give the burn rate; 0 without events."""
-        return self.bad / self.total / (1 - self.share) if self.total else 0.0
+        return self.bad / self.total / (1 - self.target_share) if self.total else 0.0
 
 
 @dataclass(frozen=True)
@@ -76,7 +76,7 @@
     account: AccountId
     objective: Objective
     target_s: float | None
-    share: float
+    target_share: float
     burn_by_window: dict[Window, WindowBurn]
 
     @property
@@ -102,76 +102,82 @@
 def compute_burns(snapshots: Sequence[Snapshot]) -> list[LevelBurn]:
     """Work out every account's burn at the time of the newest snapshot."""
     end_s = max(one.at_s for one in snapshots)
-    histories = _histories(snapshots)
-    newest = {place: one for one in snapshots for place in one.share_by_level}
-    found = []
-    for place, told in sorted(newest.items(), key=lambda item: _order(item[0])):
-        share = told.share_by_level[place]
-        burns = {window: _window_burn(histories, place, share, window, end_s) for window in Window}
-        found.append(LevelBurn(*place, told.target_s_by_level.get(place), share, burns))
-    return found
+    histories = _group_by_instance(snapshots)
+    newest_by_key = {place: one for one in snapshots for place in one.share_by_level}
+    level_burns = []
+    for key, snapshot in sorted(newest_by_key.items(), key=lambda item: _sort_key(item[0])):
+        share = snapshot.share_by_level[key]
+        burns = {
+            window: _compute_window_burn(histories, key, share, window, end_s) for window in Window
+        }
+        level_burns.append(LevelBurn(*key, snapshot.target_s_by_level.get(key), share, burns))
+    return level_burns
 
 
-def _order(place: LevelKey) -> tuple[str, int]:
-    return place[0], list(Objective).index(place[1])
+def _sort_key(key: LevelKey) -> tuple[str, int]:
+    return key[0], list(Objective).index(key[1])
 
 
-def _histories(snapshots: Sequence[Snapshot]) -> dict[InstanceId, list[Snapshot]]:
+def _group_by_instance(snapshots: Sequence[Snapshot]) -> dict[InstanceId, list[Snapshot]]:
     by_instance: dict[InstanceId, list[Snapshot]] = {}
     for snapshot in sorted(snapshots, key=lambda one: one.at_s):
         by_instance.setdefault(snapshot.instance, []).append(snapshot)
     return by_instance
 
 
-def _window_burn(
+def _compute_window_burn(
     histories: dict[InstanceId, list[Snapshot]],
-    place: LevelKey,
+    key: LevelKey,
     share: float,
     window: Window,
     end_s: float,
 ) -> WindowBurn:
     begin_s = end_s - window.length_s
-    total = Tally()
+    tally = Tally()
     covered_s = window.length_s
     for history in histories.values():
-        first, from_s = _first_of(history, begin_s)
+        first_index, from_s = _find_window_start(history, begin_s)
         covered_s = min(covered_s, end_s - from_s)
-        grown = _growth(history[first:], place, from_zero=first == 0 and _began(history, begin_s))
-        total.total += grown.total
-        total.good += grown.good
-    return WindowBurn(window, total.total, total.good, share, max(0.0, covered_s))
+        growth = _compute_growth(
+            history[first_index:],
+            key,
+            from_zero=first_index == 0 and _started_within(history, begin_s),
+        )
+        tally.total += growth.total
+        tally.good += growth.good
+    return WindowBurn(window, tally.total, tally.good, share, max(0.0, covered_s))
 
 
-def _began(history: list[Snapshot], begin_s: float) -> bool:
+def _started_within(history: list[Snapshot], begin_s: float) -> bool:
     """Tell whether the process of the first snapshot started inside the window."""
     return history[0].started_s >= begin_s
 
 
-def _first_of(history: list[Snapshot], begin_s: float) -> tuple[int, float]:
+def _find_window_start(history: list[Snapshot], begin_s: float) -> tuple[int, float]:
     """Give the snapshot that a window starts from, and the time from which it is covered."""
-    before = bisect_right([one.at_s for one in history], begin_s) - 1
-    if before >= 0:
-        return before, begin_s
-    return 0, begin_s if _began(history, begin_s) else history[0].at_s
+    index = bisect_right([one.at_s for one in history], begin_s) - 1
+    if index >= 0:
+        return index, begin_s
+    return 0, begin_s if _started_within(history, begin_s) else history[0].at_s
 
 
-def _growth(history: list[Snapshot], place: LevelKey, *, from_zero: bool) -> Tally:
+def _compute_growth(history: list[Snapshot], key: LevelKey, *, from_zero: bool) -> Tally:
     """Add up what the counters grew by; a process that restarted counts from 0 again."""
-    grown = Tally()
+    growth = Tally()
     if from_zero:
-        _add(grown, _tally(history[0], place), Tally())
+        _add_difference(growth, _tally_of(history[0], key), Tally())
     for earlier, later in zip(history, history[1:], strict=False):
-        old = _tally(earlier, place)
-        new = _tally(later, place)
-        restarted = later.started_s != earlier.started_s or new.total < old.total
-        _add(grown, new, Tally() if restarted else old)
-    return grown
+        old = _tally_of(earlier, key)
+        new = _tally_of(later, key)
+        has_restarted = later.started_s != earlier.started_s or new.total < old.total
+        _add_difference(growth, new, Tally() if has_restarted else old)
+    return growth
 
 
-def _add(grown: Tally, new: Tally, old: Tally) -> None:
-    grown.total += new.total - old.total
-    grown.good += max(0, min(new.good - old.good, new.total - old.total))
+def _add_difference(growth: Tally, new: Tally, old: Tally) -> None:
+    growth.total += new.total - old.total
+    growth.good += max(0, min(new.good - old.good, new.total - old.total))
 
 
-def _tally(snapshot: Snapshot, place: LevelKey) -> Tally:
-    return snapshot.tally_by_level.get(place, Tally())
+def _tally_of(snapshot: Snapshot, key: LevelKey) -> Tally:
+    return snapshot.tally_by_level.get(key, Tally())
--- a/egretstack/reports/_explain.py
+++ b/egretstack/reports/_explain.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 
 _JSON_START = "{"
-MAX_LINE = 65_536
+MAX_LINE_CHARACTERS = 65_536
 
-_LAST_WORDS = {
+_CAUSE_BY_FINAL_EVENT = {
     "request_answered": "a runner's answer went to the client",
     "request_failed": "the request got an answer of this system's own",
     "stream_ended": "the stream was passed on to its end",
@@ -15,7 +15,7 @@
     "stream_out_of_time": "the stream was broken off at its deadline",
     "client_left": "the client closed its connection first",
 }
-_ABOUT_RUNNERS = frozenset(
+_RUNNER_EVENTS = frozenset(
     {
         "report_unreadable",
         "runner_leaves",
@@ -25,7 +25,7 @@
         "runners_silent",
     }
 )
-_ABOUT_INSTANCE = frozenset(
+_INSTANCE_EVENTS = frozenset(
     {"relay_started", "drain_begun", "stopped", "store_away", "store_back", "config_in_force"}
 )
 
@@ -51,27 +51,27 @@
 
 def read_log(lines: Iterable[str]) -> list[LogLine]:
     """Read the JSON lines of a log; text before a line's JSON is left out, as is all else."""
-    read = []
+    parsed = []
     for text in lines:
         start = text.find(_JSON_START)
-        if start < 0 or len(text) > MAX_LINE:
+        if start < 0 or len(text) > MAX_LINE_CHARACTERS:
             continue
         try:
             row = json.loads(text[start:])
         except ValueError:
             continue
         if isinstance(row, dict) and "name" in row and "time" in row:
-            read.append(_line(row))
-    return read
+            parsed.append(_make_line(row))
+    return parsed
 
 
-def _line(row: dict[str, object]) -> LogLine:
-    kept = {
+def _make_line(row: dict[str, object]) -> LogLine:
+    fields = {
         name: value
         for name, value in row.items()
         if name not in ("time", "name", "instance", "level", "event")
     }
-    return LogLine(str(row["time"]), str(row.get("instance", "?")), str(row["name"]), kept)
+    return LogLine(str(row["time"]), str(row.get("instance", "?")), str(row["name"]), fields)
 
 
 def explain(request: str, lines: list[LogLine]) -> Explanation:
@@ -80,80 +80,80 @@
     own = [line for line in ordered if line.fields.get("request") == request]
     if not own:
         return Explanation(request, (), "no line names this request: the logs are of other times")
-    around = [line for line in _around(own, ordered) if line not in own]
-    story = sorted([*own, *around], key=lambda line: line.time)
-    return Explanation(request, tuple(story), _cause(own, ordered))
+    context = [line for line in _find_context(own, ordered) if line not in own]
+    timeline = sorted([*own, *context], key=lambda line: line.time)
+    return Explanation(request, tuple(timeline), _describe_cause(own, ordered))
 
 
-def _around(own: list[LogLine], ordered: list[LogLine]) -> list[LogLine]:
+def _find_context(own: list[LogLine], ordered: list[LogLine]) -> list[LogLine]:
     """Give what was known of the request's runners, and what befell its instances."""
-    runners = _runners(own)
+    runners = _runners_named(own)
     instances = {line.instance for line in own}
     first, last = own[0].time, own[-1].time
     found = []
     for line in ordered:
-        about_runner = line.name in _ABOUT_RUNNERS and any(
+        names_runner = line.name in _RUNNER_EVENTS and any(
             runner in str(line.fields) for runner in runners
         )
-        if about_runner and line.instance in instances:
+        if names_runner and line.instance in instances:
             found.append(line)
-        within = first <= line.time <= last
-        if line.name in _ABOUT_INSTANCE and line.instance in instances and within:
+        is_during = first <= line.time <= last
+        if line.name in _INSTANCE_EVENTS and line.instance in instances and is_during:
             found.append(line)
-    after = [
+    restarts = [
         line
         for line in ordered
         if line.name == "relay_started" and line.time > last and line.instance == own[-1].instance
     ]
-    if _last(own).name not in _LAST_WORDS:
-        found.extend(after[:1])
+    if _last_own_line(own).name not in _CAUSE_BY_FINAL_EVENT:
+        found.extend(restarts[:1])
     return found
 
 
-def _runners(own: list[LogLine]) -> set[str]:
+def _runners_named(own: list[LogLine]) -> set[str]:
     names = ("runner", "backup", "source", "destination", "copy")
     return {str(line.fields[name]) for line in own for name in names if line.fields.get(name)}
 
 
-def _last(own: list[LogLine]) -> LogLine:
+def _last_own_line(own: list[LogLine]) -> LogLine:
     """Give the last line that the request itself wrote; what became of a runner comes later."""
     return next((line for line in reversed(own) if line.name != "run_broken"), own[-1])
 
 
-def _ended_runners(own: list[LogLine]) -> str:
+def _describe_ended_runners(own: list[LogLine]) -> str:
     ended = [line for line in own if line.name == "run_broken" and line.fields.get("ended")]
     names = ", ".join(str(line.fields.get("runner")) for line in ended)
     return f"; ended while they ran it: {names}" if ended else ""
 
 
-def _cause(own: list[LogLine], ordered: list[LogLine]) -> str:
-    return _cause_of_end(own, ordered) + _ended_runners(own)
+def _describe_cause(own: list[LogLine], ordered: list[LogLine]) -> str:
+    return _describe_end(own, ordered) + _describe_ended_runners(own)
 
 
-def _cause_of_end(own: list[LogLine], ordered: list[LogLine]) -> str:
-    last = _last(own)
+def _describe_end(own: list[LogLine], ordered: list[LogLine]) -> str:
+    last = _last_own_line(own)
     for line in own:
         if line.name in ("stream_lost", "request_failed", "stream_out_of_time"):
             last = line
             break
     if last.name == "request_failed":
-        return _failure_cause(last, own)
+        return _describe_failure(last, own)
     if last.name == "stream_lost":
-        return _loss_cause(last, own, ordered)
+        return _describe_loss(last, own, ordered)
     if last.name == "request_answered":
-        return f"{_LAST_WORDS[last.name]}: status {last.fields.get('status')}"
-    if last.name in _LAST_WORDS:
-        return _LAST_WORDS[last.name]
-    started_again = any(
+        return f"{_CAUSE_BY_FINAL_EVENT[last.name]}: status {last.fields.get('status')}"
+    if last.name in _CAUSE_BY_FINAL_EVENT:
+        return _CAUSE_BY_FINAL_EVENT[last.name]
+    has_restarted = any(
         line.name == "relay_started" and line.instance == last.instance and line.time > last.time
         for line in ordered
     )
-    if started_again:
+    if has_restarted:
         return f"the process of {last.instance} ended while the request was in progress there"
     return f"the logs end with {last.name}: the request was in progress, or its process ended"
 
 
-def _failure_cause(failed: LogLine, own: list[LogLine]) -> str:
+def _describe_failure(failed: LogLine, own: list[LogLine]) -> str:
     kind, detail = failed.fields.get("kind"), failed.fields.get("detail")
     for line in own:
         if line.name == "place_refused":
@@ -162,30 +162,30 @@
                 f"for which its caller could be kept waiting; told to come back in "
                 f"{line.fields.get('retry_s')} s"
             )
-    spoilt = [line for line in own if line.name in ("answer_spoilt", "upstream_broken")]
-    if spoilt:
-        return f"{kind}: {spoilt[-1].name} ({_brief(spoilt[-1])}); it may have run"
+    corrupt = [line for line in own if line.name in ("answer_spoilt", "upstream_broken")]
+    if corrupt:
+        return f"{kind}: {corrupt[-1].name} ({_format_fields(corrupt[-1])}); it may have run"
     sends = [line for line in own if line.name == "send_ended"]
     if sends:
         return f"{kind}: its last send ended as {sends[-1].fields.get('result')}"
     return f"{kind}: {detail}"
 
 
-def _loss_cause(lost: LogLine, own: list[LogLine], ordered: list[LogLine]) -> str:
+def _describe_loss(lost: LogLine, own: list[LogLine], ordered: list[LogLine]) -> str:
     runner = str(lost.fields.get("runner"))
-    halts = [line for line in own if line.name == "stream_halted"]
-    why = halts[-1].fields.get("why") if halts else "broken"
-    noticed = any(
+    stops = [line for line in own if line.name == "stream_halted"]
+    reason = stops[-1].fields.get("why") if stops else "broken"
+    was_announced = any(
         line.name == "runner_leaves" and line.fields.get("runner") == runner for line in ordered
     )
     copies = [line for line in own if line.name == "move_ended" and not line.fields.get("stop")]
     tried = f"; copies tried: {', '.join(str(one.fields.get('outcome')) for one in copies)}"
     return (
-        f"runner {runner} was {why} after {lost.fields.get('events')} events, "
-        f"{'after its notice' if noticed else 'without a notice'}, and no copy could go on"
+        f"runner {runner} was {reason} after {lost.fields.get('events')} events, "
+        f"{'after its notice' if was_announced else 'without a notice'}, and no copy could go on"
         f"{tried if copies else '; no copy was made'}"
     )
 
 
-def _brief(line: LogLine) -> str:
+def _format_fields(line: LogLine) -> str:
     return ", ".join(f"{name} {value}" for name, value in line.fields.items() if name != "request")
--- a/egretstack/reports/_page.py
+++ b/egretstack/reports/_page.py
@@ -15,17 +15,17 @@
 svg { max-width: 100%; height: auto; }"""
 
 
-def html_report(burns: Sequence[LevelBurn], taken: str) -> str:
+def html_report(burns: Sequence[LevelBurn], taken_at: str) -> str:
     """Give the page; `taken` says of when the newest snapshot is."""
     heads = ["account", "objective", "target", *[w.label for w in Window], "budget left", "alert"]
     cells = "".join(f"<th>{escape(head)}</th>" for head in heads)
-    rows = "\n".join(_row(burn) for burn in burns)
+    rows = "\n".join(_make_row(burn) for burn in burns)
     return f"""<!DOCTYPE html>
 <html lang="en">
 <head><meta charset="utf-8"><title>Service-level burn</title><style>{_STYLE}</style></head>
 <body>
 <h1>Service-level burn</h1>
-<p>As of {escape(taken)}. A burn rate of 1 spends the budget exactly over its period; a window that
+<p>As of {escape(taken_at)}. A burn rate of 1 spends the budget exactly over its period; a window that
 the snapshots cover in part is marked with what they cover.</p>
 {render_svg(burn_figure(burns))}
 <table>
@@ -37,11 +37,19 @@
 """
 
 
-def _row(burn: LevelBurn) -> str:
+def _make_row(burn: LevelBurn) -> str:
     cells = [burn.account, burn.objective.value, format_target(burn)]
-    for window, one in burn.burn_by_window.items():
-        part = "" if one.covered_s >= window.length_s else f" ({format_duration(one.covered_s)})"
-        cells.append(f"{one.rate:.2f} of {one.total:,}{part}" if one.total else "no events")
+    for window, window_burn in burn.burn_by_window.items():
+        coverage = (
+            ""
+            if window_burn.covered_s >= window.length_s
+            else f" ({format_duration(window_burn.covered_s)})"
+        )
+        cells.append(
+            f"{window_burn.rate:.2f} of {window_burn.total:,}{coverage}"
+            if window_burn.total
+            else "no events"
+        )
     cells.append(f"{burn.budget_left:.0%}")
     label = "" if burn.alert is None else burn.alert.label
     cells.append(label)
--- a/egretstack/reports/_snapshots.py
+++ b/egretstack/reports/_snapshots.py
@@ -51,11 +51,11 @@
         raise UserError("no files were named; save the metrics of the entries first")
     if len(paths) > MAX_FILES:
         raise UserError(f"{len(paths)} files; the most is {MAX_FILES}")
-    found: dict[tuple[InstanceId, float], Snapshot] = {}
+    snapshot_by_key: dict[tuple[InstanceId, float], Snapshot] = {}
     for path in paths:
-        snapshot = _snapshot(path, read_samples([path]))
-        found.setdefault((snapshot.instance, snapshot.at_s), snapshot)
-    return sorted(found.values(), key=lambda one: one.at_s)
+        snapshot = _make_snapshot(path, read_samples([path]))
+        snapshot_by_key.setdefault((snapshot.instance, snapshot.at_s), snapshot)
+    return sorted(snapshot_by_key.values(), key=lambda one: one.at_s)
 
 
 def read_samples(files: Iterable[Path]) -> list[Sample]:
@@ -74,54 +74,54 @@
     return samples
 
 
-def _snapshot(path: Path, samples: list[Sample]) -> Snapshot:
-    instance, at_s = _one(path, samples, SNAPSHOT)
-    _, started_s = _one(path, samples, STARTED)
+def _make_snapshot(path: Path, samples: list[Sample]) -> Snapshot:
+    instance, at_s = _read_instance_value(path, samples, SNAPSHOT)
+    _, started_s = _read_instance_value(path, samples, STARTED)
     snapshot = Snapshot(instance, at_s, started_s)
     for sample in samples:
-        _take(path, snapshot, sample)
-    for place, tally in snapshot.tally_by_level.items():
+        _apply_sample(path, snapshot, sample)
+    for key, tally in snapshot.tally_by_level.items():
         if not 0 <= tally.good <= tally.total:
-            raise UserError(f"{path}: {place[0]} has more good events than events")
-        if not 0 < snapshot.share_by_level.get(place, 0) < 1:
-            raise UserError(f"{path}: {place[0]} has no share between 0 and 1")
+            raise UserError(f"{path}: {key[0]} has more good events than events")
+        if not 0 < snapshot.share_by_level.get(key, 0) < 1:
+            raise UserError(f"{path}: {key[0]} has no share between 0 and 1")
     return snapshot
 
 
-def _one(path: Path, samples: list[Sample], name: str) -> tuple[InstanceId, float]:
+def _read_instance_value(path: Path, samples: list[Sample], name: str) -> tuple[InstanceId, float]:
     rows = [sample for sample in samples if sample.name == name]
     if len(rows) != 1:
         raise UserError(f"{path}: {len(rows)} samples of {name}; it has to be one entry's metrics")
     instance = rows[0].labels.get(INSTANCE_LABEL, "")
     if not is_name(instance):
         raise UserError(f"{path}: {name} names no instance")
-    return InstanceId(instance), _finite(path, rows[0])
+    return InstanceId(instance), _require_finite(path, rows[0])
 
 
-def _take(path: Path, snapshot: Snapshot, sample: Sample) -> None:
-    if sample.name not in _KNOWN:
+def _apply_sample(path: Path, snapshot: Snapshot, sample: Sample) -> None:
+    if sample.name not in _LEVEL_SAMPLES:
         return
     objective = _OBJECTIVE_BY_NAME.get(sample.labels.get("objective", ""))
     account = sample.labels.get("account", "")
     if objective is None or not is_name(account):
         raise UserError(f"{path}: a sample of {sample.name} without an account and an objective")
-    place = (AccountId(account), objective)
-    value = _finite(path, sample)
+    key = (AccountId(account), objective)
+    value = _require_finite(path, sample)
     if sample.name == TARGET_SHARE:
-        snapshot.share_by_level[place] = value
+        snapshot.share_by_level[key] = value
     elif sample.name == TARGET_SECONDS:
-        snapshot.target_s_by_level[place] = value
+        snapshot.target_s_by_level[key] = value
     elif sample.name == _EVENTS_SAMPLE:
-        snapshot.tally_by_level.setdefault(place, Tally()).total = int(value)
+        snapshot.tally_by_level.setdefault(key, Tally()).total = int(value)
     else:
-        snapshot.tally_by_level.setdefault(place, Tally()).good = int(value)
+        snapshot.tally_by_level.setdefault(key, Tally()).good = int(value)
 
 
-def _finite(path: Path, sample: Sample) -> float:
+def _require_finite(path: Path, sample: Sample) -> float:
     if not isfinite(sample.value) or sample.value < 0:
         raise UserError(f"{path}: {sample.name} is {sample.value}")
     return sample.value
 
 
 _EVENTS_SAMPLE = f"{EVENTS}_total"
-_KNOWN = frozenset({_EVENTS_SAMPLE, f"{GOOD}_total", TARGET_SHARE, TARGET_SECONDS})
+_LEVEL_SAMPLES = frozenset({_EVENTS_SAMPLE, f"{GOOD}_total", TARGET_SHARE, TARGET_SECONDS})
--- a/scripts/_capacity_lines.py
+++ b/scripts/_capacity_lines.py
@@ -4,7 +4,7 @@
 
 from egretstack.membership import MAX_REPORTS, ReadingPlan
 from egretstack.services.peer_port import MAX_LINKS
-from scripts._capacity_platform import placing_home, platform_prose_figures
+from scripts._capacity_platform import placing_home_lines, platform_prose_figures
 from scripts._sheet import Line, Resource, Slopes, format_amount
 from scripts._target import BOUNDS, DAY_S, TARGET
 
@@ -12,23 +12,23 @@
 """Processes of an instance: its entry and its steward."""
 LIST_PERIOD_S = ReadingPlan.make(1.0, TARGET.members, 0, TARGET.nodes).period_s
 """Time between two reads of the instance list by one process, as the product plans it."""
-REPORTS_A_RUNNER = 2
+REPORTS_PER_RUNNER = 2
 """Load reports read of each runner in a second when the kept slope for idle entries was run."""
-REPORTS = 2.0
+REPORTS_PER_S = 2.0
 """Load reports an entry reads in a second, whatever the number of runners: the default of the
 setting `engines.report_readings_per_s`."""
-CORE_US = 1_000_000
+CORE_US_PER_S = 1_000_000
 ACTIVE_ACCOUNTS = 10
 """Accounts an entry serves at once, were each account's callers spread over six entries."""
-LEDGER_CALLS = 800
+LEDGER_CALLS_PER_S = 800
 """Calls a second that may not be repeated, the most that was run; the users give no figure."""
 
-_LIST = "processes take turns; what one finds spreads with heartbeats"
-_REPORTS = f"each entry reads at most {MAX_REPORTS} runners, at a bounded rate"
-_CHANGED = "watchers at the head, then the changed parts from peer to peer"
+_LIST_CARRIER = "processes take turns; what one finds spreads with heartbeats"
+_REPORTS_CARRIER = f"each entry reads at most {MAX_REPORTS} runners, at a bounded rate"
+_CHANGES_CARRIER = "watchers at the head, then the changed parts from peer to peer"
 
 
-def entry(slopes: Slopes) -> list[Line]:
+def entry_lines(slopes: Slopes) -> list[Line]:
     """Give what passing sessions on costs one entry process."""
     return [
         Line(
@@ -66,18 +66,18 @@
     ]
 
 
-def every_node(slopes: Slopes) -> list[Line]:
+def instance_lines(slopes: Slopes) -> list[Line]:
     """Give what control costs each instance, with its entry and its steward."""
     return [
         *_list_lines(slopes),
         *_report_lines(slopes),
         *_configuration_lines(slopes),
-        *_standing_lines(slopes),
+        *_idle_lines(slopes),
     ]
 
 
 def _list_lines(slopes: Slopes) -> list[Line]:
-    how = f"{PROCESSES} x {TARGET.members:,} members every {LIST_PERIOD_S:.0f} s"
+    basis = f"{PROCESSES} x {TARGET.members:,} members every {LIST_PERIOD_S:.0f} s"
     answer = slopes.value_at("runners.instance_list_answer", TARGET.members)
     read = slopes.value_at("runners.instance_list_read_cpu", TARGET.members)
     return [
@@ -85,40 +85,40 @@
             "instance list",
             Resource.TRAFFIC,
             ("runners.instance_list_answer",),
-            how,
+            basis,
             PROCESSES * answer / LIST_PERIOD_S,
-            _LIST,
+            _LIST_CARRIER,
         ),
         Line(
             "instance list",
             Resource.CPU,
             ("runners.instance_list_read_cpu",),
-            how,
+            basis,
             PROCESSES * read / LIST_PERIOD_S,
-            _LIST,
+            _LIST_CARRIER,
         ),
     ]
 
 
 def _report_lines(slopes: Slopes) -> list[Line]:
-    how = f"{REPORTS:g} reports/s"
-    report_us = slopes.unit_cost("path.entry_idle_cpu") / REPORTS_A_RUNNER
+    basis = f"{REPORTS_PER_S:g} reports/s"
+    report_us = slopes.unit_cost("path.entry_idle_cpu") / REPORTS_PER_RUNNER
     return [
         Line(
             "load reports",
             Resource.TRAFFIC,
             ("runners.load_report_wire",),
-            how,
-            slopes.unit_cost("runners.load_report_wire") * REPORTS,
-            _REPORTS,
+            basis,
+            slopes.unit_cost("runners.load_report_wire") * REPORTS_PER_S,
+            _REPORTS_CARRIER,
         ),
         Line(
             "load reports",
             Resource.CPU,
             ("path.entry_idle_cpu",),
-            how + ", two of them the slope of a runner",
-            report_us * REPORTS,
-            _REPORTS,
+            basis + ", two of them the slope of a runner",
+            report_us * REPORTS_PER_S,
+            _REPORTS_CARRIER,
         ),
         Line(
             "runners as the policy holds them",
@@ -133,7 +133,7 @@
 
 def _configuration_lines(slopes: Slopes) -> list[Line]:
     rate = PROCESSES * TARGET.changes
-    how = f"{TARGET.changes_a_day:,} changes a day x {PROCESSES} processes"
+    basis = f"{TARGET.changes_a_day:,} changes a day x {PROCESSES} processes"
     starts = (TARGET.failed_a_day + TARGET.replaced_a_day) / DAY_S
     snapshot = slopes.value_at("accounts.configuration_snapshot_wire", TARGET.parts)
     return [
@@ -141,17 +141,17 @@
             "changes",
             Resource.TRAFFIC,
             ("accounts.configuration_change_wire",),
-            how,
+            basis,
             rate * slopes.value_at("accounts.configuration_change_wire", TARGET.parts),
-            _CHANGED,
+            _CHANGES_CARRIER,
         ),
         Line(
             "changes",
             Resource.CPU,
             ("accounts.configuration_change_cpu",),
-            f"{how} x {TARGET.parts} parts",
+            f"{basis} x {TARGET.parts} parts",
             rate * slopes.value_at("accounts.configuration_change_cpu", TARGET.parts),
-            _CHANGED,
+            _CHANGES_CARRIER,
         ),
         Line(
             "whole configuration for starting instances",
@@ -181,14 +181,14 @@
     ]
 
 
-def _standing_lines(slopes: Slopes) -> list[Line]:
-    nodes = f"{TARGET.nodes} instances"
+def _idle_lines(slopes: Slopes) -> list[Line]:
+    basis = f"{TARGET.nodes} instances"
     return [
         Line(
             "heartbeats",
             Resource.TRAFFIC,
             ("membership.traffic",),
-            nodes,
+            basis,
             slopes.value_at("membership.traffic", TARGET.nodes),
             "to a few neighbours chosen by hash",
         ),
@@ -196,7 +196,7 @@
             "links between instances",
             Resource.TRAFFIC,
             ("nodes.idle_bytes",),
-            nodes,
+            basis,
             slopes.value_at("nodes.idle_bytes", TARGET.nodes),
             "heartbeats and asking peers for a newer revision, as objects",
         ),
@@ -204,7 +204,7 @@
             "all that runs by itself, without sockets",
             Resource.CPU,
             ("nodes.idle_cpu",),
-            nodes,
+            basis,
             slopes.value_at("nodes.idle_cpu", TARGET.nodes),
             "timers of entry and steward",
         ),
@@ -220,19 +220,19 @@
             "links and what else grows with the fleet",
             Resource.MEMORY,
             ("memory.idle_memory",),
-            nodes,
+            basis,
             slopes.unit_cost("memory.idle_memory") * TARGET.nodes,
             "a buffer at each end of each link",
         ),
     ]
 
 
-def homes(slopes: Slopes) -> list[Line]:
+def limits_lines(slopes: Slopes) -> list[Line]:
     """Give what lending limits costs an instance, as entry and as home."""
-    lent = "limits lent by an account's home instance, renewed by the entries that use them"
-    active = f"{ACTIVE_ACCOUNTS} active accounts on each entry"
+    carrier = "limits lent by an account's home instance, renewed by the entries that use them"
+    basis = f"{ACTIVE_ACCOUNTS} active accounts on each entry"
     return [
-        Line(what, resource, (name,), active, slopes.value_at(name, ACTIVE_ACCOUNTS), lent)
+        Line(what, resource, (name,), basis, slopes.value_at(name, ACTIVE_ACCOUNTS), carrier)
         for what, resource, name in (
             ("asking and granting", Resource.TRAFFIC, "limits.traffic"),
             ("asking and granting", Resource.CPU, "limits.cpu"),
@@ -241,7 +241,7 @@
     ]
 
 
-def relays(slopes: Slopes) -> list[Line]:
+def relay_lines(slopes: Slopes) -> list[Line]:
     """Give what the busiest steward sends while changes pass."""
     return [
         Line(
@@ -255,31 +255,31 @@
     ]
 
 
-def ledger(slopes: Slopes) -> list[Line]:
+def ledger_lines(slopes: Slopes) -> list[Line]:
     """Give what calls that may not be repeated cost the object API."""
-    how = f"{LEDGER_CALLS} such calls a second, over 40 entries"
-    carried = "shards with group commit, each written by its home instance alone"
+    basis = f"{LEDGER_CALLS_PER_S} such calls a second, over 40 entries"
+    carrier = "shards with group commit, each written by its home instance alone"
     return [
         Line(
             "intents and outcomes",
             Resource.WRITES,
             ("ledger.writes",),
-            how,
-            slopes.value_at("ledger.writes", LEDGER_CALLS),
-            carried,
+            basis,
+            slopes.value_at("ledger.writes", LEDGER_CALLS_PER_S),
+            carrier,
         ),
         Line(
             "reading shards",
             Resource.READS,
             ("ledger.reads",),
-            how,
-            slopes.value_at("ledger.reads", LEDGER_CALLS),
-            carried,
+            basis,
+            slopes.value_at("ledger.reads", LEDGER_CALLS_PER_S),
+            carrier,
         ),
     ]
 
 
-def read_parts(slopes: Slopes) -> None:
+def fit_runs(slopes: Slopes) -> None:
     """Fit the runs of parts that print runs."""
     for value, name, unit in (
         ("bytes_per_s", "limits.traffic", "bytes/s"),
@@ -300,7 +300,7 @@
     slopes.fit_rows("ledger.reads", "calls/s", offered, "reads_per_s", **shards)
 
 
-def object_api(slopes: Slopes) -> list[Line]:
+def object_api_lines(slopes: Slopes) -> list[Line]:
     """Give what the whole fleet asks of the object API."""
     return [
         Line(
@@ -334,7 +334,7 @@
     """Give the figures that the page's prose names."""
     writes = slopes.slope_by_name["ledger.writes"]
     token_us = slopes.unit_cost("path.entry_token_cpu")
-    report_us = slopes.unit_cost("path.entry_idle_cpu") / REPORTS_A_RUNNER
+    report_us = slopes.unit_cost("path.entry_idle_cpu") / REPORTS_PER_RUNNER
     sessions = TARGET.open_sessions * TARGET.nodes
     return {
         "in_force": f"{max(slopes.slope_by_name['configuration.seconds'].values):.2f}",
@@ -343,14 +343,14 @@
         "links": f"{slopes.value_at('nodes.links_busiest', TARGET.nodes):.0f}",
         "link_memory": format_amount(slopes.unit_cost("memory.idle_memory"), "bytes"),
         "max_links": f"{MAX_LINKS}",
-        "reports": f"{REPORTS:g}",
+        "reports": f"{REPORTS_PER_S:g}",
         "max_reports": f"{MAX_REPORTS}",
         "link_end": format_amount(slopes.unit_cost("runners.link_memory"), "bytes"),
         "reports_a_core_share": f"{BOUNDS.cpu_us / report_us:.1f}",
         "node_tokens": f"{TARGET.node_tokens:,.0f}",
         "token_us": f"{token_us:.0f}",
-        "tokens_a_core": f"{CORE_US / token_us:,.0f}",
-        "entry_processes": f"{TARGET.node_tokens * token_us / CORE_US:.1f}",
+        "tokens_a_core": f"{CORE_US_PER_S / token_us:,.0f}",
+        "entry_processes": f"{TARGET.node_tokens * token_us / CORE_US_PER_S:.1f}",
         "sessions": f"{sessions:,.0f}",
         "node_sessions": f"{TARGET.open_sessions:.0f}",
         "zone_sessions": f"{sessions / TARGET.zones:,.0f}",
@@ -363,12 +363,12 @@
     } | platform_prose_figures(slopes)
 
 
-TABLES: dict[str, Callable[[Slopes], list[Line]]] = {
-    "entry": entry,
-    "every_node": every_node,
-    "homes": homes,
-    "placing_home": placing_home,
-    "relays": relays,
-    "ledger": ledger,
-    "object_api": object_api,
+LINES_BY_TABLE: dict[str, Callable[[Slopes], list[Line]]] = {
+    "entry": entry_lines,
+    "every_node": instance_lines,
+    "homes": limits_lines,
+    "placing_home": placing_home_lines,
+    "relays": relay_lines,
+    "ledger": ledger_lines,
+    "object_api": object_api_lines,
 }
--- a/scripts/_capacity_platform.py
+++ b/scripts/_capacity_platform.py
@@ -4,11 +4,11 @@
 from scripts._sheet import Line, Resource, Slopes, format_amount
 from scripts._target import TARGET
 
-ENGINES_TODAY = 24
+CURRENT_ENGINES = 24
 """Engines of the larger of the users' two sites after it has grown."""
 
 
-def placing_home(slopes: Slopes) -> list[Line]:
+def placing_home_lines(slopes: Slopes) -> list[Line]:
     """Give what the one home of the users' platform costs, were it alone at the target."""
     reports = TARGET.nodes / REPORT_PERIOD_S
     sessions = TARGET.open_sessions
@@ -52,5 +52,5 @@
             slopes.value_at("fleet.quiet_news_wire", TARGET.nodes), "bytes"
         ),
         "place_ms": f"{slopes.value_at('fleet.place_cpu', TARGET.runners) / 1000:.0f}",
-        "place_small_ms": f"{slopes.value_at('fleet.place_cpu', ENGINES_TODAY) / 1000:.2g}",
+        "place_small_ms": f"{slopes.value_at('fleet.place_cpu', CURRENT_ENGINES) / 1000:.2g}",
     }
--- a/scripts/_sheet.py
+++ b/scripts/_sheet.py
@@ -34,10 +34,10 @@
 class Line:
     """One cost of one role. `sum_of` says in words how the value follows from the slopes."""
 
-    what: str
+    cost: str
     resource: Resource
     slopes: tuple[str, ...]
-    sum_of: str
+    basis: str
     value: float
     carried_by: str
 
@@ -63,23 +63,23 @@
                 self.slope_by_name[f"{part}.{slope.name}"] = slope
 
     def fit_rows(
-        self, name: str, unit: str, size: tuple[str, str], value: str, **only: object
+        self, name: str, unit: str, size: tuple[str, str], value: str, **filters: object
     ) -> None:
         """Fit the rows of a part that prints its runs and not slopes, such as `limits.traffic`.
 
         `size` is what a run's size counts and the field that holds it, `value` the field that
         was measured; `only` picks runs by other fields.
         """
-        part, _, short = name.partition(".")
+        part, _, short_name = name.partition(".")
         per, size_field = size
         rows = [
             row
             for row in self._rows_by_part.get(part, [])
-            if value in row and size_field in row and only.items() <= row.items()
+            if value in row and size_field in row and filters.items() <= row.items()
         ]
         value_by_size = {row[size_field]: row[value] for row in rows}
         if value_by_size:
-            self.slope_by_name[name] = fit(short, unit, per, value_by_size)
+            self.slope_by_name[name] = fit(short_name, unit, per, value_by_size)
 
     def value_at(self, name: str, size: float) -> float:
         """Give the value at a size by the fitted line.
@@ -126,10 +126,10 @@
     ]
     total: dict[Resource, float] = {}
     for line in lines:
-        rows.append(_row(line, slopes))
+        rows.append(_format_row(line, slopes))
         total[line.resource] = total.get(line.resource, 0.0) + line.value
     for resource, value in total.items():
-        rows.append(_total_row(resource, value))
+        rows.append(_format_total_row(resource, value))
     return "\n".join(rows)
 
 
@@ -138,30 +138,28 @@
     return bound is None or value <= bound
 
 
-def verdict(value: float, bound: float | None) -> str:
+def format_verdict(value: float, bound: float | None) -> str:
     """Say whether a value stays within a bound."""
     if bound is None:
         return ""
     return "fits" if value <= bound else "**does not fit**"
 
 
-def _row(line: Line, slopes: Slopes) -> str:
+def _format_row(line: Line, slopes: Slopes) -> str:
     measured = "; ".join(
         f"`{name}`: {format_slope(slopes.slope_by_name[name])}" for name in line.slopes
     )
     resource = line.resource
-    total = f"{line.sum_of}: {format_amount(line.value, resource.unit)}"
-    found = verdict(line.value, resource.bound)
-    return (
-        f"| {line.what} | {line.carried_by} | {measured} | {total} | {_bound(resource)} | {found} |"
-    )
+    total = f"{line.basis}: {format_amount(line.value, resource.unit)}"
+    verdict = format_verdict(line.value, resource.bound)
+    return f"| {line.cost} | {line.carried_by} | {measured} | {total} | {_format_bound(resource)} | {verdict} |"
 
 
-def _total_row(resource: Resource, value: float) -> str:
+def _format_total_row(resource: Resource, value: float) -> str:
     total = f"**{format_amount(value, resource.unit)}**"
-    found = verdict(value, resource.bound)
-    return f"| all of it: {resource.label} | | | {total} | {_bound(resource)} | {found} |"
+    verdict = format_verdict(value, resource.bound)
+    return f"| all of it: {resource.label} | | | {total} | {_format_bound(resource)} | {verdict} |"
 
 
-def _bound(resource: Resource) -> str:
+def _format_bound(resource: Resource) -> str:
     return "none given" if resource.bound is None else format_amount(resource.bound, resource.unit)
--- a/scripts/_slope.py
+++ b/scripts/_slope.py
@@ -37,20 +37,20 @@
     values = tuple(value_by_size.values())
     mean_size = sum(sizes) / len(sizes)
     mean_value = sum(values) / len(values)
-    spread = sum((size - mean_size) ** 2 for size in sizes)
-    if spread:
-        together = sum(
+    variance = sum((size - mean_size) ** 2 for size in sizes)
+    if variance:
+        covariance = sum(
             (size - mean_size) * (value - mean_value)
             for size, value in zip(sizes, values, strict=True)
         )
-        each = together / spread
+        each = covariance / variance
         base = mean_value - each * mean_size
     else:
         each, base = values[0] / sizes[0], 0.0
-    off = [abs(base + each * s - v) for s, v in zip(sizes, values, strict=True)]
-    top = max(abs(value) for value in values)
-    worst = max(off) / top if top else 0.0
-    return Slope(name, unit, per, sizes, _rounded(values), *_rounded((base, each, worst)))
+    residuals = [abs(base + each * s - v) for s, v in zip(sizes, values, strict=True)]
+    max_value = max(abs(value) for value in values)
+    worst = max(residuals) / max_value if max_value else 0.0
+    return Slope(name, unit, per, sizes, _round_all(values), *_round_all((base, each, worst)))
 
 
 def print_slope(slope: Slope) -> None:
@@ -64,25 +64,25 @@
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
-        made = make()
+        kept = make()
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    del made
+    del kept
     return after - before
 
 
-def measure_cpu_us(work: Callable[[], object], rounds: int = 1) -> float:
+def measure_cpu_us(function: Callable[[], object], rounds: int = 1) -> float:
     """Give the processor time of one round of `work` in microseconds: the best of several."""
     best = float("inf")
     for _ in range(REPEATS):
         started_s = time.process_time()
         for _ in range(rounds):
-            work()
+            function()
         best = min(best, time.process_time() - started_s)
     return best / rounds * MICROSECONDS
 
 
-def _rounded(values: tuple[float, ...]) -> tuple[float, ...]:
+def _round_all(values: tuple[float, ...]) -> tuple[float, ...]:
     return tuple(float(f"{value:.4g}") for value in values)
--- a/scripts/account_of_loss.py
+++ b/scripts/account_of_loss.py
@@ -22,9 +22,9 @@
 app = App(help=__doc__)
 
 _LINE = re.compile(r"\s*(-?[\d.]+) (\S+) (\{.*\})")
-RANKS = 100
+ROUTE_RANKS = 100
 """Ranks of routes that the log tells apart within one rank of client accounts."""
-LATE_TOKENS_S = 0.2
+LATE_WAIT_S = 0.2
 """Wait for room from which a late first token counts as caused by it."""
 
 
@@ -38,17 +38,17 @@
     OUT_OF_TIME = ("its time ran out at the runner, or it tried a timeout", False)
     NO_COPY = ("the engine left or crashed before a copy was whole", True)
     NOT_CONTINUED = ("its copy could not be continued", True)
-    NO_ROOM = ("refused: it waited for room, and none came", True)
+    NO_CAPACITY = ("refused: it waited for room, and none came", True)
     REFUSED = ("refused for another reason", True)
     UNKNOWN = ("what became of it at the runner is not known", True)
-    LATE_ROOM = ("late: it waited for room", True)
-    LATE_READ = ("late: its prompt was read late", True)
+    LATE_QUEUED = ("late: it waited for room", True)
+    LATE_PREFILL = ("late: its prompt was read late", True)
     PAUSE_MOVED = ("late: a pause while it moved", True)
     PAUSE = ("late: a pause at its engine", True)
 
-    def __init__(self, words: str, avoidable: bool) -> None:
-        self.words = words
-        self.avoidable = avoidable
+    def __init__(self, description: str, is_avoidable: bool) -> None:
+        self.description = description
+        self.is_avoidable = is_avoidable
 
 
 _NOT_COUNTED = (Cause.CLIENT_LEFT, Cause.NOT_OWED, Cause.OUT_OF_TIME)
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True)
-class Kind:
+class RequestKind:
     """A kind of request, as the site's sheet has it."""
 
     name: str
@@ -68,7 +68,7 @@
 
 
 @dataclass
-class Story:
+class AttemptLog:
     """What the log tells of one attempt."""
 
     instance: str
@@ -86,12 +86,12 @@
 @app.default
 def account(site: Path, *logs: Path) -> None:
     """Print the account of each log, and of all together."""
-    kinds = _kinds(site)
+    kinds = _read_kinds(site)
     total: Counter[Cause] = Counter()
     total_worth: Counter[Cause] = Counter()
     owed = 0.0
     for log in logs:
-        counts, worths, log_owed = _account(kinds, _stories(log))
+        counts, worths, log_owed = _count_causes(kinds, _read_attempts(log))
         total += counts
         total_worth += worths
         owed += log_owed
@@ -99,20 +99,20 @@
     for cause in sorted(Cause, key=lambda one: -total_worth[one]):
         if total[cause]:
             share = total_worth[cause] / max(1.0, owed)
-            mark = "avoidable" if cause.avoidable else ""
-            print(f"{total[cause]:6d}  {share:7.4f}  {cause.words}  {mark}")
+            mark = "avoidable" if cause.is_avoidable else ""
+            print(f"{total[cause]:6d}  {share:7.4f}  {cause.description}  {mark}")
     lost = sum(worth for cause, worth in total_worth.items() if cause not in _NOT_COUNTED)
-    avoidable = sum(worth for cause, worth in total_worth.items() if cause.avoidable)
+    avoidable = sum(worth for cause, worth in total_worth.items() if cause.is_avoidable)
     if not owed:
         return  # No log line of a request that is owed.
     print(f"served {1 - lost / owed:.4f}, attainable {1 - (lost - avoidable) / owed:.4f}")
 
 
-def _kinds(site: Path) -> list[Kind]:
+def _read_kinds(site: Path) -> list[RequestKind]:
     """Give the kinds of generations by rank, and last the plain requests as one kind."""
     classes = tomllib.loads(site.read_text())["classes"]
     kinds = [
-        Kind(
+        RequestKind(
             row["name"],
             row["worth"],
             row["late_worth"],
@@ -125,62 +125,66 @@
     return [kind for kind in kinds if kind.pause_ms is not None] + plain
 
 
-def _stories(log: Path) -> Iterator[Story]:
-    story_by_attempt: dict[str, Story] = {}
+def _read_attempts(log: Path) -> Iterator[AttemptLog]:
+    log_by_attempt: dict[str, AttemptLog] = {}
     for text in log.read_text(errors="replace").splitlines():
-        found = _LINE.match(text)
-        if found is None:
+        match = _LINE.match(text)
+        if match is None:
             continue
         try:
-            line = json.loads(found[3])
+            line = json.loads(match[3])
         except ValueError:
             continue  # Player output that only looks like a log line.
         attempt = line.get("request")
         if attempt:
-            story = story_by_attempt.setdefault(attempt, Story(found[2]))
-            story.lines.append((float(found[1]), line))
-    return iter(story_by_attempt.values())
+            attempt_log = log_by_attempt.setdefault(attempt, AttemptLog(match[2]))
+            attempt_log.lines.append((float(match[1]), line))
+    return iter(log_by_attempt.values())
 
 
-def _account(
-    kinds: list[Kind], stories: Iterable[Story]
+def _count_causes(
+    kinds: list[RequestKind], attempts: Iterable[AttemptLog]
 ) -> tuple[Counter[Cause], Counter[Cause], float]:
     counts: Counter[Cause] = Counter()
     worths: Counter[Cause] = Counter()
     owed = 0.0
     sizes: dict[str, list[float]] = defaultdict(list)
-    judged = []
-    for story in stories:
-        placed = story.first("placed")
-        kind = kinds[-1] if placed is None else kinds[min(placed["rank"] % RANKS, len(kinds) - 2)]
+    causes = []
+    for attempt in attempts:
+        placed = attempt.first("placed")
+        kind = (
+            kinds[-1]
+            if placed is None
+            else kinds[min(placed["rank"] % ROUTE_RANKS, len(kinds) - 2)]
+        )
         size = 1.0 if placed is None else placed["prompt"] + 10.0 * (placed["hint"] or 0)
         sizes[kind.name].append(size)
-        judged.append((kind, size, _cause(kind, story)))
-    for kind, size, cause in judged:
+        causes.append((kind, size, _find_cause(kind, attempt)))
+    for kind, size, cause in causes:
         mean = sum(sizes[kind.name]) / len(sizes[kind.name])
         worth = kind.worth * min(4.0, 0.3 + 0.7 * size / mean)
         if cause not in _NOT_COUNTED:
             owed += worth
         if cause is None:
             continue
-        late = cause.words.startswith("late")
+        late = cause.description.startswith("late")
         counts[cause] += 1
         worths[cause] += worth * (1 - kind.late_worth / kind.worth if late else 1)
     return counts, worths, owed
 
 
-def _cause(kind: Kind, story: Story) -> Cause | None:
+def _find_cause(kind: RequestKind, attempt: AttemptLog) -> Cause | None:
     """Give why a request was not served in time; None if it was."""
-    if story.has("stream_ended"):
-        return _late_cause(kind, story)
-    if story.has("stream_lost"):
-        return Cause.NOT_CONTINUED if story.has("stream_not_continued") else Cause.NO_COPY
-    if story.has("client_left"):
+    if attempt.has("stream_ended"):
+        return _find_late_cause(kind, attempt)
+    if attempt.has("stream_lost"):
+        return Cause.NOT_CONTINUED if attempt.has("stream_not_continued") else Cause.NO_COPY
+    if attempt.has("client_left"):
         return Cause.CLIENT_LEFT
-    failed = story.first("request_failed")
+    failed = attempt.first("request_failed")
     if failed is not None:
-        return _refused_cause(failed)
-    answered = story.first("request_answered")
+        return _find_refusal_cause(failed)
+    answered = attempt.first("request_answered")
     if answered is None:
         return Cause.PROCESS_ENDED
     if answered["status"] >= 500:
@@ -188,23 +192,23 @@
     return Cause.PAUSE if answered["took_ms"] > kind.target_ms else None
 
 
-def _late_cause(kind: Kind, story: Story) -> Cause | None:
-    ended, placed = story.first("stream_ended"), story.first("placed")
+def _find_late_cause(kind: RequestKind, attempt: AttemptLog) -> Cause | None:
+    ended, placed = attempt.first("stream_ended"), attempt.first("placed")
     if ended["first_ms"] > kind.target_ms:
         waited_s = placed["waited_ms"] / 1000 if placed else 0.0
-        return Cause.LATE_ROOM if waited_s > LATE_TOKENS_S else Cause.LATE_READ
+        return Cause.LATE_QUEUED if waited_s > LATE_WAIT_S else Cause.LATE_PREFILL
     if kind.pause_ms is not None and ended["longest_gap_ms"] > kind.pause_ms:
-        return Cause.PAUSE_MOVED if story.has("stream_continued") else Cause.PAUSE
+        return Cause.PAUSE_MOVED if attempt.has("stream_continued") else Cause.PAUSE
     return None
 
 
-def _refused_cause(failed: dict) -> Cause | None:
+def _find_refusal_cause(failed: dict) -> Cause | None:
     if failed["kind"] in ("not-found", "unauthenticated"):
         return Cause.NOT_OWED
     if failed["kind"] == "out-of-time":
         return Cause.OUT_OF_TIME
     if failed["kind"] == "engines-full":
-        return Cause.NO_ROOM
+        return Cause.NO_CAPACITY
     return Cause.UNKNOWN if failed["kind"] == "outcome-unknown" else Cause.REFUSED
 
 
--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -7,26 +7,26 @@
 import re
 from pathlib import Path
 
-from scripts._capacity_lines import TABLES, prose_figures, read_parts
+from scripts._capacity_lines import LINES_BY_TABLE, fit_runs, prose_figures
 from scripts._sheet import Slopes, format_table
 
 ROOT = Path(__file__).parent.parent
-TEXT = Path(__file__).with_name("capacity.md")
+TEMPLATE = Path(__file__).with_name("capacity.md")
 PAGE = ROOT / "docs" / "CAPACITY.md"
-_PLACE = re.compile(r"\{\{(table )?([a-z_]+)\}\}")
+_PLACEHOLDER = re.compile(r"\{\{(table )?([a-z_]+)\}\}")
 
 
 def capacity_page(slopes: Slopes) -> str:
     """Give the text of the page; a place that names nothing known is a KeyError."""
-    read_parts(slopes)
+    fit_runs(slopes)
     figures = prose_figures(slopes)
 
-    def fill(match: re.Match) -> str:
+    def replace(match: re.Match) -> str:
         if match.group(1):
-            return format_table(TABLES[match.group(2)](slopes), slopes)
+            return format_table(LINES_BY_TABLE[match.group(2)](slopes), slopes)
         return figures[match.group(2)]
 
-    return _PLACE.sub(fill, TEXT.read_text())
+    return _PLACEHOLDER.sub(replace, TEMPLATE.read_text())
 
 
 def main() -> None:
--- a/scripts/demo_platform.py
+++ b/scripts/demo_platform.py
@@ -30,8 +30,8 @@
 )
 
 NET = os.environ.get("DEMO_NET", "127.0")
-LIMIT_S = 45.0
-MAX_ANSWER = 1_000_000
+TIMEOUT_S = 45.0
+MAX_ANSWER_BYTES = 1_000_000
 _SETTINGS = """node-name=entry-{number}
 zone=leon-a
 region=bajio
@@ -46,7 +46,7 @@
 """
 
 
-def say(text: str) -> None:
+def print_headline(text: str) -> None:
     """Print a headline."""
     print(f"\n== {text}", flush=True)
 
@@ -55,17 +55,17 @@
     """Run the demo."""
     store = StoreStandIn(f"{NET}.20.10:8742")
     engines = [EngineStandIn(f"{NET}.23.{n}:8080", f"i-llm-{n}") for n in (1, 2)]
-    desk = PlainStandIn(f"{NET}.22.1:8080", "i-desk-1")
+    plain_runner = PlainStandIn(f"{NET}.22.1:8080", "i-desk-1")
     for engine in engines:
         engine.events = 60
-    with tempfile.TemporaryDirectory() as folder, trio.fail_after(LIMIT_S):
+    with tempfile.TemporaryDirectory() as folder, trio.fail_after(TIMEOUT_S):
         async with trio.open_nursery() as nursery:
-            for server in (store, desk, *engines):
+            for server in (store, plain_runner, *engines):
                 await nursery.start(server.run)
-            describe(store, desk, engines)
+            configure(store, plain_runner, engines)
             entries = [start_entry(number, Path(folder)) for number in (0, 1)]
             try:
-                await show(store, engines, entries)
+                await drive_entries(store, engines, entries)
             finally:
                 for entry in entries:
                     entry.kill()
@@ -73,9 +73,11 @@
             nursery.cancel_scope.cancel()
 
 
-def describe(store: StoreStandIn, desk: PlainStandIn, engines: list[EngineStandIn]) -> None:
+def configure(
+    store: StoreStandIn, plain_runner: PlainStandIn, engines: list[EngineStandIn]
+) -> None:
     """Write what the operator and the runners write."""
-    store.put("servers", desk.runner_id, runner_spec("desk", desk.address))
+    store.put("servers", plain_runner.runner_id, runner_spec("desk", plain_runner.address))
     for engine in engines:
         store.put("servers", engine.runner_id, runner_spec("llm", engine.address))
     routes = [route("plans", "streaming", "llm"), route("holds", "non_idempotent", "desk")]
@@ -93,20 +95,20 @@
     )
 
 
-async def show(
+async def drive_entries(
     store: StoreStandIn, engines: list[EngineStandIn], entries: list[subprocess.Popen]
 ) -> None:
     """Drive the entries."""
-    say("which entries to use")
-    addresses = await until_two_addresses()
+    print_headline("which entries to use")
+    addresses = await wait_for_two_addresses()
     print(json.dumps(addresses))
-    say("a seat hold, which runs at most once")
+    print_headline("a seat hold, which runs at most once")
     head, body = client_request("/holds/seat-7", "demo-hold", method=b"POST")
-    answer, data = await ask(addresses[0], head, body)
+    answer, data = await send_request(addresses[0], head, body)
     print(answer.status, data.decode())
-    say("an itinerary, whose engine is told to leave in the middle")
-    await stream(addresses[0], store, engines)
-    say("a planned stop of one entry; the other is the only answer now")
+    print_headline("an itinerary, whose engine is told to leave in the middle")
+    await read_moved_stream(addresses[0], store, engines)
+    print_headline("a planned stop of one entry; the other is the only answer now")
     entries[0].send_signal(signal.SIGTERM)
     await trio.sleep(1.0)
     print(json.dumps(await resolve(1)))
@@ -114,37 +116,39 @@
         while entries[0].poll() is None:
             await trio.sleep(0.1)
     print("exit code", entries[0].returncode)
-    say("metrics")
+    print_headline("metrics")
     head = RequestHead(b"GET", b"/metrics", ((b"host", b"metrics"),))
-    _, data = await ask(f"{NET}.21.2:7201", head, b"")
+    _, data = await send_request(f"{NET}.21.2:7201", head, b"")
     lines = [one for one in data.decode().splitlines() if one.startswith("egret_relay")]
     print("\n".join(lines[:6]))
 
 
-async def stream(address: str, store: StoreStandIn, engines: list[EngineStandIn]) -> None:
+async def read_moved_stream(
+    address: str, store: StoreStandIn, engines: list[EngineStandIn]
+) -> None:
     """Read a stream, and let its engine leave after some events."""
     head, body = client_request("/plans/ring-road", "demo-plan", method=b"POST", headers=GENERATION)
     connection = await connect_upstream(address, 2.0)
     await connection.send(head, body)
     await connection.read_head()
     ids: list[int] = []
-    left = False
+    has_left = False
     while (data := await connection.read_body()) is not None:
         ids += [int(line[4:]) for line in data.decode().splitlines() if line.startswith("id:")]
-        if len(ids) >= 15 and not left:
-            left = True
+        if len(ids) >= 15 and not has_left:
+            has_left = True
             source = next(one for one in engines if one.runs_by_attempt["demo-plan"])
             store.put("servers", source.runner_id, runner_spec("llm", source.address, "draining"))
             print(f"{source.runner_id} is told to leave after event {ids[-1]}")
     connection.close()
-    went_on = next(one.runner_id for one in engines if one.continued)
-    whole = ids == list(range(1, len(ids) + 1))
-    print(f"{len(ids)} events, once and in order: {whole}; it went on at {went_on}")
-    if not whole:
+    destination = next(one.runner_id for one in engines if one.continued)
+    is_complete = ids == list(range(1, len(ids) + 1))
+    print(f"{len(ids)} events, once and in order: {is_complete}; it went on at {destination}")
+    if not is_complete:
         sys.exit(1)
 
 
-async def until_two_addresses() -> list[str]:
+async def wait_for_two_addresses() -> list[str]:
     """Ask the directory until both entries are ready."""
     while True:
         try:
@@ -160,18 +164,18 @@
     """Ask an entry's directory. Raises OSError, ValueError, KeyError."""
     target = f"/egretstack/resolve?name={HOST}&region=bajio&zone=leon-a".encode()
     head = RequestHead(b"GET", target, ((b"host", b"directory"),))
-    _, data = await ask(f"{NET}.21.{number + 1}:8746", head, b"")
+    _, data = await send_request(f"{NET}.21.{number + 1}:8746", head, b"")
     return json.loads(data)["addresses"]
 
 
-async def ask(address: str, head: RequestHead, body: bytes):
+async def send_request(address: str, head: RequestHead, body: bytes):
     """Make one request. Raises OSError."""
     try:
         connection = await connect_upstream(address, 2.0)
     except ConnectFailed as error:
         raise OSError(str(error)) from error
     try:
-        return await exchange(connection, head, body, MAX_ANSWER)
+        return await exchange(connection, head, body, MAX_ANSWER_BYTES)
     finally:
         connection.close()
 
--- a/scripts/hunt_days.py
+++ b/scripts/hunt_days.py
@@ -71,7 +71,7 @@
         Keep what the processes write too.
     """
     out.mkdir(parents=True, exist_ok=True)
-    plays = [
+    tasks = [
         (one, which, None if number == 0 else 1_000_003 * number)
         for one in site
         for which in day
@@ -79,41 +79,46 @@
     ]
 
     def run(task: tuple[Path, str, int | None]) -> Finding:
-        return _play(out, player, *task, why=why, log=log)
+        return _run_player(out, player, *task, why=why, log=log)
 
     with ThreadPoolExecutor(jobs) as pool:
-        findings = list(pool.map(run, plays))
+        findings = list(pool.map(run, tasks))
     rows = [json.dumps(asdict(finding)) for finding in findings]
     (out / "findings.jsonl").write_text("\n".join(rows) + "\n")
-    _show(findings)
+    _print_findings(findings)
 
 
 @app.command
 def compare(before: Path, after: Path) -> None:
     """Show worth and broken rules of two rounds side by side."""
-    old = {(one.site, one.day, one.seed): one for one in _read(before)}
-    gains = []
-    for one in _read(after):
-        was = old.get((one.site, one.day, one.seed))
-        if was is None or was.worth is None or one.worth is None:
+    finding_by_play = {(one.site, one.day, one.seed): one for one in _read_findings(before)}
+    differences = []
+    for finding in _read_findings(after):
+        earlier = finding_by_play.get((finding.site, finding.day, finding.seed))
+        if earlier is None or earlier.worth is None or finding.worth is None:
             continue
-        gains.append(one.worth - was.worth)
-        if was.broken or one.broken or abs(gains[-1]) >= 0.03:
-            print(f"{one.site} {one.day} {one.seed}: {was.worth:.3f} -> {one.worth:.3f}", end="")
-            print(f"  broken: {was.broken or '-'} -> {one.broken or '-'}")
-    if gains:
-        print(f"{len(gains)} plays, mean gain {statistics.mean(gains):+.4f}{_interval(gains)}")
-
-
-def _interval(gains: list[float]) -> str:
+        differences.append(finding.worth - earlier.worth)
+        if earlier.broken or finding.broken or abs(differences[-1]) >= 0.03:
+            print(
+                f"{finding.site} {finding.day} {finding.seed}: {earlier.worth:.3f} -> {finding.worth:.3f}",
+                end="",
+            )
+            print(f"  broken: {earlier.broken or '-'} -> {finding.broken or '-'}")
+    if differences:
+        print(
+            f"{len(differences)} plays, mean gain {statistics.mean(differences):+.4f}{_format_interval(differences)}"
+        )
+
+
+def _format_interval(differences: list[float]) -> str:
     """Give how far the mean of paired differences may be off, in 95 of 100 rounds."""
-    if len(gains) < 2:
+    if len(differences) < 2:
         return ""
-    error = statistics.stdev(gains) / len(gains) ** 0.5
+    error = statistics.stdev(differences) / len(differences) ** 0.5
     return f" (95%: {statistics.NormalDist().inv_cdf(0.975) * error:.4f} either way)"
 
 
-def _play(
+def _run_player(
     out: Path, player: Path, site: Path, day: str, seed: int | None, *, why: str, log: bool
 ) -> Finding:
     command = [str(player), "run", str(site), day, "--no-cpu", "--why", why]
@@ -121,13 +126,13 @@
         command += ["--seed", str(seed)]
     if log:
         command += ["--log", "all"]
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
+    completed = subprocess.run(command, capture_output=True, text=True, check=False)
     path = out / f"{site.stem}.{Path(day).stem}.{seed or 0}.log"
-    path.write_text(done.stdout + done.stderr)
-    return _finding(site.stem, Path(day).stem, seed, done.stdout, path)
+    path.write_text(completed.stdout + completed.stderr)
+    return _parse_finding(site.stem, Path(day).stem, seed, completed.stdout, path)
 
 
-def _finding(site: str, day: str, seed: int | None, text: str, path: Path) -> Finding:
+def _parse_finding(site: str, day: str, seed: int | None, text: str, path: Path) -> Finding:
     worth, broken = None, ""
     for line in text.splitlines():
         found = _SUMMARY.match(line)
@@ -141,12 +146,12 @@
     )
 
 
-def _read(folder: Path) -> list[Finding]:
+def _read_findings(folder: Path) -> list[Finding]:
     lines = (folder / "findings.jsonl").read_text().splitlines()
     return [Finding(**json.loads(line)) for line in lines]
 
 
-def _show(findings: list[Finding]) -> None:
+def _print_findings(findings: list[Finding]) -> None:
     by_rule: dict[str, list[Finding]] = {}
     for finding in findings:
         if finding.broken:
--- a/scripts/make_trace.py
+++ b/scripts/make_trace.py
@@ -18,30 +18,30 @@
 from cyclopts import App, Parameter
 
 DAY_S = 900.0
-LONGEST_OUTPUT = 24_000
-RECLAIMED_AT = 0.5
+MAX_OUTPUT = 24_000
+RECLAIMED_AT_SHARE = 0.5
 """Part of the day at which an engine goes."""
-BACK_AT = 0.65
+BACK_AT_SHARE = 0.65
 NOON = 0.5
-BURST = (0.6, 0.64)
+BURST_SHARES = (0.6, 0.64)
 BURST_FACTOR = 6
 ACCOUNTS = 10
 
 
 @dataclass(frozen=True)
-class Kind:
+class RequestKind:
     """One kind of request: its share, value and lengths (log-normal with a Pareto tail)."""
 
     name: str
-    share: float
+    request_share: float
     value: int
     stream: bool
-    prompt: int
-    median: float
+    prompt_tokens: int
+    median_tokens: float
     sigma: float
-    tail: float
+    tail_share: float
     """Part of the answers that are drawn from the tail."""
-    after_noon: float
+    afternoon_factor: float
     """Factor on the median after noon."""
 
 
@@ -53,7 +53,7 @@
     model: str
     zones: tuple[str, ...]
     engines: int
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
     weights: tuple[float, float, float]
 
 
@@ -64,9 +64,9 @@
         ("leon-a", "leon-b", "irapuato"),
         6,
         (
-            Kind("dossier", 0.35, 200, True, 1600, 900, 0.7, 0.03, 1.5),
-            Kind("notice", 0.30, 80, False, 700, 180, 0.6, 0.0, 1.0),
-            Kind("check", 0.35, 20, False, 500, 40, 1.0, 0.01, 1.0),
+            RequestKind("dossier", 0.35, 200, True, 1600, 900, 0.7, 0.03, 1.5),
+            RequestKind("notice", 0.30, 80, False, 700, 180, 0.6, 0.0, 1.0),
+            RequestKind("check", 0.35, 20, False, 500, 40, 1.0, 0.01, 1.0),
         ),
         (0.5, 0.4, 0.1),
     ),
@@ -76,9 +76,9 @@
         ("hafnar", "hofda", "vellir"),
         7,
         (
-            Kind("itinerary", 0.40, 150, True, 900, 1200, 0.8, 0.04, 0.7),
-            Kind("question", 0.45, 60, True, 400, 90, 0.9, 0.01, 1.4),
-            Kind("summary", 0.15, 40, False, 1500, 250, 0.5, 0.0, 1.0),
+            RequestKind("itinerary", 0.40, 150, True, 900, 1200, 0.8, 0.04, 0.7),
+            RequestKind("question", 0.45, 60, True, 400, 90, 0.9, 0.01, 1.4),
+            RequestKind("summary", 0.15, 40, False, 1500, 250, 0.5, 0.0, 1.0),
         ),
         (0.2, 0.1, 0.7),
     ),
@@ -88,7 +88,7 @@
 MAX_BATCH = 64
 STEP_BASE_S = 0.02
 STEP_PER_SEQUENCE_S = 0.0004
-PREFILL_PER_S = 20_000
+PREFILL_TOKENS_PER_S = 20_000
 
 app = App(help="Make a trace and its engines file.")
 
@@ -126,26 +126,28 @@
     suffix += f"-{few_engines}e" if few_engines else ""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{site}-{load:g}-{seed}{suffix}.jsonl"
-    lines = draw(spec, load, seconds, random.Random(f"{site}-{load:g}-{seed}-{seconds:g}"))
+    lines = draw_requests(spec, load, seconds, random.Random(f"{site}-{load:g}-{seed}-{seconds:g}"))
     path.write_text("".join(json.dumps(line) + "\n" for line in lines))
-    (folder / f"{site}{suffix}.ini").write_text(engines_file(spec, seconds))
+    (folder / f"{site}{suffix}.ini").write_text(format_engines_file(spec, seconds))
     print(f"{path}: {len(lines)} requests", file=sys.stderr)
 
 
-def draw(spec: SiteSpec, load: float, day_s: float, rng: random.Random) -> list[dict]:
+def draw_requests(spec: SiteSpec, load: float, day_s: float, rng: random.Random) -> list[dict]:
     """Draw a day's requests in the order of their times."""
-    rate = load * capacity_tokens_per_s(spec) / mean_output(spec) / _mean_shape()
+    rate = load * capacity_tokens_per_s(spec) / mean_output(spec) / _mean_load_factor()
     lines = []
     at_s = 0.0
-    peak = 1.5 * rate * BURST_FACTOR
+    max_rate = 1.5 * rate * BURST_FACTOR
     while True:
-        at_s += rng.expovariate(peak)
+        at_s += rng.expovariate(max_rate)
         if at_s >= day_s:
             return lines
-        part = at_s / day_s
-        account = _account(part, rng)
-        if rng.random() * peak < rate * _shape(part) * _burst(part, account):
-            lines.append(_line(spec, at_s, part, account, rng))
+        day_share = at_s / day_s
+        account = _draw_account(day_share, rng)
+        if rng.random() * max_rate < rate * _load_factor(day_share) * _burst_factor(
+            day_share, account
+        ):
+            lines.append(_draw_line(spec, at_s, day_share, account, rng))
 
 
 def capacity_tokens_per_s(spec: SiteSpec) -> float:
@@ -154,13 +156,13 @@
     The mean size is taken by the time that sequences spend, not by their number.
     """
     rng = random.Random("capacity")
-    held = output = 0.0
+    token_time = output = 0.0
     for _ in range(20_000):
-        kind = rng.choices(spec.kinds, [one.share for one in spec.kinds])[0]
-        length = _length(kind, 0.25 + 0.5 * rng.random(), rng)
-        held += length * (kind.prompt + length / 2)
+        kind = rng.choices(spec.kinds, [one.request_share for one in spec.kinds])[0]
+        length = _draw_length(kind, 0.25 + 0.5 * rng.random(), rng)
+        token_time += length * (kind.prompt_tokens + length / 2)
         output += length
-    batch = min(MAX_BATCH, KV_CAPACITY / (held / output))
+    batch = min(MAX_BATCH, KV_CAPACITY / (token_time / output))
     return spec.engines * batch / (STEP_BASE_S + STEP_PER_SEQUENCE_S * batch)
 
 
@@ -169,61 +171,66 @@
     rng = random.Random("mean")
     total = 0.0
     for _ in range(20_000):
-        kind = rng.choices(spec.kinds, [one.share for one in spec.kinds])[0]
-        total += _length(kind, rng.random(), rng)
+        kind = rng.choices(spec.kinds, [one.request_share for one in spec.kinds])[0]
+        total += _draw_length(kind, rng.random(), rng)
     return total / 20_000
 
 
-def _shape(part: float) -> float:
-    return 1 + 0.5 * math.sin(2 * math.pi * (part - 0.25))
+def _load_factor(day_share: float) -> float:
+    return 1 + 0.5 * math.sin(2 * math.pi * (day_share - 0.25))
 
 
-def _mean_shape() -> float:
-    parts = [number / 1000 for number in range(1000)]
-    burst = [0.4 * _burst(part, 0) + 0.6 for part in parts]
-    return sum(_shape(part) * more for part, more in zip(parts, burst, strict=True)) / 1000
+def _mean_load_factor() -> float:
+    day_shares = [number / 1000 for number in range(1000)]
+    burst_factors = [0.4 * _burst_factor(part, 0) + 0.6 for part in day_shares]
+    return (
+        sum(_load_factor(part) * more for part, more in zip(day_shares, burst_factors, strict=True))
+        / 1000
+    )
 
 
-def _account(part: float, rng: random.Random) -> int:
+def _draw_account(day_share: float, rng: random.Random) -> int:
     if rng.random() < 0.4:
         return 0
     return rng.randrange(1, ACCOUNTS)
 
 
-def _burst(part: float, account: int) -> float:
-    return BURST_FACTOR if account == 0 and BURST[0] <= part < BURST[1] else 1.0
+def _burst_factor(day_share: float, account: int) -> float:
+    return BURST_FACTOR if account == 0 and BURST_SHARES[0] <= day_share < BURST_SHARES[1] else 1.0
 
 
-def _line(spec: SiteSpec, at_s: float, part: float, account: int, rng: random.Random) -> dict:
-    kind = rng.choices(spec.kinds, [one.share for one in spec.kinds])[0]
-    prompt = max(16, int(kind.prompt * rng.lognormvariate(0, 0.3)))
+def _draw_line(
+    spec: SiteSpec, at_s: float, day_share: float, account: int, rng: random.Random
+) -> dict:
+    kind = rng.choices(spec.kinds, [one.request_share for one in spec.kinds])[0]
+    prompt = max(16, int(kind.prompt_tokens * rng.lognormvariate(0, 0.3)))
     return {
         "at_s": round(at_s, 4),
         "account": f"account-{account}",
         "service": spec.service,
         "model": spec.model,
         "prompt_tokens": prompt,
-        "output_tokens": _length(kind, part, rng),
+        "output_tokens": _draw_length(kind, day_share, rng),
         "prefix": f"{kind.name}-{account}",
         "value": kind.value,
         "stream": kind.stream,
     }
 
 
-def _length(kind: Kind, part: float, rng: random.Random) -> int:
-    median = kind.median * (kind.after_noon if part >= NOON else 1.0)
-    if rng.random() < kind.tail:
+def _draw_length(kind: RequestKind, day_share: float, rng: random.Random) -> int:
+    median = kind.median_tokens * (kind.afternoon_factor if day_share >= NOON else 1.0)
+    if rng.random() < kind.tail_share:
         length = 2 * median * rng.paretovariate(1.1)
     else:
         length = rng.lognormvariate(math.log(median), kind.sigma)
-    return int(min(LONGEST_OUTPUT, max(2, length)))
+    return int(min(MAX_OUTPUT, max(2, length)))
 
 
-def engines_file(spec: SiteSpec, day_s: float) -> str:
+def format_engines_file(spec: SiteSpec, day_s: float) -> str:
     """Give the engines file of a site; the first engine is reclaimed at the peak."""
     stall, preemptions, tail = spec.weights
-    parts = [
-        f"[service.{spec.service}]\nstart_deadline_s = 10\nmax_output_tokens = {LONGEST_OUTPUT}\n"
+    sections = [
+        f"[service.{spec.service}]\nstart_deadline_s = 10\nmax_output_tokens = {MAX_OUTPUT}\n"
         f"stall = {stall}\npreemptions = {preemptions}\ntail = {tail}\n"
     ]
     for number in range(spec.engines):
@@ -236,14 +243,14 @@
             f"max_batch = {MAX_BATCH}",
             f"step_base_s = {STEP_BASE_S}",
             f"step_per_sequence_s = {STEP_PER_SEQUENCE_S}",
-            f"prefill_tokens_per_s = {PREFILL_PER_S}",
+            f"prefill_tokens_per_s = {PREFILL_TOKENS_PER_S}",
         ]
         if number == 0 and spec.engines > 1:
-            rows.append(f"reclaimed_at_s = {RECLAIMED_AT * day_s:g}")
+            rows.append(f"reclaimed_at_s = {RECLAIMED_AT_SHARE * day_s:g}")
             rows.append("notice_s = 2")
-            rows.append(f"back_at_s = {BACK_AT * day_s:g}")
-        parts.append("\n".join(rows) + "\n")
-    return "\n".join(parts)
+            rows.append(f"back_at_s = {BACK_AT_SHARE * day_s:g}")
+        sections.append("\n".join(rows) + "\n")
+    return "\n".join(sections)
 
 
 if __name__ == "__main__":
--- a/scripts/measure_idle.py
+++ b/scripts/measure_idle.py
@@ -13,7 +13,7 @@
 from path_site import PathDeployment, open_path_deployment, print_figure
 
 ENGINES = (2, 7, 20)
-SETTLE_S = 8.0
+WARM_UP_S = 8.0
 MEASURE_S = 20.0
 STEP_S = 0.05
 NET = os.environ.get("DEMO_NET", "127.36")
@@ -22,18 +22,18 @@
 async def main() -> None:
     """Run the measurement."""
     for engines in [int(text) for text in sys.argv[1:]] or ENGINES:
-        async with open_path_deployment(NET, engines, STEP_S) as site:
-            await trio.sleep(SETTLE_S)
-            await _measure(site, engines)
+        async with open_path_deployment(NET, engines, STEP_S) as deployment:
+            await trio.sleep(WARM_UP_S)
+            await _measure(deployment, engines)
 
 
-async def _measure(site: PathDeployment, engines: int) -> None:
+async def _measure(deployment: PathDeployment, engines: int) -> None:
     async with httpx.AsyncClient(trust_env=False) as client:
-        lists, reports = await _readings(client, site)
-        began_s, cpu_s = trio.current_time(), site.entry_cpu_s()
+        lists, reports = await _count_readings(client, deployment)
+        started_s, cpu_s = trio.current_time(), deployment.entry_cpu_s()
         await trio.sleep(MEASURE_S)
-        cpu_s, took_s = site.entry_cpu_s() - cpu_s, trio.current_time() - began_s
-        lists_after, reports_after = await _readings(client, site)
+        cpu_s, took_s = deployment.entry_cpu_s() - cpu_s, trio.current_time() - started_s
+        lists_after, reports_after = await _count_readings(client, deployment)
     print_figure(
         "idle",
         engines=engines,
@@ -43,11 +43,11 @@
     )
 
 
-async def _readings(client: httpx.AsyncClient, site: PathDeployment) -> tuple[int, int]:
+async def _count_readings(client: httpx.AsyncClient, deployment: PathDeployment) -> tuple[int, int]:
     """Count readings of the list and of all load reports so far."""
     calls = (await client.get(f"http://{NET}.0.10:9000/calls")).json()
     reports = 0
-    for url in site.engine_urls:
+    for url in deployment.engine_urls:
         reports += (await client.get(f"{url}/readings")).json().get("load", 0)
     return calls["list_reads"], reports
 
--- a/scripts/measure_lengths.py
+++ b/scripts/measure_lengths.py
@@ -8,29 +8,29 @@
 import json
 import random
 
-from make_trace import DAY_S, SITES, draw
+from make_trace import DAY_S, SITES, draw_requests
 
 from egretstack.ids import AccountId, ModelName, ServiceName
 from egretstack.lengths import LengthKey, LengthModel
 
 SEEDS = (11, 12, 13)
-SHARES = (0.5, 0.9, 0.99)
-PASSED = (0, 128, 1024)
+QUANTILES = (0.5, 0.9, 0.99)
+GENERATED_TOKENS = (0, 128, 1024)
 STEP_S = 0.025
 
 
 def main() -> None:
     """Print the share of sessions that each quantile held."""
     for site, spec in SITES.items():
-        for drift in ("before noon", "after noon"):
-            asked = [row for seed in SEEDS for row in _asked(spec, seed, drift)]
-            for share in SHARES:
-                for passed in PASSED:
-                    held = [one for s, p, one in asked if s == share and p == passed]
+        for period in ("before noon", "after noon"):
+            rows = [row for seed in SEEDS for row in _replay_quantiles(spec, seed, period)]
+            for share in QUANTILES:
+                for passed in GENERATED_TOKENS:
+                    held = [one for s, p, one in rows if s == share and p == passed]
                     line = {
                         "figure": "length_quantile_holds",
                         "site": site,
-                        "sessions": drift,
+                        "sessions": period,
                         "quantile": share,
                         "generated": passed,
                         "count": len(held),
@@ -39,17 +39,17 @@
                     print(json.dumps(line))
 
 
-def _asked(spec, seed: int, drift: str) -> list[tuple[float, int, bool]]:
-    lines = draw(spec, 1.0, DAY_S, random.Random(f"lengths-{seed}"))
+def _replay_quantiles(spec, seed: int, period: str) -> list[tuple[float, int, bool]]:
+    lines = draw_requests(spec, 1.0, DAY_S, random.Random(f"lengths-{seed}"))
     model = LengthModel()
     events = []
     for number, line in enumerate(lines):
         length = line["output_tokens"]
-        for passed in PASSED:
+        for passed in GENERATED_TOKENS:
             if length > passed:
                 events.append((line["at_s"] + passed * STEP_S, 0, number, passed))
         events.append((line["at_s"] + length * STEP_S, 1, number, length))
-    seen = dict.fromkeys(range(len(lines)), 0)
+    recorded_tokens = dict.fromkeys(range(len(lines)), 0)
     rows = []
     for _, ended, number, tokens in sorted(events):
         line = lines[number]
@@ -60,13 +60,13 @@
             line["prefix"],
         )
         if ended:
-            model.finished(key, seen[number], tokens)
+            model.finished(key, recorded_tokens[number], tokens)
             continue
-        model.progressed(key, seen[number], tokens)
-        seen[number] = tokens
-        if (line["at_s"] >= DAY_S / 2) == (drift == "after noon"):
+        model.progressed(key, recorded_tokens[number], tokens)
+        recorded_tokens[number] = tokens
+        if (line["at_s"] >= DAY_S / 2) == (period == "after noon"):
             curve = model.curve(key)
-            for share in SHARES:
+            for share in QUANTILES:
                 held = line["output_tokens"] <= curve.quantile(share, tokens)
                 rows.append((share, tokens, held))
     return rows
--- a/scripts/measure_path.py
+++ b/scripts/measure_path.py
@@ -25,23 +25,23 @@
 
 def main(*streams: int, net: str = NET) -> None:
     """Measure at each number of streams. `net` is the first two numbers of every address."""
-    trio.run(partial(_measure, streams or STREAMS, net))
+    trio.run(partial(_measure_streams, streams or STREAMS, net))
 
 
-async def _measure(wanted: tuple[int, ...], net: str) -> None:
-    async with open_path_deployment(net, ENGINES, STEP_S) as site:
-        for streams in wanted:
-            direct = await _load(site.engine_urls, streams, site.key)
-            cpu_s = site.entry_cpu_s()
-            through = await _load([site.entry_url], streams, site.key)
-            cpu_s = site.entry_cpu_s() - cpu_s
-            _print(streams, direct, through, cpu_s)
+async def _measure_streams(stream_counts: tuple[int, ...], net: str) -> None:
+    async with open_path_deployment(net, ENGINES, STEP_S) as deployment:
+        for streams in stream_counts:
+            direct = await _run_load(deployment.engine_urls, streams, deployment.key)
+            cpu_s = deployment.entry_cpu_s()
+            through = await _run_load([deployment.entry_url], streams, deployment.key)
+            cpu_s = deployment.entry_cpu_s() - cpu_s
+            _print_row(streams, direct, through, cpu_s)
 
 
-async def _load(urls: list[str], streams: int, key: str) -> dict[str, object]:
+async def _run_load(urls: list[str], streams: int, key: str) -> dict[str, object]:
     """Share the streams out over client processes and join what they saw."""
     clients = min(CLIENTS, streams)
-    running = []
+    processes = []
     for number in range(clients):
         share = streams // clients + (1 if number < streams % clients else 0)
         url = urls[number % len(urls)]
@@ -51,10 +51,10 @@
         )
         process.stdin.write(key + "\n")
         process.stdin.flush()
-        running.append(process)
-    while any(process.poll() is None for process in running):
+        processes.append(process)
+    while any(process.poll() is None for process in processes):
         await trio.sleep(0.05)
-    rows = [json.loads(process.stdout.read()) for process in running]
+    rows = [json.loads(process.stdout.read()) for process in processes]
     return {
         "first_s": sorted(value for row in rows for value in row["first_s"]),
         "tokens": sum(row["tokens"] for row in rows),
@@ -62,16 +62,16 @@
     }
 
 
-def _print(streams: int, direct: dict, through: dict, cpu_s: float) -> None:
+def _print_row(streams: int, direct: dict, through: dict, cpu_s: float) -> None:
     expected = streams * TOKENS
     print_figure(
         "path",
         streams=streams,
         complete=direct["tokens"] == expected and through["tokens"] == expected,
-        first_token_p50_ms=_ms(through, 0.5),
-        first_token_p50_ratio=_ratio(_ms(through, 0.5), _ms(direct, 0.5)),
-        first_token_p95_ms=_ms(through, 0.95),
-        first_token_p95_ratio=_ratio(_ms(through, 0.95), _ms(direct, 0.95)),
+        first_token_p50_ms=_quantile_ms(through, 0.5),
+        first_token_p50_ratio=_ratio(_quantile_ms(through, 0.5), _quantile_ms(direct, 0.5)),
+        first_token_p95_ms=_quantile_ms(through, 0.95),
+        first_token_p95_ratio=_ratio(_quantile_ms(through, 0.95), _quantile_ms(direct, 0.95)),
         tokens_per_s=round(through["tokens"] / through["took_s"]),
         tokens_per_s_ratio=_ratio(
             through["tokens"] / through["took_s"], direct["tokens"] / direct["took_s"]
@@ -80,7 +80,7 @@
     )
 
 
-def _ms(row: dict, share: float) -> float:
+def _quantile_ms(row: dict, share: float) -> float:
     values = row["first_s"]
     return round(values[min(len(values) - 1, int(share * len(values)))] * 1000, 2)
 
--- a/scripts/measure_policy.py
+++ b/scripts/measure_policy.py
@@ -20,7 +20,7 @@
 from egretstack.policy import DEFAULT_POLICY, ORACLE, POLICIES, Feature
 from egretstack.replay import read_deployment, read_trace, replay
 
-HELD_APART = (11, 12, 13)
+HELD_OUT_SEEDS = (11, 12, 13)
 """Seeds that no constant was chosen on."""
 LOADS = (1.0, 1.4)
 SECONDS = 300.0
@@ -56,22 +56,22 @@
     load: float
     seed: int
     policy: str
-    left_out: tuple[Feature, ...] = ()
+    disabled_features: tuple[Feature, ...] = ()
     seconds: float = SECONDS
 
     def run(self) -> dict[str, float]:
         """Replay and give the figures."""
         suffix = f"-{self.seconds:g}s"
-        site = read_deployment(self.folder / f"{self.site}{suffix}.ini")
+        deployment = read_deployment(self.folder / f"{self.site}{suffix}.ini")
         name = f"{self.site}-{self.load:g}-{self.seed}{suffix}.jsonl"
-        lines = read_trace(self.folder / name, site)
+        lines = read_trace(self.folder / name, deployment)
         figures = replay(
             lines,
-            site,
+            deployment,
             self.policy,
             entries=ENTRIES,
             seed=self.seed,
-            disabled_features=self.left_out,
+            disabled_features=self.disabled_features,
         )
         return asdict(figures)
 
@@ -80,7 +80,7 @@
 def measure(
     *,
     ablations: bool = False,
-    seeds: tuple[int, ...] = HELD_APART,
+    seeds: tuple[int, ...] = HELD_OUT_SEEDS,
     loads: tuple[float, ...] = LOADS,
     seconds: float = SECONDS,
     workers: Annotated[int, Parameter(name="--workers")] = 2,
@@ -106,7 +106,7 @@
             for load in loads:
                 for seed in seeds:
                     make(site, load, seed, seconds=seconds, folder=folder)
-        variants = _ablations() if ablations else [(one, ()) for one in (*POLICIES, ORACLE)]
+        variants = _ablation_variants() if ablations else [(one, ()) for one in (*POLICIES, ORACLE)]
         groups = [(site, load) for site in SITES for load in loads]
         jobs = [
             Job(folder, site, load, seed, policy, left_out, seconds)
@@ -123,10 +123,10 @@
             )
             for policy, left_out in variants
         }
-        _print_ablations(site, load, means) if ablations else _print(site, load, means)
+        _print_ablations(site, load, means) if ablations else _print_comparison(site, load, means)
 
 
-def _ablations() -> list[tuple[str, tuple[Feature, ...]]]:
+def _ablation_variants() -> list[tuple[str, tuple[Feature, ...]]]:
     return [(DEFAULT_POLICY, ())] + [(DEFAULT_POLICY, (part,)) for part in Feature]
 
 
@@ -134,13 +134,13 @@
     return {name: sum(row[name] for row in rows) / len(rows) for name in FIGURES}
 
 
-def _print(site: str, load: float, means: dict) -> None:
+def _print_comparison(site: str, load: float, means: dict) -> None:
     baselines = {
         policy: figures
         for (policy, _), figures in means.items()
         if policy not in (DEFAULT_POLICY, ORACLE)
     }
-    richest = max(baselines, key=lambda policy: baselines[policy]["value_share"])
+    best_by_value = max(baselines, key=lambda policy: baselines[policy]["value_share"])
     own = means[DEFAULT_POLICY, ()]
     oracle = means[ORACLE, ()]
     for name, better in FIGURES.items():
@@ -153,19 +153,19 @@
                 policy: round(figures[name], 4) for (policy, _), figures in means.items()
             },
             "to_best_baseline": _ratio(own[name], best),
-            "to_richest_baseline": _ratio(own[name], baselines[richest][name]),
-            "richest_baseline": richest,
+            "to_richest_baseline": _ratio(own[name], baselines[best_by_value][name]),
+            "richest_baseline": best_by_value,
             "to_oracle": _ratio(own[name], oracle[name]),
         }
         print(json.dumps(line), flush=True)
 
 
 def _print_ablations(site: str, load: float, means: dict) -> None:
-    for (_, left_out), figures in means.items():
+    for (_, disabled_features), figures in means.items():
         line = {
             "site": site,
             "load": load,
-            "without": [part.value for part in left_out],
+            "without": [part.value for part in disabled_features],
             **{name: round(value, 4) for name, value in figures.items()},
         }
         print(json.dumps(line), flush=True)
@@ -176,5 +176,5 @@
 
 
 if __name__ == "__main__":
-    print(f"seeds held apart: {HELD_APART}", file=sys.stderr)
+    print(f"seeds held apart: {HELD_OUT_SEEDS}", file=sys.stderr)
     app()
--- a/scripts/path_site.py
+++ b/scripts/path_site.py
@@ -20,8 +20,8 @@
 from egretstack.operators import new_account_key, new_session_key
 
 BIN = Path(sys.executable).parent
-START_LIMIT_S = 30.0
-STOP_LIMIT_S = 10.0
+START_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 10.0
 ANSWER_TTL_S = 1
 MODEL = "story"
 _CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
@@ -86,48 +86,48 @@
     net: str, engines: int, step_s: float
 ) -> AsyncIterator[PathDeployment]:
     """Run the site for the length of the block."""
-    started: list[subprocess.Popen] = []
+    processes: list[subprocess.Popen] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
-            yield await _start(Path(folder), net, engines, step_s, started)
+            yield await _start(Path(folder), net, engines, step_s, processes)
         finally:
-            await _stop(started)
+            await _stop(processes)
 
 
 async def _start(
-    folder: Path, net: str, engines: int, step_s: float, started: list[subprocess.Popen]
+    folder: Path, net: str, engines: int, step_s: float, processes: list[subprocess.Popen]
 ) -> PathDeployment:
     platform = f"http://{net}.0.10:9000"
     hosts = [f"{net}.1.{number + 1}" for number in range(engines)]
-    started.append(_run("-m", "standins", "platform", f"{net}.0.10:9000"))
+    processes.append(_start_process("-m", "standins", "platform", f"{net}.0.10:9000"))
     for host in hosts:
-        started.append(
-            _run(
+        processes.append(
+            _start_process(
                 *("-m", "standins", "engine", f"{host}:8000", MODEL, "--step-s", str(step_s)),
                 *("--kv-tokens", "10000000", "--max-batch", "1000"),
             )
         )
     async with httpx.AsyncClient(trust_env=False) as client:
-        await _wait(client, f"{platform}/calls")
+        await _wait_until_ready(client, f"{platform}/calls")
         for host in hosts:
-            await _wait(client, f"http://{host}:8000/metrics")
-        for name, slice_body in _lists(net, hosts).items():
+            await _wait_until_ready(client, f"http://{host}:8000/metrics")
+        for name, slice_body in _endpoint_slices(net, hosts).items():
             await client.put(f"{platform}/instances/{name}", json=slice_body)
-        key = _configure(folder, platform)
+        key = _apply_configuration(folder, platform)
         (folder / "session.keys").write_text(new_session_key() + "\n")
         (folder / "entry.ini").write_text(_ENTRY.format(net=net, life=ANSWER_TTL_S))
         entry = subprocess.Popen([BIN / "egret-entry", folder / "entry.ini"])
-        started.append(entry)
+        processes.append(entry)
         url = f"http://{net}.0.11:8080"
-        await _wait(client, f"{url}/v1/entries", {"Authorization": f"Bearer {key}"})
+        await _wait_until_ready(client, f"{url}/v1/entries", {"Authorization": f"Bearer {key}"})
     return PathDeployment(url, [f"http://{host}:8000" for host in hosts], key, entry.pid)
 
 
-async def _stop(started: list[subprocess.Popen]) -> None:
-    for process in reversed(started):
+async def _stop(processes: list[subprocess.Popen]) -> None:
+    for process in reversed(processes):
         process.terminate()
-    for process in started:
-        with trio.move_on_after(STOP_LIMIT_S, shield=True):
+    for process in processes:
+        with trio.move_on_after(STOP_TIMEOUT_S, shield=True):
             while process.poll() is None:
                 await trio.sleep(0.05)
         if process.poll() is None:
@@ -135,11 +135,11 @@
         process.wait()
 
 
-def _run(*arguments: str) -> subprocess.Popen:
+def _start_process(*arguments: str) -> subprocess.Popen:
     return subprocess.Popen([sys.executable, *arguments], stderr=subprocess.DEVNULL)
 
 
-def _configure(folder: Path, platform: str) -> str:
+def _apply_configuration(folder: Path, platform: str) -> str:
     key, digest = new_account_key()
     (folder / "contract.ini").write_text(_CONTRACT.format(digest=digest))
     (folder / "service.ini").write_text(_SERVICE)
@@ -149,8 +149,10 @@
     return key
 
 
-async def _wait(client: httpx.AsyncClient, url: str, headers: dict[str, str] | None = None) -> None:
-    with trio.fail_after(START_LIMIT_S):
+async def _wait_until_ready(
+    client: httpx.AsyncClient, url: str, headers: dict[str, str] | None = None
+) -> None:
+    with trio.fail_after(START_TIMEOUT_S):
         while True:
             try:
                 if (await client.get(url, headers=headers)).is_success:
@@ -160,15 +162,17 @@
             await trio.sleep(0.1)
 
 
-def _lists(net: str, hosts: list[str]) -> dict[str, dict]:
+def _endpoint_slices(net: str, hosts: list[str]) -> dict[str, dict]:
     entry_ports = {"caller": 8080, "operator": 9100, "peer": 9200}
     return {
-        "egret-entry": _slice("egret-entry", {"entry-a": f"{net}.0.11"}, entry_ports),
-        "llm": _slice("llm", {f"engine-{n}": host for n, host in enumerate(hosts)}, {"http": 8000}),
+        "egret-entry": _endpoint_slice("egret-entry", {"entry-a": f"{net}.0.11"}, entry_ports),
+        "llm": _endpoint_slice(
+            "llm", {f"engine-{n}": host for n, host in enumerate(hosts)}, {"http": 8000}
+        ),
     }
 
 
-def _slice(name: str, host_by_id: dict[str, str], ports: dict[str, int]) -> dict:
+def _endpoint_slice(name: str, host_by_id: dict[str, str], ports: dict[str, int]) -> dict:
     return {
         "metadata": {"name": name, "labels": {"kubernetes.io/service-name": name}},
         "ports": [{"name": port, "port": number} for port, number in ports.items()],
--- a/scripts/site_variants.py
+++ b/scripts/site_variants.py
@@ -15,15 +15,15 @@
 
 app = App(help=__doc__)
 
-BOUNDS = ("drain_ms", "config_ms", "grace_s", "touch_ms", "ack_ms")
+TIME_BOUNDS = ("drain_ms", "config_ms", "grace_s", "touch_ms", "ack_ms")
 Edit = Callable[[str], str]
 
 
-class NothingChanged(Exception):
+class NothingReplaced(Exception):
     """A variant left the site as it was: the file names things otherwise than expected."""
 
 
-def scaled(names: tuple[str, ...], factor: float) -> Edit:
+def scale(names: tuple[str, ...], factor: float) -> Edit:
     """Multiply each of some figures, wherever they stand."""
     pattern = re.compile(rf"\b({'|'.join(names)}) = (\d+(?:\.\d+)?)")
 
@@ -35,27 +35,27 @@
     return lambda text: pattern.sub(times, text)
 
 
-def switched_off(*names: str) -> Edit:
+def switch_off(*names: str) -> Edit:
     """Set some switches to false."""
     pattern = re.compile(rf"\b({'|'.join(names)}) = true")
     return lambda text: pattern.sub(r"\1 = false", text)
 
 
-def one_machine_a_zone(text: str) -> str:
+def limit_to_one_machine_per_zone(text: str) -> str:
     """Leave one machine in each zone, on the site and on each of its days."""
     return re.sub(r'(class = "front".*?count = )\d+', r"\g<1>1", text)
 
 
 EDIT_BY_NAME: dict[str, Edit] = {
-    "bounds-halved": scaled(BOUNDS, 0.5),
-    "bounds-doubled": scaled(BOUNDS, 2.0),
-    "no-load-told": switched_off("load_header"),
-    "no-copies": switched_off("backups", "moves"),
-    "engines-half": scaled(("kv_tokens",), 0.5),
-    "zones-far": scaled(("cross_zone_ms", "client_ms"), 10.0),
-    "store-tight": scaled(("writes_per_s", "reads_per_s"), 0.25),
-    "machines-few": one_machine_a_zone,
-    "machines-weak": scaled(("cpu_share", "memory_mb"), 0.6),
+    "bounds-halved": scale(TIME_BOUNDS, 0.5),
+    "bounds-doubled": scale(TIME_BOUNDS, 2.0),
+    "no-load-told": switch_off("load_header"),
+    "no-copies": switch_off("backups", "moves"),
+    "engines-half": scale(("kv_tokens",), 0.5),
+    "zones-far": scale(("cross_zone_ms", "client_ms"), 10.0),
+    "store-tight": scale(("writes_per_s", "reads_per_s"), 0.25),
+    "machines-few": limit_to_one_machine_per_zone,
+    "machines-weak": scale(("cpu_share", "memory_mb"), 0.6),
 }
 
 
@@ -71,14 +71,14 @@
         Folder for the variants; made if need be.
     """
     out.mkdir(parents=True, exist_ok=True)
-    for beside in site.parent.iterdir():
-        if beside.is_file() and beside.suffix != ".toml":
-            shutil.copyfile(beside, out / beside.name)
+    for sibling in site.parent.iterdir():
+        if sibling.is_file() and sibling.suffix != ".toml":
+            shutil.copyfile(sibling, out / sibling.name)
     text = site.read_text()
     for name, edit in EDIT_BY_NAME.items():
         changed = edit(text)
         if changed == text:
-            raise NothingChanged(f"{name}: {site}")
+            raise NothingReplaced(f"{name}: {site}")
         path = out / f"{site.stem}-{name}.toml"
         path.write_text(changed)
         print(path)
--- a/scripts/slopes.py
+++ b/scripts/slopes.py
@@ -14,50 +14,50 @@
 
 SCRIPTS = Path(__file__).parent
 ROOT = SCRIPTS.parent
-KEPT = ROOT / "docs" / "capacity-slopes.jsonl"
+SLOPES_FILE = ROOT / "docs" / "capacity-slopes.jsonl"
 PREFIX = "slopes_"
-LIMIT_S = 600.0
+TIMEOUT_S = 600.0
 
 
 def main() -> int:
     """Run and give the exit code: 1 if any script failed."""
-    wanted = sys.argv[1:] or _known()
-    fresh: dict[str, list[dict]] = {}
+    names = sys.argv[1:] or _known_names()
+    new_rows: dict[str, list[dict]] = {}
     failed = []
-    for name in wanted:
-        rows, whole = _run(name)
-        if not whole:
+    for name in names:
+        rows, succeeded = _run_script(name)
+        if not succeeded:
             failed.append(name)
         if rows:
-            fresh[PREFIX + name] = rows
-    rows_by_script = _kept_rows() | fresh
-    known = {PREFIX + name for name in _known()}
+            new_rows[PREFIX + name] = rows
+    rows_by_script = _read_stored_rows() | new_rows
+    scripts = {PREFIX + name for name in _known_names()}
     lines = [
         json.dumps(row)
         for script, rows in sorted(rows_by_script.items())
-        if script in known
+        if script in scripts
         for row in rows
     ]
-    KEPT.write_text("\n".join(lines) + "\n")
+    SLOPES_FILE.write_text("\n".join(lines) + "\n")
     if failed:
         print(f"failed or cut short: {', '.join(failed)}", file=sys.stderr)
     return 1 if failed else 0
 
 
-def _known() -> list[str]:
+def _known_names() -> list[str]:
     return sorted(path.stem.removeprefix(PREFIX) for path in SCRIPTS.glob(f"{PREFIX}*.py"))
 
 
-def _kept_rows() -> dict[str, list[dict]]:
+def _read_stored_rows() -> dict[str, list[dict]]:
     rows_by_script: dict[str, list[dict]] = {}
-    if KEPT.exists():
-        for line in KEPT.read_text().splitlines():
+    if SLOPES_FILE.exists():
+        for line in SLOPES_FILE.read_text().splitlines():
             row = json.loads(line)
             rows_by_script.setdefault(row["script"], []).append(row)
     return rows_by_script
 
 
-def _run(name: str) -> tuple[list[dict], bool]:
+def _run_script(name: str) -> tuple[list[dict], bool]:
     """Run one script and show its lines as they come; also tell whether it ended well."""
     environment = os.environ | {"PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1"}
     command = [sys.executable, str(SCRIPTS / f"{PREFIX}{name}.py")]
@@ -65,13 +65,13 @@
     with subprocess.Popen(
         command, cwd=ROOT, env=environment, stdout=subprocess.PIPE, text=True
     ) as process:
-        stopper = threading.Timer(LIMIT_S, process.kill)
-        stopper.start()
+        timer = threading.Timer(TIMEOUT_S, process.kill)
+        timer.start()
         for line in process.stdout:
             if line.startswith("{"):
                 rows.append({"script": PREFIX + name} | json.loads(line))
                 print(line, end="", flush=True)
-        stopper.cancel()
+        timer.cancel()
     return rows, process.returncode == 0
 
 
--- a/scripts/slopes_accounts.py
+++ b/scripts/slopes_accounts.py
@@ -30,7 +30,7 @@
 DELTAS = ROUNDS * REPEATS
 
 
-def snapshot(accounts: int, revision: int = 1) -> Snapshot:
+def make_snapshot(accounts: int, revision: int = 1) -> Snapshot:
     """Make a configuration of that many contracts, of a usual length each."""
     sections_by_part = {
         f"contract.account-{number}": {
@@ -50,40 +50,40 @@
     return Snapshot(head, sections_by_part)
 
 
-def configured(accounts: int) -> ConfigurationState:
+def make_state(accounts: int) -> ConfigurationState:
     """Put such a configuration in force."""
     state = ConfigurationState()
-    state.offer(snapshot(accounts))
+    state.offer(make_snapshot(accounts))
     return state
 
 
-def apply(whole: Snapshot) -> None:
+def apply_snapshot(snapshot: Snapshot) -> None:
     """Put a configuration in force on a process that has none."""
-    ConfigurationState().offer(whole)
+    ConfigurationState().offer(snapshot)
 
 
 def snapshot_bytes(accounts: int) -> int:
     """Give the length of all pieces in which a starting instance takes the configuration."""
-    whole = snapshot(accounts)
+    snapshot = make_snapshot(accounts)
     total = 0
     after = ""
     while True:
-        told = piece(whole, after)
-        total += len(encode(told))
-        if not told.more:
+        message = piece(snapshot, after)
+        total += len(encode(message))
+        if not message.more:
             return total
-        after = max(told.sections_by_part)
+        after = max(message.sections_by_part)
 
 
-def change_of_one(accounts: int) -> Delta:
+def make_delta(accounts: int) -> Delta:
     """Make the change of one contract in a configuration of that many."""
-    whole = snapshot(accounts)
+    snapshot = make_snapshot(accounts)
     part = "contract.account-0"
-    sections = whole.sections_by_part[part] | {"limits": {"burst": "200"}}
-    digests = whole.head.digest_by_part | {part: part_digest(sections)}
+    sections = snapshot.sections_by_part[part] | {"limits": {"burst": "200"}}
+    digests = snapshot.head.digest_by_part | {part: part_digest(sections)}
     return Delta(
-        whole.head.revision,
-        whole.head.change_id,
+        snapshot.head.revision,
+        snapshot.head.change_id,
         (ChangeId("fedcba9876543210"),),
         head_digest(digests),
         {part: sections},
@@ -96,21 +96,23 @@
         raise RuntimeError("the delta was not applied")
 
 
-def deltas_of(accounts: int, count: int) -> Iterator[Delta]:
+def make_deltas(accounts: int, count: int) -> Iterator[Delta]:
     """Make deltas that follow each other."""
-    base = snapshot(accounts).head
+    base = make_snapshot(accounts).head
     digests = dict(base.digest_by_part)
     part = "contract.account-0"
     revision, change = base.revision, base.change_id
     for number in range(count):
-        sections = snapshot(1).sections_by_part[part] | {"limits": {"burst": str(200 + number)}}
+        sections = make_snapshot(1).sections_by_part[part] | {
+            "limits": {"burst": str(200 + number)}
+        }
         digests[part] = part_digest(sections)
-        following = ChangeId(f"{number:016x}")
-        yield Delta(revision, change, (following,), head_digest(digests), {part: sections})
-        revision, change = Revision(revision + 1), following
+        next_change = ChangeId(f"{number:016x}")
+        yield Delta(revision, change, (next_change,), head_digest(digests), {part: sections})
+        revision, change = Revision(revision + 1), next_change
 
 
-def measured_accounts(accounts: int) -> Metrics:
+def make_metrics(accounts: int) -> Metrics:
     """Make the metrics of an entry that served that many accounts."""
     metrics = Metrics()
     for number in range(accounts):
@@ -122,29 +124,27 @@
     return metrics
 
 
-def show_accounts() -> None:
+def print_account_slopes() -> None:
     """Measure accounts."""
     sizes = OBJECT_SIZES
-    held = {size: measure_held_bytes(lambda size=size: configured(size)) for size in sizes}
+    held = {size: measure_held_bytes(lambda size=size: make_state(size)) for size in sizes}
     print_slope(fit("configuration_memory", "bytes", "account", held))
     wire = {size: snapshot_bytes(size) for size in sizes}
     print_slope(fit("configuration_snapshot_wire", "bytes", "account", wire))
-    changed = {size: len(encode(tell(change_of_one(size)))) for size in sizes}
+    changed = {size: len(encode(tell(make_delta(size)))) for size in sizes}
     print_slope(fit("configuration_change_wire", "bytes", "account", changed))
-    started = {size: measure_cpu_us(partial(apply, snapshot(size))) for size in sizes}
+    started = {size: measure_cpu_us(partial(apply_snapshot, make_snapshot(size))) for size in sizes}
     print_slope(fit("configuration_start_cpu", "us", "account", started))
     applied = {
         size: measure_cpu_us(
-            partial(apply_delta, configured(size), deltas_of(size, DELTAS)), ROUNDS
+            partial(apply_delta, make_state(size), make_deltas(size, DELTAS)), ROUNDS
         )
         for size in sizes
     }
     print_slope(fit("configuration_change_cpu", "us", "account", applied))
-    metrics = {
-        size: measure_held_bytes(lambda size=size: measured_accounts(size)) for size in sizes
-    }
+    metrics = {size: measure_held_bytes(lambda size=size: make_metrics(size)) for size in sizes}
     print_slope(fit("metrics_memory", "bytes", "account", metrics))
 
 
 if __name__ == "__main__":
-    show_accounts()
+    print_account_slopes()
--- a/scripts/slopes_configuration.py
+++ b/scripts/slopes_configuration.py
@@ -46,33 +46,33 @@
 CONTRACTS = 700
 CHANGES_A_DAY = 5100
 DAY_S = 86_400
-DELAY_S = 0.04
+LINK_DELAY_S = 0.04
 """One way between stewards, as between far regions."""
 
 SEED = 7
 IP_AND_TCP_BYTES = 52
 
 
-def contract(name: str, mark: int) -> dict[str, dict[str, str]]:
+def make_contract(name: str, mark: int) -> dict[str, dict[str, str]]:
     """Give a contract of about 1 KB."""
     digests = ",".join(f"{mark + place:064x}" for place in range(14))
     return {"contract": {"account": name, "key_sha256": digests}}
 
 
-def first_snapshot() -> Snapshot:
+def make_snapshot() -> Snapshot:
     """Give 700 contracts as revision 1."""
     names = [f"account-{number}" for number in range(CONTRACTS)]
-    sections = {f"contract.{name}": contract(name, 1) for name in names}
+    sections = {f"contract.{name}": make_contract(name, 1) for name in names}
     digests = {part: part_digest(one) for part, one in sections.items()}
     ids = tuple(ChangeId(f"{number:016x}") for number in range(256))
     return Snapshot(Head(Revision(256), ids[-1], digests, ids), sections)
 
 
-def changed(snapshot: Snapshot, number: int) -> Snapshot:
+def with_change(snapshot: Snapshot, number: int) -> Snapshot:
     """Give the next revision, with one contract changed."""
     name = f"account-{number % CONTRACTS}"
     part = f"contract.{name}"
-    sections = snapshot.sections_by_part | {part: contract(name, number + 1000)}
+    sections = snapshot.sections_by_part | {part: make_contract(name, number + 1000)}
     digests = snapshot.head.digest_by_part | {part: part_digest(sections[part])}
     change = ChangeId(f"{number + 10_000:016x}")
     recent = (*snapshot.head.recent, change)[-256:]
@@ -80,7 +80,7 @@
     return Snapshot(head, sections)
 
 
-def say(what: str, **figures: object) -> None:
+def print_figures(what: str, **figures: object) -> None:
     """Print one JSON line."""
     print(json.dumps({"what": what} | figures))
     sys.stdout.flush()
@@ -88,19 +88,21 @@
 
 def measure_bytes() -> None:
     """Say the bytes of each way to hand a change on."""
-    first = first_snapshot()
+    first = make_snapshot()
     state = ConfigurationState()
     state.offer(first)
-    state.offer(changed(first, 0))
+    state.offer(with_change(first, 0))
     delta = len(encode(tell(state.delta_since(first.head.revision, first.head.change_id))))
     snapshot = sum(len(json.dumps(one)) for one in first.sections_by_part.values())
-    before = HeadObject(first.head.revision, first.head.change_id, "0" * 16)
+    head_object = HeadObject(first.head.revision, first.head.change_id, "0" * 16)
     since = dict(list(first.head.digest_by_part.items())[:63])
-    before = replace(before, since=since, inline={"contract.account-1": contract("a", 1)})
-    head = len(json.dumps(replace(before, recent=first.head.recent).spec()))
+    head_object = replace(
+        head_object, since=since, inline={"contract.account-1": make_contract("a", 1)}
+    )
+    head = len(json.dumps(replace(head_object, recent=first.head.recent).spec()))
     manifest = len(json.dumps(first.head.digest_by_part))
     per_day = CHANGES_A_DAY / DAY_S
-    say(
+    print_figures(
         "bytes",
         delta=delta,
         news=len(encode(ConfigNews("instance-417", 5000))),
@@ -117,32 +119,36 @@
 
 def measure_cpu(rounds: int = 200) -> None:
     """Say the processor time of one change on one instance."""
-    sender, receiver, whole = (ConfigurationState() for _ in range(3))
-    snapshot = first_snapshot()
+    sender, receiver, starting = (ConfigurationState() for _ in range(3))
+    snapshot = make_snapshot()
     for state in (sender, receiver):
         state.offer(snapshot)
-    took: dict[str, list[float]] = {"make_delta": [], "apply_delta": [], "read_all_parts": []}
+    durations_by_step: dict[str, list[float]] = {
+        "make_delta": [],
+        "apply_delta": [],
+        "read_all_parts": [],
+    }
     for number in range(rounds):
         base = snapshot.head
-        snapshot = changed(snapshot, number)
+        snapshot = with_change(snapshot, number)
         sender.offer(snapshot)
         start = time.process_time()
         delta = sender.delta_since(base.revision, base.change_id)
         made = time.process_time()
         receiver.offer_delta(told_delta(tell(delta)))
         applied = time.process_time()
-        took["make_delta"].append(made - start)
-        took["apply_delta"].append(applied - made)
+        durations_by_step["make_delta"].append(made - start)
+        durations_by_step["apply_delta"].append(applied - made)
     for _ in range(5):
-        whole = ConfigurationState()
+        starting = ConfigurationState()
         start = time.process_time()
-        whole.offer(snapshot)
-        took["read_all_parts"].append(time.process_time() - start)
-    micros = {name: round(median(values) * 1e6) for name, values in took.items()}
-    say("cpu", contracts=CONTRACTS, **{f"{name}_us": one for name, one in micros.items()})
+        starting.offer(snapshot)
+        durations_by_step["read_all_parts"].append(time.process_time() - start)
+    micros = {name: round(median(values) * 1e6) for name, values in durations_by_step.items()}
+    print_figures("cpu", contracts=CONTRACTS, **{f"{name}_us": one for name, one in micros.items()})
 
 
-def members(count: int) -> list[Member]:
+def make_members(count: int) -> list[Member]:
     """Give the stewards of a fleet in ten availability zones."""
     return [
         Member(
@@ -161,7 +167,7 @@
     """Say how many news the busiest steward sends, and how deep a tree is."""
     for count in (20, 80, 420):
         for width in (2, 4, 8, 16):
-            listed = members(count)
+            listed = make_members(count)
             start = time.process_time()
             children = {}
             for one in listed:
@@ -169,11 +175,11 @@
                 fan_out.update(listed)
                 children[one.id] = [child.id for child in fan_out.children]
             cpu_us = (time.process_time() - start) / count * 1e6
-            heard, levels = {fan_out.watchers[0]}, 0
-            while len(heard) < count:
-                heard |= {child for one in heard for child in children[one]}
+            reached, levels = {fan_out.watchers[0]}, 0
+            while len(reached) < count:
+                reached |= {child for one in reached for child in children[one]}
                 levels += 1
-            say(
+            print_figures(
                 "fan_out",
                 stewards=count,
                 width=width,
@@ -187,88 +193,90 @@
 class Steward:
     """A steward's state and trees, with links that are functions with a delay."""
 
-    def __init__(self, member: Member, site: "Site", width: int) -> None:
+    def __init__(self, member: Member, fleet: "StewardFleet", width: int) -> None:
         self.id = InstanceId(member.id)
         self.state = ConfigurationState()
         self.fan_out = FanOut(self.id, width)
         self.sent_bytes = 0
         self.messages = 0
-        self._site = site
+        self._fleet = fleet
 
-    def send(self, message: object) -> None:
+    def count_message(self, message: object) -> None:
         """Count a message."""
         self.messages += 1
         self.sent_bytes += len(encode(message)) + IP_AND_TCP_BYTES
 
-    async def take(self, snapshot: Snapshot) -> None:
+    async def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Take a snapshot from the platform's report."""
         self.state.offer(snapshot)
-        self.tell_children()
+        self.notify_children()
 
-    def tell_children(self) -> None:
+    def notify_children(self) -> None:
         """Send news to the children."""
         for child in self.fan_out.children:
             news = ConfigNews(self.id, self.state.revision)
-            self.send(news)
-            self._site.nursery.start_soon(self._site.by_id[child.id].hear, self, news)
+            self.count_message(news)
+            self._fleet.nursery.start_soon(self._fleet.steward_by_id[child.id].on_news, self, news)
 
-    async def hear(self, sender: "Steward", news: ConfigNews) -> None:
+    async def on_news(self, sender: "Steward", news: ConfigNews) -> None:
         """Ask the sender of news for what changed, if it is new here."""
-        await trio.sleep(DELAY_S)
+        await trio.sleep(LINK_DELAY_S)
         if news.revision <= self.state.revision:
             return
-        ask = ConfigAsk(self.state.revision, self.state.change_id)
-        self.send(ask)
-        await trio.sleep(DELAY_S)
-        found = sender.state.delta_since(ask.revision, ask.change_id)
-        if not isinstance(found, Delta):
+        request = ConfigAsk(self.state.revision, self.state.change_id)
+        self.count_message(request)
+        await trio.sleep(LINK_DELAY_S)
+        delta = sender.state.delta_since(request.revision, request.change_id)
+        if not isinstance(delta, Delta):
             return
-        sender.send(tell(found))
-        await trio.sleep(DELAY_S)
+        sender.count_message(tell(delta))
+        await trio.sleep(LINK_DELAY_S)
         before = self.state.revision
-        self.state.offer_delta(found)
+        self.state.offer_delta(delta)
         if self.state.revision > before:
-            self.tell_children()
+            self.notify_children()
 
 
-class Site:
+class StewardFleet:
     """Stewards as objects on a mock clock."""
 
     def __init__(self, count: int, width: int, nursery: trio.Nursery) -> None:
-        listed = members(count)
+        listed = make_members(count)
         self.nursery = nursery
-        self.by_id = {one.id: Steward(one, self, width) for one in listed}
-        for one in self.by_id.values():
+        self.steward_by_id = {one.id: Steward(one, self, width) for one in listed}
+        for one in self.steward_by_id.values():
             one.fan_out.update(listed)
 
 
 async def measure_in_force(count: int, width: int, changes: int = 5) -> None:
     """Say how long a change takes to be in force, and what it costs each steward."""
     async with trio.open_nursery() as nursery:
-        site = Site(count, width, nursery)
-        snapshot = first_snapshot()
-        for one in site.by_id.values():
+        fleet = StewardFleet(count, width, nursery)
+        snapshot = make_snapshot()
+        for one in fleet.steward_by_id.values():
             one.state.offer(snapshot)
-        roots = next(iter(site.by_id.values())).fan_out.watchers
-        took = []
+        roots = next(iter(fleet.steward_by_id.values())).fan_out.watchers
+        durations_s = []
         for number in range(changes):
-            snapshot = changed(snapshot, number)
+            snapshot = with_change(snapshot, number)
             start_s = trio.current_time()
             for root in roots:
-                nursery.start_soon(site.by_id[root].take, snapshot)
-            while any(one.state.revision < snapshot.head.revision for one in site.by_id.values()):
+                nursery.start_soon(fleet.steward_by_id[root].apply_snapshot, snapshot)
+            while any(
+                one.state.revision < snapshot.head.revision for one in fleet.steward_by_id.values()
+            ):
                 await trio.sleep(0.01)
-            took.append(trio.current_time() - start_s)
+            durations_s.append(trio.current_time() - start_s)
             await trio.sleep(2)
         nursery.cancel_scope.cancel()
-    stewards = site.by_id.values()
+    stewards = fleet.steward_by_id.values()
     rate = CHANGES_A_DAY / DAY_S
-    say(
+    print_figures(
         "in_force",
         stewards=count,
         width=width,
-        one_way_ms=DELAY_S * 1000,
-        seconds=round(max(took), 2),
+        one_way_ms=LINK_DELAY_S * 1000,
+        seconds=round(max(durations_s), 2),
         bytes_a_change=round(sum(one.sent_bytes for one in stewards) / count / changes),
         bytes_a_change_of_the_busiest=round(max(one.sent_bytes for one in stewards) / changes),
         messages_a_change=round(sum(one.messages for one in stewards) / count / changes, 1),
@@ -284,7 +292,7 @@
     store.faults.delay_s = latency_s
     operators = ConfigurationStore(InProcessObjectApi(store))
     rng = random.Random(SEED)
-    took: list[float] = []
+    durations_s: list[float] = []
     refused = 0
 
     async def accept(number: int) -> None:
@@ -293,11 +301,13 @@
         part = f"contract.{name}"
         head = await operators.head()
         expected = None if head is None else head.digest_by_part.get(part)
-        change = Change(ChangeId(str(number)), {part: contract(name, number)}, {part: expected})
+        change = Change(
+            ChangeId(str(number)), {part: make_contract(name, number)}, {part: expected}
+        )
         start_s = trio.current_time()
         try:
             await operators.apply(change)
-            took.append(trio.current_time() - start_s)
+            durations_s.append(trio.current_time() - start_s)
         except (ApplyConflict, PlatformAway):
             refused += 1
 
@@ -310,14 +320,14 @@
         for (verb, kind), n in store.calls.items()
         if kind.value == "configheads" and verb in ("replace", "create")
     )
-    say(
+    print_figures(
         "head_update",
         changes_a_day=per_day,
         latency_ms=latency_s * 1000,
-        accepted=len(took),
+        accepted=len(durations_s),
         not_accepted=refused,
-        retries_a_change=round((updates - len(took)) / max(1, len(took)), 4),
-        slowest_s=round(max(took), 3),
+        retries_a_change=round((updates - len(durations_s)) / max(1, len(durations_s)), 4),
+        slowest_s=round(max(durations_s), 3),
     )
 
 
--- a/scripts/slopes_fleet.py
+++ b/scripts/slopes_fleet.py
@@ -40,11 +40,11 @@
 INSTANCES = (7, 30, 70, 420)
 ENGINES = (6, 24, 96, 384)
 RUNS = (0, 4, 16, 64)
-RUNS_OF_ENGINE = 4
+RUNS_PER_ENGINE = 4
 ROUNDS = 50
 NEWEST = 1 << 31
 SERVICE = ServiceName("llm")
-PLAN = EngineConfig(
+ENGINE_CONFIG = EngineConfig(
     batch_slots=24,
     kv_capacity_tokens=22_000,
     kv_token_bytes=327_680,
@@ -60,9 +60,9 @@
     """Measure and print."""
     for slope in wire_slopes():
         print_slope(slope)
-    reports = {n: _report_us(n) for n in INSTANCES}
+    reports = {n: _measure_report_us(n) for n in INSTANCES}
     print_slope(fit("home_report_cpu", "us", "instance", reports))
-    places = {n: _place_us(n) for n in ENGINES}
+    places = {n: _measure_place_us(n) for n in ENGINES}
     print_slope(fit("place_cpu", "us", "engine", places))
     per_s = {n: n / REPORT_PERIOD_S for n in INSTANCES}
     print_slope(fit("home_reports", "messages/s", "instance", per_s))
@@ -70,9 +70,9 @@
 
 def wire_slopes() -> list[Slope]:
     """Give the slopes of bytes, which do not depend on the machine."""
-    quiet = {n: _news_bytes(NEWEST, n, 0) for n in INSTANCES}
-    instances = {n: _news_bytes(0, n, 0) for n in INSTANCES}
-    runners = {n: _news_bytes(0, 0, n) for n in ENGINES}
+    quiet = {n: _update_bytes(NEWEST, n, 0) for n in INSTANCES}
+    instances = {n: _update_bytes(0, n, 0) for n in INSTANCES}
+    runners = {n: _update_bytes(0, 0, n) for n in ENGINES}
     return [
         fit("report_wire", "bytes", "run", {n: _report_bytes(n) for n in RUNS}),
         fit("quiet_news_wire", "bytes", "instance", quiet),
@@ -81,7 +81,7 @@
     ]
 
 
-def known(number: int) -> KnownInstance:
+def make_known_instance(number: int) -> KnownInstance:
     """Give an instance."""
     instance = FleetInstance(
         InstanceId(f"edge-zone-{number}"),
@@ -93,70 +93,85 @@
     return KnownInstance(instance, 1 << 52, InstanceState.READY, StoreReachability.UNKNOWN, 123)
 
 
-def runner(number: int) -> Runner:
+def make_engine(number: int) -> Runner:
     """Give an engine."""
     address = f"10.2.{number // 250}.{number % 250}:8087"
     start = Incarnation(RunnerName(f"i-{number:010x}"), 1_700_000_000_000 + number)
     return Runner(start, SERVICE, address, ZoneName("zone-a"), 24, RunnerState.READY, 0)
 
 
-def work(name: str) -> GenerationRequest:
+def make_request(name: str) -> GenerationRequest:
     """Give a long generation."""
     return GenerationRequest(
         name, SERVICE, 3_000, 1_756, 500, 0, 1.8, 3.6, f"{hash(name) & (1 << 64) - 1:016x}"
     )
 
 
-def _runs(count: int, engines: int = 1) -> list[Run]:
+def _make_runs(count: int, engines: int = 1) -> list[Run]:
     return [
-        Run(work(f"{number:016x}"), runner(number % engines).id, None, 400, True)
+        Run(make_request(f"{number:016x}"), make_engine(number % engines).id, None, 400, True)
         for number in range(count)
     ]
 
 
-def _report(number: int, runs: list[Run]) -> bytes:
+def _encode_report(number: int, runs: list[Run]) -> bytes:
     rows = [run_row(run) for run in runs]
     held = [1 << 52, 1_000, False]
-    message = InstanceReport(instance_row(known(number)), "edge-zone-0", held, rows, [])
+    message = InstanceReport(
+        instance_row(make_known_instance(number)), "edge-zone-0", held, rows, []
+    )
     return encode(message)
 
 
 def _report_bytes(runs: int) -> float:
-    return len(_report(1, _runs(runs)))
+    return len(_encode_report(1, _make_runs(runs)))
 
 
-def _rows(instances: int, engines: int) -> dict[str, list]:
-    rows = {f"r{number}": [*runner_row(runner(number)), 0] for number in range(engines)}
+def _make_rows(instances: int, engines: int) -> dict[str, list]:
+    rows = {f"r{number}": [*runner_row(make_engine(number)), 0] for number in range(engines)}
     for number in range(instances):
-        rows[f"i{number}"] = broadcast_instance_row(known(number), watches=number < 2)
+        rows[f"i{number}"] = broadcast_instance_row(make_known_instance(number), watches=number < 2)
     return rows
 
 
-def _news_bytes(held: int, instances: int, engines: int) -> float:
+def _update_bytes(held_version: int, instances: int, engines: int) -> float:
     """Give the bytes of all that the home tells an instance that holds a version."""
-    teller = UpdatePublisher(lambda: 1 << 52, HeldVersion(), VersionedRows())
-    teller.replace_rows(_rows(instances, engines))
-    name = InstanceId("e")
-    teller.record_held(name, HeldVersion(teller.epoch, min(held, teller.rows.version)))
-    version = teller.rows.version
+    publisher = UpdatePublisher(lambda: 1 << 52, HeldVersion(), VersionedRows())
+    publisher.replace_rows(_make_rows(instances, engines))
+    instance_id = InstanceId("e")
+    publisher.record_held(
+        instance_id, HeldVersion(publisher.epoch, min(held_version, publisher.rows.version))
+    )
+    version = publisher.rows.version
     holders = [f"edge-zone-{number}" for number in range(8)]
     empty = FleetNews(
-        instance_row(known(0)), teller.epoch, 0, 0, 0, 0, version, b"", 1_000_000, 100, 123, holders
+        instance_row(make_known_instance(0)),
+        publisher.epoch,
+        0,
+        0,
+        0,
+        0,
+        version,
+        b"",
+        1_000_000,
+        100,
+        123,
+        holders,
     )
-    return sum(len(encode(part.fill(empty))) for part in teller.parts_for(0.0, name))
+    return sum(len(encode(part.fill(empty))) for part in publisher.parts_for(0.0, instance_id))
 
 
-def _report_us(instances: int) -> float:
+def _measure_report_us(instances: int) -> float:
     """Time for the home to take one report of an instance with two runs."""
-    view = Fleet(known(0), 0.0)
+    view = Fleet(make_known_instance(0), 0.0)
     for number in range(1, instances):
-        view.record_report(0.0, known(number))
+        view.record_report(0.0, make_known_instance(number))
     placer = Placer(RunnerTable(), random.Random(1))
-    data = [_report(number, _runs(2)) for number in range(1, instances)]
+    data = [_encode_report(number, _make_runs(2)) for number in range(1, instances)]
     step_s = REPORT_PERIOD_S / instances
     now_s = 0.0
 
-    def take(number: int) -> None:
+    def apply_report(number: int) -> None:
         nonlocal now_s
         now_s += step_s
         report = decode(msgpack.unpackb(data[number % len(data)]))
@@ -167,25 +182,25 @@
         )
         view.home(now_s)
 
-    return _best_us(take)
+    return _measure_best_us(apply_report)
 
 
-def _place_us(engines: int) -> float:
+def _measure_place_us(engines: int) -> float:
     """Time for the home to place one generation, with four runs on each engine."""
     table = RunnerTable()
-    table.apply_reading(0.0, [runner(number) for number in range(engines)], 1, 0.0)
+    table.apply_reading(0.0, [make_engine(number) for number in range(engines)], 1, 0.0)
     placer = Placer(table, random.Random(1))
-    placer.registry.record_report(InstanceId("e"), _runs(RUNS_OF_ENGINE * engines, engines))
+    placer.registry.record_report(InstanceId("e"), _make_runs(RUNS_PER_ENGINE * engines, engines))
 
     def place(number: int) -> None:
-        placer.enqueue(0.0, work(f"w{number}"), PLAN)
+        placer.enqueue(0.0, make_request(f"w{number}"), ENGINE_CONFIG)
         placer.place_waiting(0.0)
         placer.remove(f"w{number}")
 
-    return _best_us(place)
+    return _measure_best_us(place)
 
 
-def _best_us(step: Callable[[int], None]) -> float:
+def _measure_best_us(step: Callable[[int], None]) -> float:
     best_s = float("inf")
     for _ in range(REPEATS):
         began_s = time.perf_counter()
--- a/scripts/slopes_ledger.py
+++ b/scripts/slopes_ledger.py
@@ -38,107 +38,109 @@
 from egretstack.upstreams import CallResponse
 from standins.object_store import InProcessObjectApi, ObjectStore
 
-DELAY_S = 0.005
-CALL_S = 0.05
-OFFERED_S = 5.0
+STORE_DELAY_S = 0.005
+CALL_DURATION_S = 0.05
+OFFER_DURATION_S = 5.0
 COMMITS = 20
-PATIENCE_S = 2.5
+BEGIN_TIMEOUT_S = 2.5
 ANSWER = CallResponse(201, (("content-type", "application/json"),), b'{"hold": "hold-000001"}')
 ACCOUNT = AccountId("acme")
 SERVICE = ServiceName("holds")
 
 
-class Run:
+class Measurement:
     """One measurement."""
 
-    def __init__(self, way: str, entries: int, rate: float, shards: int, pace_s: float) -> None:
-        self.way, self.entries, self.rate = way, entries, rate
+    def __init__(self, mode: str, entries: int, rate: float, shards: int, pace_s: float) -> None:
+        self.mode, self.entries, self.rate = mode, entries, rate
         self.shards, self.pace_s = shards, pace_s
         self.store = ObjectStore()
-        self.store.faults.delay_s = DELAY_S
-        self.waits: list[float] = []
-        self.done = self.refused = 0
+        self.store.faults.delay_s = STORE_DELAY_S
+        self.begin_delays_s: list[float] = []
+        self.done_count = self.refused_count = 0
         self.rng = random.Random(7)
 
     async def measure(self) -> None:
         """Offer the calls, wait for them, print the line."""
         epoch = EpochClock.start()
         async with trio.open_nursery() as nursery:
-            stores = [self._ledger(epoch, nursery) for _ in range(self.entries)]
-            calls = int(self.rate * OFFERED_S)
+            stores = [self._open_ledger(epoch, nursery) for _ in range(self.entries)]
+            calls = int(self.rate * OFFER_DURATION_S)
             async with trio.open_nursery() as offered:
                 for number in range(calls):
-                    offered.start_soon(self._call, stores[number % self.entries], number, epoch)
+                    offered.start_soon(
+                        self._make_call, stores[number % self.entries], number, epoch
+                    )
                     await trio.sleep(self.rng.expovariate(self.rate))
             nursery.cancel_scope.cancel()
-        self._print(calls)
+        self._print_figures(calls)
 
-    def _ledger(self, epoch: EpochClock, nursery: trio.Nursery) -> ShardStore | PerCallLedger:
+    def _open_ledger(self, epoch: EpochClock, nursery: trio.Nursery) -> ShardStore | PerCallLedger:
         api = InProcessObjectApi(self.store)
-        if self.way == "per-call":
+        if self.mode == "per-call":
             return PerCallLedger(api)
-        if self.way == "homed" and hasattr(self, "home"):
-            return self.home
-        self.home = ShardStore(api, epoch, nursery, self.shards, self.pace_s)
-        return self.home
+        if self.mode == "homed" and hasattr(self, "home"):
+            return self.home_store
+        self.home_store = ShardStore(api, epoch, nursery, self.shards, self.pace_s)
+        return self.home_store
 
-    async def _call(self, ledger: ShardStore | PerCallLedger, number: int, epoch: EpochClock):
+    async def _make_call(self, ledger: ShardStore | PerCallLedger, number: int, epoch: EpochClock):
         began_s = trio.current_time()
         if isinstance(ledger, PerCallLedger):
-            await self._per_call(ledger, number, began_s)
+            await self._make_per_call(ledger, number, began_s)
             return
         key = key_id(ACCOUNT, SERVICE, IdempotencyKey(f"key-{number}"))
         now_s = epoch.now()
-        row = _row(number, now_s)
+        row = _make_row(number, now_s)
         shard = shard_number(key, self.shards)
-        begin = Operation(Wanted.BEGIN, key, row, began_s + PATIENCE_S)
+        begin = Operation(Wanted.BEGIN, key, row, began_s + BEGIN_TIMEOUT_S)
         ledger.submit(shard, begin)
         if await ledger.wait(shard, begin) is not Outcome.WRITTEN:
-            self.refused += 1
+            self.refused_count += 1
             return
-        self.waits.append(trio.current_time() - began_s)
-        await trio.sleep(CALL_S)
+        self.begin_delays_s.append(trio.current_time() - began_s)
+        await trio.sleep(CALL_DURATION_S)
         ended = row.ended(CallState.DONE, KeptAnswer.of(ANSWER))
         finish = Operation(Wanted.FINISH, key, ended, inf)
         ledger.submit(shard, finish)
         await ledger.wait(shard, finish)
-        self.done += 1
+        self.done_count += 1
 
-    async def _per_call(self, ledger: PerCallLedger, number: int, began_s: float) -> None:
+    async def _make_per_call(self, ledger: PerCallLedger, number: int, began_s: float) -> None:
         key = IdempotencyKey(f"key-{number}")
         try:
             entry = await ledger.begin(ACCOUNT, SERVICE, key, AttemptId(str(number)), "0" * 64)
         except EgretError:
-            self.refused += 1
+            self.refused_count += 1
             return
-        self.waits.append(trio.current_time() - began_s)
-        await trio.sleep(CALL_S)
+        self.begin_delays_s.append(trio.current_time() - began_s)
+        await trio.sleep(CALL_DURATION_S)
         await ledger.finish(LedgerEntry(entry.attempt, "0" * 64, CallState.DONE, ANSWER))
-        self.done += 1
+        self.done_count += 1
 
-    def _print(self, calls: int) -> None:
+    def _print_figures(self, calls: int) -> None:
         counts = self.store.calls
         writes = sum(
             count for (verb, _), count in counts.items() if verb in ("create", "replace", "delete")
         )
-        landed = self.store.version
+        written = self.store.version
         heads = [one for one in self.store.of_kind(ObjectKind.LEDGER) if "turn" in one.spec]
-        waits = sorted(self.waits) or [inf]
+        waits = sorted(self.begin_delays_s) or [inf]
         print(
             json.dumps(
                 {
-                    "way": self.way,
+                    "way": self.mode,
                     "entries": self.entries,
                     "shards": self.shards,
                     "pace_ms": round(self.pace_s * 1000),
                     "offered_per_s": self.rate,
                     "calls": calls,
-                    "done": self.done,
-                    "refused": self.refused,
-                    "writes_per_s": round(writes / OFFERED_S, 1),
-                    "reads_per_s": round(counts["get", ObjectKind.LEDGER] / OFFERED_S, 1),
-                    "calls_per_write": round(self.done / max(1, writes), 3),
-                    "conflicts_per_write": round(1 - landed / max(1, writes), 3),
+                    "done": self.done_count,
+                    "refused": self.refused_count,
+                    "writes_per_s": round(writes / OFFER_DURATION_S, 1),
+                    "reads_per_s": round(counts["get", ObjectKind.LEDGER] / OFFER_DURATION_S, 1),
+                    "calls_per_write": round(self.done_count / max(1, writes), 3),
+                    "conflicts_per_write": round(1 - written / max(1, writes), 3),
                     "begin_ms_p50": round(waits[len(waits) // 2] * 1000, 1),
                     "begin_ms_p99": round(waits[len(waits) * 99 // 100] * 1000, 1),
                     "objects": len(self.store.by_place),
@@ -149,24 +151,26 @@
         )
 
 
-def run(way: str, entries: int, rate: float, shards: int = 8, pace_s: float = 0.05) -> None:
+def measure_mode(
+    mode: str, entries: int, rate: float, shards: int = 8, pace_s: float = 0.05
+) -> None:
     """Make one measurement."""
-    one = Run(way, entries, rate, shards, pace_s)
-    trio.run(partial(one.measure), clock=trio.testing.MockClock(autojump_threshold=0))
+    measurement = Measurement(mode, entries, rate, shards, pace_s)
+    trio.run(partial(measurement.measure), clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def commit_cost(rows: int) -> None:
+def measure_commit(rows: int) -> None:
     """Print the processor time of planning and encoding one commit of a head with many rows."""
     writer = ShardWriter(roll_bytes=1 << 30)
     held = {}
     for number in range(rows):
         key = key_id(ACCOUNT, SERVICE, IdempotencyKey(f"key-{number}"))
-        held[key] = _row(number, 0.0).ended(CallState.DONE, KeptAnswer.of(ANSWER))
+        held[key] = _make_row(number, 0.0).ended(CallState.DONE, KeptAnswer.of(ANSWER))
     writer.head_read(Shard(held), "1")
     began_s = time.perf_counter()
     for number in range(COMMITS):
         key = key_id(ACCOUNT, SERVICE, IdempotencyKey(f"more-{number}"))
-        writer.submit(Operation(Wanted.BEGIN, key, _row(number, 0.0), inf))
+        writer.submit(Operation(Wanted.BEGIN, key, _make_row(number, 0.0), inf))
         step = writer.step(0.0)
         body = json.dumps(step.spec)
         writer.written(str(number))
@@ -175,7 +179,7 @@
     print(json.dumps(line), flush=True)
 
 
-def _row(number: int, now_s: float) -> Row:
+def _make_row(number: int, now_s: float) -> Row:
     return Row(
         AttemptId(f"{number:024x}"),
         InstanceId("entry-0"),
@@ -191,18 +195,18 @@
 def main() -> None:
     """Print every line: the cost of a commit, today's sizes, then the target's rates."""
     for rows in (10, 50, 100, 150):
-        commit_cost(rows)
+        measure_commit(rows)
     for entries in (1, 2, 4, 7, 20):
         for rate in (3, 30):
             for way in ("per-call", "sharded", "homed"):
-                run(way, entries, rate)
+                measure_mode(way, entries, rate)
     for shards in (2, 32, 128):
-        run("sharded", 7, 30, shards)
+        measure_mode("sharded", 7, 30, shards)
     for way in ("per-call", "sharded", "homed"):
-        run(way, 40, 100)
+        measure_mode(way, 40, 100)
     for shards, pace_s in ((8, 0.02), (8, 0.05), (16, 0.05)):
         for rate in (200, 400, 800):
-            run("homed", 40, rate, shards, pace_s)
+            measure_mode("homed", 40, rate, shards, pace_s)
 
 
 if __name__ == "__main__":
--- a/scripts/slopes_limits.py
+++ b/scripts/slopes_limits.py
@@ -18,21 +18,23 @@
 COST_S = 30
 USE_S = 40
 NODES = (5, 20, 80, 320)
-SPREAD = 3
+ENTRIES_PER_ACCOUNT = 3
 """Entries that serve each account in the runs for cost."""
 
 
-def cost(nodes: int, accounts_each: int) -> dict:
+def measure_cost(nodes: int, accounts_each: int) -> dict:
     """Run steady demand; each node serves `accounts_each` accounts, each on SPREAD entries."""
-    count = max(1, nodes * accounts_each // SPREAD)
-    contracts = [contract(f"account-{n}", 20, 40, 100) for n in range(count)]
+    account_count = max(1, nodes * accounts_each // ENTRIES_PER_ACCOUNT)
+    contracts = [contract(f"account-{n}", 20, 40, 100) for n in range(account_count)]
     rng = random.Random(SEED)
     fleet = Fleet(nodes, contracts)
     names = fleet.nodes()
-    served = {one.account: rng.sample(names, min(SPREAD, nodes)) for one in contracts}
+    entries_by_account = {
+        one.account: rng.sample(names, min(ENTRIES_PER_ACCOUNT, nodes)) for one in contracts
+    }
 
     def demand() -> None:
-        for account, entries in served.items():
+        for account, entries in entries_by_account.items():
             if rng.random() < 0.3:
                 fleet.request(rng.choice(entries), account, hold_s=5.0)
 
@@ -46,21 +48,23 @@
     return {
         "kind": "cost",
         "nodes": nodes,
-        "accounts": count,
-        "active_accounts_per_node": round(count * min(SPREAD, nodes) / nodes, 1),
+        "accounts": account_count,
+        "active_accounts_per_node": round(
+            account_count * min(ENTRIES_PER_ACCOUNT, nodes) / nodes, 1
+        ),
         "messages_per_s": round((sum(n.sent_messages for n in names) - messages) * share, 3),
         "bytes_per_s": round((sum(n.sent_bytes for n in names) - size) * share, 1),
         "cpu_us_per_s": round(used * 1e6 * share, 1),
-        "memory_bytes": _memory(nodes, contracts, served),
+        "memory_bytes": _measure_memory(nodes, contracts, entries_by_account),
     }
 
 
-def _memory(nodes: int, contracts: list, served: dict) -> int:
+def _measure_memory(nodes: int, contracts: list, entries_by_account: dict) -> int:
     """Give the bytes that one node holds more after each of its accounts was active."""
     fleet = Fleet(nodes, contracts)
     gc.collect()
     tracemalloc.start()
-    for account, entries in served.items():
+    for account, entries in entries_by_account.items():
         for node in entries:
             fleet.request(fleet.node_by_name[node.name], account, hold_s=5.0)
     fleet.run(3)
@@ -71,7 +75,7 @@
     return grown // nodes
 
 
-def use(nodes: int, spread: int, over: float, burst: int, slots: int) -> dict:
+def measure_use(nodes: int, spread: int, over: float, burst: int, slots: int) -> dict:
     """Give what share of the rate and of the slots is used with demand on `spread` entries."""
     return {
         "kind": "use",
@@ -79,13 +83,13 @@
         "spread": spread,
         "demand": over,
         "burst": burst,
-        "rate_share": _rate_share(nodes, spread, over, burst),
+        "rate_share": _measure_rate_share(nodes, spread, over, burst),
         "slots": slots,
-        "slots_share": _slots_share(nodes, spread, over, slots),
+        "slots_share": _measure_slots_share(nodes, spread, over, slots),
     }
 
 
-def _rate_share(nodes: int, spread: int, over: float, burst: int) -> float:
+def _measure_rate_share(nodes: int, spread: int, over: float, burst: int) -> float:
     rate = 20
     fleet = Fleet(nodes, [contract("acme", rate, burst, 10_000)])
     entries, rng = fleet.nodes()[:spread], random.Random(SEED)
@@ -101,24 +105,24 @@
     return round(len(fleet.admitted) / (USE_S * rate), 3)
 
 
-def _slots_share(nodes: int, spread: int, over: float, slots: int) -> float:
+def _measure_slots_share(nodes: int, spread: int, over: float, slots: int) -> float:
     fleet = Fleet(nodes, [contract("acme", 10_000, 10_000, slots)])
     entries, rng = fleet.nodes()[:spread], random.Random(SEED)
-    seen = []
+    open_counts = []
 
     def demand() -> None:
         for _ in range(slots):
             if rng.random() < over * 0.05 / 2.0:
                 fleet.request(rng.choice(entries), hold_s=2.0)
-        seen.append(fleet.open_total())
+        open_counts.append(fleet.open_total())
 
     fleet.run(10, demand)
-    seen.clear()
+    open_counts.clear()
     fleet.run(USE_S, demand)
-    return round(sum(seen) / len(seen) / slots, 3)
+    return round(sum(open_counts) / len(open_counts) / slots, 3)
 
 
-def overshoot(fault: str, nodes: int = 20, slots: int = 100) -> dict:
+def measure_overshoot(fault: str, nodes: int = 20, slots: int = 100) -> dict:
     """Give the most open requests, as a multiple of the contract, during and after a fault."""
     fleet = Fleet(nodes, [contract("acme", 100, 100, slots)])
     rng = random.Random(SEED)
@@ -139,11 +143,11 @@
 
     whole = peak(15)
     began = fleet.now
-    _begin(fleet, fault, home, half, rest)
+    _begin_fault(fleet, fault, home, half, rest)
     blind = peak(3)
-    _learn(fleet, fault, home, half, rest)
+    _update_views(fleet, fault, home, half, rest)
     during = peak(30)
-    _end(fleet, fault, home)
+    _end_fault(fleet, fault, home)
     after = peak(20)
     settled = peak(20)
     times = [at for at, _, _ in fleet.admitted if at >= began]
@@ -159,7 +163,7 @@
     }
 
 
-def _begin(fleet: Fleet, fault: str, home, half: list, rest: list) -> None:
+def _begin_fault(fleet: Fleet, fault: str, home, half: list, rest: list) -> None:
     if fault == "partition":
         fleet.cut(half, rest)
     elif fault == "home killed":
@@ -170,7 +174,7 @@
         fleet.cut([home], fleet.others(home))
 
 
-def _learn(fleet: Fleet, fault: str, home, half: list, rest: list) -> None:
+def _update_views(fleet: Fleet, fault: str, home, half: list, rest: list) -> None:
     if fault == "partition":
         for side in (half, rest):
             for node in side:
@@ -182,7 +186,7 @@
             fleet.set_view(node, [one.name for one in fleet.others(home)])
 
 
-def _end(fleet: Fleet, fault: str, home) -> None:
+def _end_fault(fleet: Fleet, fault: str, home) -> None:
     home.paused = False
     fleet.cuts.clear()
     if fault == "home frozen and thawed":
@@ -196,15 +200,15 @@
     if "cost" in wanted:
         for nodes in NODES:
             for accounts_each in (2, 5, 10) if nodes < 320 else (2, 5):
-                print(json.dumps(cost(nodes, accounts_each)), flush=True)
+                print(json.dumps(measure_cost(nodes, accounts_each)), flush=True)
     if "use" in wanted:
         for nodes in NODES:
             for spread in sorted({1, 2, nodes}):
                 for over in (0.8, 2.0):
-                    print(json.dumps(use(nodes, spread, over, 20, 50)), flush=True)
+                    print(json.dumps(measure_use(nodes, spread, over, 20, 50)), flush=True)
     if "faults" in wanted:
         for fault in ("partition", "home killed", "home frozen and thawed", "home cut off"):
-            print(json.dumps(overshoot(fault)), flush=True)
+            print(json.dumps(measure_overshoot(fault)), flush=True)
 
 
 if __name__ == "__main__":
--- a/scripts/slopes_memory.py
+++ b/scripts/slopes_memory.py
@@ -3,14 +3,14 @@
 from loguru import logger
 
 from scripts._slope import fit, print_slope
-from scripts.slopes_nodes import run
+from scripts.slopes_nodes import run_fleet
 
 FLEET_SIZES = (5, 10, 20)
 
 
 def main() -> None:
     """Measure fleets of every size."""
-    held = {size: run(size, memory=True).memory_bytes for size in FLEET_SIZES}
+    held = {size: run_fleet(size, memory=True).memory_bytes for size in FLEET_SIZES}
     print_slope(fit("idle_memory", "bytes an instance", "instance", held))
 
 
--- a/scripts/slopes_nodes.py
+++ b/scripts/slopes_nodes.py
@@ -18,8 +18,8 @@
 from standins.world import open_world
 
 FLEET_SIZES = (5, 20, 80)
-SETTLE_S = 60.0
-MEASURED_S = 60.0
+WARM_UP_S = 60.0
+MEASURE_S = 60.0
 CHANGES = 10
 CONTRACT = {"contract": {"account": "acme", "key_sha256": "f" * 64}}
 ENGINES = {"service": {"name": "llm", "kind": "engine"}, "engine": {"models": "story"}}
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True)
-class Idle:
+class FleetCost:
     """What a fleet cost while nothing was asked of it, and what one change cost.
 
     Bytes and processor time are for one instance and second, calls for the whole fleet and
@@ -78,7 +78,7 @@
     """
 
     sent_bytes: float
-    most_sent_bytes: float
+    busiest_sent_bytes: float
     cpu_us: float
     calls: float
     waiting_watches: int
@@ -88,7 +88,7 @@
     change_calls: float
 
 
-async def measure(instances: int) -> Idle:
+async def measure(instances: int) -> FleetCost:
     """Run a fleet of that many instances for a while."""
     async with open_world() as world:
         network = CountingNetwork()
@@ -98,38 +98,40 @@
         for number in range(instances):
             for program in (Program.STEWARD, Program.ENTRY):
                 await world.start(f"entry-{number}", program, zone=f"zone-{number % 10}")
-        await trio.sleep(SETTLE_S)
+        await trio.sleep(WARM_UP_S)
         after, _ = tracemalloc.get_traced_memory()
-        calm = await _window(world, network, instances)
-        changed = await _window(world, network, instances, CHANGES)
-        change_bytes = (changed[0] - calm[0]) * MEASURED_S / CHANGES
-        change_calls = (changed[3] - calm[3]) * MEASURED_S / CHANGES
+        idle = await _measure_window(world, network, instances)
+        changed = await _measure_window(world, network, instances, CHANGES)
+        change_bytes = (changed[0] - idle[0]) * MEASURE_S / CHANGES
+        change_calls = (changed[3] - idle[3]) * MEASURE_S / CHANGES
         watches = world.store.waiting_watches
         memory = (after - before) / instances
         links = max(network.links_by_host.values(), default=0)
-        return Idle(*calm, watches, links, memory, change_bytes, change_calls)
+        return FleetCost(*idle, watches, links, memory, change_bytes, change_calls)
 
 
-async def _window(world, network, instances, changes=0) -> tuple[float, float, float, float]:
+async def _measure_window(
+    world, network, instances, changes=0
+) -> tuple[float, float, float, float]:
     network.bytes_by_host.clear()
     calls = world.store.calls.total()
     started_s = time.process_time()
     for number in range(changes):
         limits = {"limits": {"burst": str(100 + number)}}
         await world.configure(contract__acme=CONTRACT | limits)
-        await trio.sleep(MEASURED_S / changes)
+        await trio.sleep(MEASURE_S / changes)
     if not changes:
-        await trio.sleep(MEASURED_S)
+        await trio.sleep(MEASURE_S)
     used_s = time.process_time() - started_s
-    share = instances * MEASURED_S
+    share = instances * MEASURE_S
     sent = network.bytes_by_host
-    most = max(sent.values(), default=0) / MEASURED_S
+    busiest = max(sent.values(), default=0) / MEASURE_S
     cpu_us = used_s * MICROSECONDS / share
-    called = (world.store.calls.total() - calls) / MEASURED_S
-    return sum(sent.values()) / share, most, cpu_us, called
+    called = (world.store.calls.total() - calls) / MEASURE_S
+    return sum(sent.values()) / share, busiest, cpu_us, called
 
 
-def run(instances: int, *, memory: bool) -> Idle:
+def run_fleet(instances: int, *, memory: bool) -> FleetCost:
     """Measure one fleet; memory is traced only when asked for, since tracing costs time."""
     clock = trio.testing.MockClock(autojump_threshold=0)
     if memory:
@@ -142,10 +144,10 @@
 
 def main() -> None:
     """Measure fleets of every size."""
-    timed = {size: run(size, memory=False) for size in FLEET_SIZES}
+    timed = {size: run_fleet(size, memory=False) for size in FLEET_SIZES}
     for field, name, unit in (
         ("sent_bytes", "idle_bytes", "bytes/s an instance"),
-        ("most_sent_bytes", "idle_bytes_busiest", "bytes/s an instance"),
+        ("busiest_sent_bytes", "idle_bytes_busiest", "bytes/s an instance"),
         ("cpu_us", "idle_cpu", "us/s an instance"),
         ("calls", "idle_object_api_calls", "calls/s"),
         ("waiting_watches", "idle_waiting_watches", "watches"),
--- a/scripts/slopes_path.py
+++ b/scripts/slopes_path.py
@@ -21,12 +21,12 @@
 TOKENS = 200
 REQUESTS = (16, 32, 64)
 SHORT_TOKENS = 1
-SETTLE_S = 2.0
+IDLE_WARM_UP_S = 2.0
 IDLE_S = 8.0
-AT_ONCE = 16
+STREAMS_PER_CLIENT = 16
 """Streams one client process opens at once; a burst of many more fills the listening backlog."""
-STAGGER_S = 1.0
-WARM_S = 10.0
+CLIENT_START_INTERVAL_S = 1.0
+GRANT_WARM_UP_S = 10.0
 """Time in which the account's limits are lent whole; before it a burst of requests is refused."""
 KILOBYTE = 1024
 LOAD_CLIENT = Path(__file__).parent / "load_client.py"
@@ -34,61 +34,61 @@
 
 async def main() -> None:
     """Measure an idle entry, then one under load."""
-    idle = {}
+    idle_us_by_engines = {}
     for engines in IDLE_ENGINES:
-        async with open_path_deployment(NET, engines, STEP_S) as site:
-            await trio.sleep(SETTLE_S)
-            idle[engines] = await _idle_us(site)
-    print_slope(fit("entry_idle_cpu", "us/s", "runner", idle))
-    await _show_load()
+        async with open_path_deployment(NET, engines, STEP_S) as deployment:
+            await trio.sleep(IDLE_WARM_UP_S)
+            idle_us_by_engines[engines] = await _measure_idle_us(deployment)
+    print_slope(fit("entry_idle_cpu", "us/s", "runner", idle_us_by_engines))
+    await _measure_under_load()
 
 
-async def _show_load() -> None:
+async def _measure_under_load() -> None:
     """Measure under load; the sizes grow, so that the peak of memory belongs to the last one."""
-    async with open_path_deployment(NET, ENGINES, STEP_S) as site:
-        await trio.sleep(WARM_S)
-        await _load(site, AT_ONCE, SHORT_TOKENS)
-        print_slope(fit("entry_idle_memory", "bytes", "process", {1: _peak_bytes(site)}))
-        short = {count: await _load(site, count, SHORT_TOKENS) for count in REQUESTS}
+    async with open_path_deployment(NET, ENGINES, STEP_S) as deployment:
+        await trio.sleep(GRANT_WARM_UP_S)
+        await _run_load(deployment, STREAMS_PER_CLIENT, SHORT_TOKENS)
+        print_slope(fit("entry_idle_memory", "bytes", "process", {1: _peak_bytes(deployment)}))
+        short = {count: await _run_load(deployment, count, SHORT_TOKENS) for count in REQUESTS}
         print_slope(fit("entry_request_cpu", "us", "request", short))
         cpu_by_tokens = {}
         peak_by_streams = {}
         for streams in STREAMS:
-            cpu_by_tokens[streams * TOKENS] = await _load(site, streams, TOKENS)
-            peak_by_streams[streams] = _peak_bytes(site)
+            cpu_by_tokens[streams * TOKENS] = await _run_load(deployment, streams, TOKENS)
+            peak_by_streams[streams] = _peak_bytes(deployment)
         print_slope(fit("entry_token_cpu", "us", "token", cpu_by_tokens))
         print_slope(fit("entry_session_memory", "bytes", "session", peak_by_streams))
 
 
-async def _idle_us(site: PathDeployment) -> float:
-    before_s = site.entry_cpu_s()
+async def _measure_idle_us(deployment: PathDeployment) -> float:
+    before_s = deployment.entry_cpu_s()
     await trio.sleep(IDLE_S)
-    return (site.entry_cpu_s() - before_s) / IDLE_S * MICROSECONDS
+    return (deployment.entry_cpu_s() - before_s) / IDLE_S * MICROSECONDS
 
 
-def _peak_bytes(site: PathDeployment) -> int:
-    lines = Path(f"/proc/{site.entry_pid}/status").read_text().splitlines()
+def _peak_bytes(deployment: PathDeployment) -> int:
+    lines = Path(f"/proc/{deployment.entry_pid}/status").read_text().splitlines()
     [peak] = [line.split()[1] for line in lines if line.startswith("VmHWM")]
     return int(peak) * KILOBYTE
 
 
-async def _load(site: PathDeployment, streams: int, tokens: int) -> float:
+async def _run_load(deployment: PathDeployment, streams: int, tokens: int) -> float:
     """Stream through the entry; give its processor time in microseconds."""
-    before_s = site.entry_cpu_s()
-    running = []
-    for _ in range(streams // AT_ONCE):
-        running.append(_client(site, AT_ONCE, tokens))
-        await trio.sleep(STAGGER_S)
-    while any(process.poll() is None for process in running):
+    before_s = deployment.entry_cpu_s()
+    processes = []
+    for _ in range(streams // STREAMS_PER_CLIENT):
+        processes.append(_start_client(deployment, STREAMS_PER_CLIENT, tokens))
+        await trio.sleep(CLIENT_START_INTERVAL_S)
+    while any(process.poll() is None for process in processes):
         await trio.sleep(0.05)
-    failed = [process.returncode for process in running if process.returncode]
+    failed = [process.returncode for process in processes if process.returncode]
     if failed:
         raise RuntimeError(f"load clients ended with {failed}")
-    return (site.entry_cpu_s() - before_s) * MICROSECONDS
+    return (deployment.entry_cpu_s() - before_s) * MICROSECONDS
 
 
-def _client(site: PathDeployment, streams: int, tokens: int) -> subprocess.Popen:
-    command = [sys.executable, LOAD_CLIENT, site.entry_url, str(streams), str(tokens)]
+def _start_client(deployment: PathDeployment, streams: int, tokens: int) -> subprocess.Popen:
+    command = [sys.executable, LOAD_CLIENT, deployment.entry_url, str(streams), str(tokens)]
     process = subprocess.Popen(
         command,
         stdin=subprocess.PIPE,
@@ -96,7 +96,7 @@
         stderr=subprocess.DEVNULL,
         text=True,
     )
-    process.stdin.write(site.key + "\n")
+    process.stdin.write(deployment.key + "\n")
     process.stdin.close()
     return process
 
--- a/scripts/slopes_runners.py
+++ b/scripts/slopes_runners.py
@@ -27,7 +27,7 @@
 MODELS = 27
 
 
-def endpoint_list(members: int) -> bytes:
+def make_endpoint_list(members: int) -> bytes:
     """Make the platform's answer that lists that many runners."""
     endpoints = [
         {
@@ -60,7 +60,7 @@
 READS = 10
 
 
-def policy_with(runners: int) -> Policy:
+def make_policy_with(runners: int) -> Policy:
     """Make the policy in use with that many runners, spread over the models."""
     policy = make_policy(DEFAULT_POLICY, random.Random(1))
     for number in range(runners):
@@ -77,7 +77,7 @@
 def serve_requests(policy: Policy) -> None:
     """Let the policy place and end a number of requests."""
     for number in range(REQUESTS):
-        work = SchedulingRequest(
+        request = SchedulingRequest(
             id=RequestId(f"work-{number}"),
             account=AccountId(f"account-{number % 10}"),
             service=ServiceName("llm"),
@@ -89,16 +89,16 @@
             deadline_s=10.0,
             streamed=True,
         )
-        policy.handle(0.0, Arrived(work))
-        policy.handle(0.0, Ended(work.id, 500, EndReason.FINISHED))
+        policy.handle(0.0, Arrived(request))
+        policy.handle(0.0, Ended(request.id, 500, EndReason.FINISHED))
 
 
 REQUESTS = 50
 
 
-def show_members() -> None:
+def print_member_slopes() -> None:
     """Measure instances and runners."""
-    bodies = {size: endpoint_list(size) for size in OBJECT_SIZES}
+    bodies = {size: make_endpoint_list(size) for size in OBJECT_SIZES}
     wire = {size: len(body) for size, body in bodies.items()}
     print_slope(fit("instance_list_answer", "bytes", "member", wire))
     read = {
@@ -106,11 +106,13 @@
         for size, body in bodies.items()
     }
     print_slope(fit("instance_list_read_cpu", "us", "member", read))
-    held = {size: measure_held_bytes(lambda size=size: policy_with(size)) for size in OBJECT_SIZES}
+    held = {
+        size: measure_held_bytes(lambda size=size: make_policy_with(size)) for size in OBJECT_SIZES
+    }
     print_slope(fit("policy_memory", "bytes", "runner", held))
     placed = {}
     for size in OBJECT_SIZES:
-        policy = policy_with(size)
+        policy = make_policy_with(size)
         placed[size] = measure_cpu_us(lambda policy=policy: serve_requests(policy)) / REQUESTS
     print_slope(fit("policy_request_cpu", "us", "runner", placed))
 
@@ -138,7 +140,7 @@
 """Request line and headers of a report's request and answer, as httpx and hypercorn send them."""
 
 
-def show_reports() -> None:
+def print_report_slopes() -> None:
     """Measure load reports of engines."""
     sizes = (5, 20, 80)
     read = {size: measure_cpu_us(lambda size=size: read_reports(size)) for size in sizes}
@@ -147,7 +149,7 @@
     print_slope(fit("load_report_wire", "bytes", "report", wire))
 
 
-class NoStream(trio.abc.Stream):
+class ClosedStream(trio.abc.Stream):
     """The stream of a link that nothing is sent over."""
 
     async def send_all(self, data: bytes) -> None:
@@ -164,16 +166,16 @@
         """Do nothing."""
 
 
-def show_links() -> None:
+def print_link_slopes() -> None:
     """Measure what one end of a link holds."""
     held = {
-        size: measure_held_bytes(lambda size=size: [PeerLink(NoStream()) for _ in range(size)])
+        size: measure_held_bytes(lambda size=size: [PeerLink(ClosedStream()) for _ in range(size)])
         for size in OBJECT_SIZES
     }
     print_slope(fit("link_memory", "bytes", "link end", held))
 
 
 if __name__ == "__main__":
-    show_members()
-    show_reports()
-    show_links()
+    print_member_slopes()
+    print_report_slopes()
+    print_link_slopes()
--- a/scripts/slopes_tokens.py
+++ b/scripts/slopes_tokens.py
@@ -24,7 +24,7 @@
 BATCH_SIZES = (1, 4, 16, 64)
 
 
-def events(tokens: int) -> list[EngineEvent]:
+def make_events(tokens: int) -> list[EngineEvent]:
     """Make the token events of one generation."""
     generation = GenerationId("gen0123456789abcdef")
     return [
@@ -33,31 +33,33 @@
     ]
 
 
-def session_with(tokens: int) -> Session:
+def make_session(tokens: int) -> Session:
     """Make a session that keeps that many events."""
     generation = GenerationRequest(ModelName("model-0"), "prompt", 2000, 100)
     request = SessionRequest(AccountId("acme"), ServiceName("llm"), generation, True)
     session = Session(RequestId("work-1"), request, Cursor(GenerationId("gen"), 0))
 
     async def add() -> None:
-        for event in events(tokens):
+        for event in make_events(tokens):
             await session.add(event)
 
     trio.run(add)
     return session
 
 
-def show_tokens() -> None:
+def print_token_slopes() -> None:
     """Measure tokens."""
-    held = {size: measure_held_bytes(lambda size=size: session_with(size)) for size in TOKEN_SIZES}
+    held = {size: measure_held_bytes(lambda size=size: make_session(size)) for size in TOKEN_SIZES}
     print_slope(fit("session_kept_events", "bytes", "token", held))
     session = SessionId("resp_" + "x" * 200)
     encoded = {
-        size: measure_cpu_us(partial(encode_batch, events(size), session, ModelName("m")), 50)
+        size: measure_cpu_us(partial(encode_batch, make_events(size), session, ModelName("m")), 50)
         for size in BATCH_SIZES
     }
     print_slope(fit("event_encode_cpu", "us", "token", encoded))
-    sent = {size: len(encode_batch(events(size), session, ModelName("m"))) for size in BATCH_SIZES}
+    sent = {
+        size: len(encode_batch(make_events(size), session, ModelName("m"))) for size in BATCH_SIZES
+    }
     print_slope(fit("event_wire", "bytes", "token", sent))
     box = TokenBox([TokenBox.new_key()])
     ref = SessionRef(
@@ -75,4 +77,4 @@
 
 
 if __name__ == "__main__":
-    show_tokens()
+    print_token_slopes()
