--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -3,7 +3,7 @@
 import json
 import re
 
-from scripts._capacity_lines import TABLES, read_parts
+from scripts._capacity_lines import LINES_BY_TABLE, fit_runs
 from scripts._sheet import SLOPES_FILE, Resource, Slopes, is_within
 from scripts._slope import Slope, fit
 from scripts.capacity import PAGE, capacity_page
@@ -21,7 +21,7 @@
 
 def all_slopes():
     slopes = Slopes()
-    read_parts(slopes)
+    fit_runs(slopes)
     return slopes
 
 
@@ -57,12 +57,12 @@
 def test_every_line_says_whether_it_fits():
     slopes = all_slopes()
     page = PAGE.read_text()
-    for lines in TABLES.values():
+    for lines in LINES_BY_TABLE.values():
         for line in lines(slopes):
             [row] = [
                 text
                 for text in page.splitlines()
-                if f"| {line.what} |" in text and f"`{line.slopes[0]}`" in text
+                if f"| {line.cost} |" in text and f"`{line.slopes[0]}`" in text
             ]
             fits = is_within(line.value, line.resource.bound)
             if line.resource.bound is not None:
