--- a/egretstack/programs/__init__.py
+++ b/egretstack/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The programs: thin command functions over the library."""
+"""The command-line programs: thin command functions over the library."""
--- a/egretstack/programs/_ctl_common.py
+++ b/egretstack/programs/_ctl_common.py
@@ -1,4 +1,4 @@
-"""What every command of `egretctl` shares: the platform's address, and errors as exit codes."""
+"""Shared by the commands of `egretctl`: connecting to the platform, errors and exit codes."""
 
 import json
 import sys
@@ -27,7 +27,7 @@
 
 @asynccontextmanager
 async def open_platform(url: str, namespace: str):
-    """Give an HTTP client, the object API and the instance list."""
+    """Yield an HTTP client, the object API and the instance list."""
     async with httpx.AsyncClient(timeout=TIMEOUT_S, trust_env=False) as client:
         yield client, HttpObjectApi(client, url, namespace), HttpInstanceList(
             client, url, namespace
@@ -35,7 +35,7 @@
 
 
 def run_command(command: Callable[[], Awaitable[None]]) -> None:
-    """Run an asynchronous command and turn its errors into words and exit codes."""
+    """Run an asynchronous command; report its errors on stderr and as exit codes."""
 
     async def guarded() -> None:
         try:
--- a/egretstack/programs/_explain.py
+++ b/egretstack/programs/_explain.py
@@ -1,4 +1,4 @@
-"""`egretctl explain`: the story of one request, from saved logs."""
+"""`egretctl explain`: explains the outcome of one request from saved logs."""
 
 import json
 from pathlib import Path
--- a/egretstack/programs/_replay.py
+++ b/egretstack/programs/_replay.py
@@ -74,7 +74,7 @@
 
 
 def _format_table(all_figures: list[Figures]) -> str:
-    """Give the figures as a table: one row a figure, one column a policy."""
+    """Format the figures as a table with a row for each figure and a column for each policy."""
     rows = []
     for field in fields(Figures):
         cells = [str(getattr(figures, field.name)) for figures in all_figures]
--- a/egretstack/programs/_running.py
+++ b/egretstack/programs/_running.py
@@ -1,4 +1,4 @@
-"""Runs a daemon and maps errors to exit codes."""
+"""Runs daemons, and maps errors to exit codes."""
 
 import gc
 import signal
@@ -18,11 +18,11 @@
 Result = TypeVar("Result")
 
 GC_THRESHOLD_OBJECTS = 20_000
-"""Objects made and not yet freed before the youngest are searched for cycles; 700 by default."""
+"""Net allocations that trigger a collection of the youngest generation; Python's default is 700."""
 
 
 class ExitCode(IntEnum):
-    """How a program ended."""
+    """Exit codes of the programs."""
 
     OK = 0
     FAILED = 1
@@ -30,7 +30,7 @@
     USER_ERROR = 2
     """The settings, the arguments or a file are wrong."""
     CONFLICT = 3
-    """Another operator's change came first."""
+    """Another operator's change was accepted first."""
     UNKNOWN = 4
     """It is not known whether the change was accepted."""
     UNAVAILABLE = 5
@@ -50,7 +50,7 @@
 
 
 def run_services(start: Callable[[], object], services: tuple[str, ...]) -> None:
-    """Run services with the settings that `start` gives, once it has set up the logs too."""
+    """Run services with the settings that `start` returns; `start` also sets up logging."""
 
     async def main() -> None:
         kernel = Kernel(start())
@@ -65,7 +65,10 @@
 
 
 def run_or_exit(function: Callable[[], Result]) -> Result:
-    """Run, or exit: user errors in plain words, failed services by name, bugs as tracebacks."""
+    """Call `function`; on a user error or a failed service, print the error and exit.
+
+    Any other exception is a bug and propagates with its traceback.
+    """
     try:
         return function()
     except* UserError as group:
@@ -79,11 +82,11 @@
 
 
 def _tune_garbage_collection() -> None:
-    """Keep what start-up made out of later collections, and collect less often.
+    """Exclude the objects made at start-up from garbage collection, and collect less often.
 
-    Each token makes a few short-lived objects for each of many streams. At the default threshold
-    the collector runs hundreds of times a second, and each full run walks every loaded module
-    while no stream moves. What has no cycles is freed at once all the same.
+    Each token of each stream allocates a few short-lived objects. At the default threshold the
+    collector runs hundreds of times a second, and each full collection traverses every loaded
+    module while all streams are blocked. Objects without cycles are still freed immediately.
     """
     gc.collect()
     gc.freeze()
--- a/egretstack/programs/ctl.py
+++ b/egretstack/programs/ctl.py
@@ -1,4 +1,4 @@
-"""`egretctl`: what operators do from a shell."""
+"""`egretctl`: the command-line tool for operators."""
 
 import json
 import sys
--- a/egretstack/programs/platform_entry.py
+++ b/egretstack/programs/platform_entry.py
@@ -36,7 +36,7 @@
 
 
 def main() -> None:
-    """Serve until SIGTERM, with the settings file that the platform names.
+    """Serve until SIGTERM, with the settings file that the platform specifies.
 
     Exit codes: 0 stopped, 1 a service failed, 2 wrong settings.
     """
--- a/egretstack/programs/report.py
+++ b/egretstack/programs/report.py
@@ -23,7 +23,7 @@
 
 
 class Form(Enum):
-    """How the report is written."""
+    """Output format of the report."""
 
     TEXT = "text"
     JSON = "json"
@@ -74,7 +74,7 @@
         return text_report(burns) + "\n"
     if form is Form.JSON:
         return json_report(burns) + "\n"
-    # Loading the plot library takes longer than a whole text report.
+    # Imported here because loading the plot library takes longer than a whole text report.
     from egretstack.reports._page import html_report
 
     taken = datetime.fromtimestamp(snapshots[-1].at_s, UTC)
--- a/egretstack/programs/steward.py
+++ b/egretstack/programs/steward.py
@@ -1,4 +1,4 @@
-"""`egret-steward`: the leased duties and the configuration watch of one instance."""
+"""`egret-steward`: runs the leased duties and the configuration watch of one instance."""
 
 from pathlib import Path
 
--- a/egretstack/replay/__init__.py
+++ b/egretstack/replay/__init__.py
@@ -1,4 +1,4 @@
-"""Replay of recorded traces through the policies, against a model of the engines."""
+"""Replays recorded traces under the scheduling policies, against a model of the engines."""
 
 from egretstack.replay._engine_model import (
     EngineModel,
--- a/egretstack/replay/_engine_model.py
+++ b/egretstack/replay/_engine_model.py
@@ -1,11 +1,12 @@
 """A model of a continuously batching engine with limited memory.
 
-It has no clock and no I/O: the owner calls `step` at the time `next_step_s` gives, which is the
-end of the step in progress. A step decodes one token for each sequence whose prompt has been
-read, and reads prompts for the others, up to a bound for each step; everyone in the batch waits
+It has no clock and does no I/O: the owner calls `step` at the time that `next_step_s` returns, the
+end of the step in progress. A step decodes one token for each sequence whose prefill is complete
+and prefills the prompts of the others, up to a limit per step; every sequence in the batch waits
 for the whole step. A sequence holds one token of KV memory for each token of prompt and output.
-When a step does not fit, the least valuable sequence that started last is preempted: its memory
-is freed, and all it held is read again when it comes back, as vLLM does.
+When a step does not fit into memory, the sequence with the lowest priority that started last is
+preempted: its memory is freed, and its prompt and output are prefilled again when it resumes, as
+vLLM does.
 """
 
 from collections import OrderedDict
@@ -27,12 +28,12 @@
     step_per_sequence_s: float = 0.0003
     prefill_tokens_per_s: float = 20_000.0
     prefill_step_tokens: int = 2048
-    """Most prompt tokens read in one step."""
+    """Maximum number of prompt tokens prefilled in one step."""
     prefix_cache_tokens: int = 20_000
     prefix_share: float = 0.7
-    """Part of a prompt that its named prefix covers."""
+    """Fraction of a prompt that its named prefix covers."""
     watermark: float = 0.01
-    """Part of the memory that stays free when a sequence is admitted."""
+    """Fraction of the memory that stays free when a sequence is admitted."""
     report_period_s: float = 0.5
     report_lag_s: float = 0.5
 
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelOutput:
-    """One happening of a step."""
+    """One event of a step."""
 
     generation: GenerationId
     kind: OutputKind
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StepResult:
-    """What one step did, by generation; `sequences` were in the batch."""
+    """The generations that one step affected; `sequences` is the batch size."""
 
     decoded: list[GenerationId]
     finished: list[GenerationId]
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True)
 class LoadSnapshot:
-    """Load at `taken_s`."""
+    """Load of the engine at `taken_s`."""
 
     taken_s: float
     running: int
@@ -84,7 +85,7 @@
     queue_order: int
     decoded_tokens: int = 0
     prefill_remaining: int = 0
-    """Tokens of the prompt, and of recomputed output, that are still to be read."""
+    """Tokens of the prompt, and of output to recompute, that are still to be prefilled."""
     start_order: int = field(default=0)
 
     @property
@@ -93,7 +94,7 @@
 
 
 class EngineModel:
-    """The sequences of one engine: waiting, running, and the memory they hold."""
+    """The waiting and running sequences of one engine, and the memory that they hold."""
 
     def __init__(self, parameters: EngineParameters) -> None:
         self.parameters = parameters
@@ -118,7 +119,7 @@
         prefix: str = "",
         priority: int = 0,
     ) -> None:
-        """Take a generation in; it starts at a step for which there is memory."""
+        """Queue a generation; it starts at the first step that has memory for it."""
         self._last_order += 1
         self._waiting.append(
             _Sequence(generation, prompt_tokens, output_tokens, prefix, priority, self._last_order)
@@ -128,17 +129,17 @@
         self._take_snapshot(now_s)
 
     def cancel(self, generation: GenerationId) -> None:
-        """Drop a generation, waiting or running."""
+        """Remove a generation, whether it is waiting or running."""
         self._waiting = [one for one in self._waiting if one.id != generation]
         for sequence in [one for one in self._running if one.id == generation]:
             self._remove(sequence)
 
     def next_step_s(self) -> float | None:
-        """Give the time at which the step in progress ends, or None when there is none."""
+        """Return the time at which the step in progress ends, or None when there is none."""
         return self._step_end_s
 
     def step(self, now_s: float) -> list[ModelOutput]:
-        """End the step in progress, begin the next, and tell what happened to each sequence."""
+        """End the step in progress, begin the next, and return each sequence's outputs."""
         result = self.advance(now_s)
         outputs = [ModelOutput(one, OutputKind.PREEMPTED) for one in result.preempted]
         outputs += [ModelOutput(one, OutputKind.TOKEN) for one in result.decoded]
@@ -146,7 +147,7 @@
         return outputs
 
     def advance(self, now_s: float) -> StepResult:
-        """End the step in progress and begin the next; as `step`, without an object a token."""
+        """Do the same as `step`, without allocating an object for each token."""
         decoded = self._decoding
         sequences = len(self._running)
         finished = []
@@ -165,15 +166,15 @@
         )
 
     def kv_used_tokens(self) -> int:
-        """Give the tokens of memory that running sequences hold."""
+        """Return the KV memory that running sequences hold, in tokens."""
         return self._kv_used_tokens
 
     def cached_prefixes(self) -> list[str]:
-        """Give the prefixes in the cache, the least recently used first."""
+        """Return the cached prefixes, least recently used first."""
         return list(self._prefix_cache)
 
     def report(self, now_s: float) -> LoadSnapshot:
-        """Give the newest snapshot that the reporting lag lets out."""
+        """Return the newest snapshot that is at least as old as the reporting lag."""
         self._take_snapshot(now_s)
         latest_s = now_s - self.parameters.report_lag_s
         visible = [one for one in self._snapshots if one.taken_s <= latest_s]
--- a/egretstack/replay/_figures.py
+++ b/egretstack/replay/_figures.py
@@ -1,33 +1,33 @@
-"""The figures of one replay: what was finished, and how long readers waited."""
+"""The figures of one replay: sessions by outcome, and how long readers waited."""
 
 from collections import Counter
 from dataclasses import dataclass, field
 from math import ceil
 
 STALL_STEPS = 4
-"""A reader's wait counts as stall time beyond this many steps of the engine."""
+"""A gap between tokens counts as stall time beyond this many steps of the engine."""
 _GAP_RESOLUTION_S = 0.0001
 
 
 @dataclass(frozen=True)
 class Figures:
-    """One policy's figures. Times are seconds; shares are of what was offered."""
+    """The figures of one policy. Times are in seconds; shares are fractions of what was offered."""
 
     policy: str
     sessions: int
     finished: int
     refused: int
     given_up: int
-    """Callers that left: the first token had not come by the deadline."""
+    """Sessions whose caller left because no token had arrived after the deadline."""
     lost: int
-    """Streams whose engine was taken away after delivery began."""
+    """Streams whose engine was reclaimed after delivery began."""
     value_share: float
     token_share: float
     stall_total_s: float
     stall_p95_s: float
     stall_worst_s: float
     preemptions: int
-    """By engines; `evictions` are the policy's own and come on top."""
+    """Preemptions by engines; `evictions` by the policy are not included."""
     evictions: int
     gap_p50_s: float
     gap_p95_s: float
@@ -37,7 +37,7 @@
 
 @dataclass
 class Tally:
-    """Collects one replay's happenings."""
+    """Counts the events of one replay."""
 
     offered_value: int = 0
     offered_tokens: int = 0
@@ -55,14 +55,14 @@
     first_token_delays_s: list[float] = field(default_factory=list)
 
     def record_gap(self, session: int, gap_s: float, step_s: float) -> None:
-        """Note a reader's wait for the next token; `step_s` is its engine's step time."""
+        """Record a reader's wait for the next token; `step_s` is its engine's step time."""
         self.gap_histogram[int(gap_s / _GAP_RESOLUTION_S + 0.5)] += 1
         stall_s = gap_s - STALL_STEPS * step_s
         if stall_s > 0:
             self.stall_s_by_session[session] = self.stall_s_by_session.get(session, 0.0) + stall_s
 
     def make_figures(self, policy: str) -> Figures:
-        """Give the figures."""
+        """Return the figures of everything recorded."""
         stalls = sorted(self.stall_s_by_session.values())
         streamed = len(self.first_token_delays_s)
         stalls = [0.0] * (streamed - len(stalls)) + stalls
--- a/egretstack/replay/_fleet.py
+++ b/egretstack/replay/_fleet.py
@@ -1,4 +1,4 @@
-"""The engines of a replay: their models, which are up, and what each runs."""
+"""The engines of a replay: their models, whether they are up, and the sessions they run."""
 
 from egretstack.ids import GenerationId, RunnerId
 from egretstack.policy import RunnerInfo, RunnerReported
@@ -7,7 +7,7 @@
 
 
 class ReplayEngine:
-    """One engine of a replay; a generation's id is the number of its session."""
+    """One engine of a replay; the id of a generation is the number of its session."""
 
     def __init__(self, spec: EngineSpec) -> None:
         self.spec = spec
@@ -15,19 +15,19 @@
         self.is_leaving = False
         self.running: set[int] = set()
         self.scheduled_step_s: float | None = None
-        """Time of the step that is in the event loop."""
+        """End of the step that is scheduled in the event loop."""
         self.model = EngineModel(spec.parameters)
         self.preemptions = 0
         self._published_prefixes: set[str] = set()
 
     @property
     def id(self) -> RunnerId:
-        """Give the runner's id."""
+        """Return the runner's id."""
         return self.info.id
 
     @property
     def info(self) -> RunnerInfo:
-        """Give what entries know of the engine."""
+        """Return what the entries know about the engine."""
         return self.spec.info
 
     def submit(
@@ -40,7 +40,7 @@
         prefix: str,
         priority: int,
     ) -> None:
-        """Take a session's generation in."""
+        """Start a session's generation."""
         self.running.add(session_number)
         self.model.submit(
             now_s,
@@ -52,24 +52,24 @@
         )
 
     def cancel(self, session_number: int) -> None:
-        """Drop a session's generation."""
+        """Cancel a session's generation."""
         self.running.discard(session_number)
         self.model.cancel(GenerationId(session_number))
 
     def advance(self, now_s: float) -> StepResult:
-        """End a step."""
+        """End the step in progress and begin the next."""
         result = self.model.advance(now_s)
         self.running.difference_update(result.finished)
         self.preemptions += len(result.preempted)
         return result
 
     def step_s(self, sequences: int) -> float:
-        """Give the time of a step with that many sequences and no prompt to read."""
+        """Return the duration of a step with this many sequences and no prefill."""
         parameters = self.spec.parameters
         return parameters.step_base_s + parameters.step_per_sequence_s * sequences
 
     def reclaim(self) -> list[int]:
-        """Take the engine away; give the sessions that ran on it."""
+        """Take the engine down; return the sessions that ran on it."""
         interrupted = sorted(self.running)
         self.running.clear()
         self.is_up = False
@@ -77,13 +77,13 @@
         return interrupted
 
     def restore(self) -> None:
-        """Put an empty engine in its place."""
+        """Bring the engine back, empty."""
         self.is_up = True
         self.is_leaving = False
         self._published_prefixes = set()
 
     def cache_changes(self) -> list[tuple[str, bool]]:
-        """Give the prefixes that came (true) or went (false) since the last call."""
+        """Return the prefixes cached (True) or evicted (False) since the last call."""
         cached = set(self.model.cached_prefixes())
         changed = [
             (prefix, prefix in cached) for prefix in sorted(cached ^ self._published_prefixes)
@@ -92,7 +92,7 @@
         return changed
 
     def report(self, now_s: float) -> RunnerReported:
-        """Give the report that can be read now."""
+        """Return the load report that an entry can read now."""
         snapshot = self.model.report(now_s)
         return RunnerReported(
             runner_id=self.id,
--- a/egretstack/replay/_loop.py
+++ b/egretstack/replay/_loop.py
@@ -1,4 +1,4 @@
-"""The event loop of a replay: a virtual clock, entries with a policy each, and engines."""
+"""The event loop of a replay: a virtual clock, the engines, and a policy for each entry."""
 
 import random
 from collections.abc import Callable
@@ -34,14 +34,14 @@
 from egretstack.replay._trace import TraceLine
 
 PROGRESS_INTERVAL_TOKENS = 32
-"""How often an entry's sessions tell the policy of progress, as in `egretstack.sessions`."""
+"""Tokens between two progress reports of a session to the policy, as in `egretstack.sessions`."""
 PATIENCE_S = 1.0
-"""How long after the start deadline a caller without a token leaves."""
+"""Time after the start deadline at which a caller without a token leaves."""
 CACHE_EVENT_DELAY_S = 1.0
 LENGTH_EXCHANGE_INTERVAL_S = 10.0
-"""How often an entry asks one other for what it learned of lengths."""
+"""Time between two requests of an entry for another entry's length summary."""
 CACHE_EVENT_LOSS_SHARE = 0.2
-"""Share of cache events that never come."""
+"""Share of cache events that are lost."""
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
     decoded_tokens: int = 0
     last_token_s: float = -1.0
     has_first_token: bool = False
-    """Whether a first token ever came."""
+    """Whether a first token has ever been decoded, also if the request was run again later."""
     has_ended: bool = False
 
 
@@ -65,7 +65,7 @@
 
 
 class ReplayLoop:
-    """Replays a trace once; `run` gives the tally."""
+    """Replays a trace once; `run` returns the tally."""
 
     def __init__(
         self,
@@ -188,7 +188,9 @@
     def _dispatch(self, entry: _Entry, session: _Session, action: Dispatch) -> None:
         engine = self._engine_by_id[action.runner_id]
         if session.engine is not None or not engine.is_up:
-            raise RuntimeError(f"{action} for work that runs, or on an engine that is gone")
+            raise RuntimeError(
+                f"{action} for a request that is already running, or on an engine that is down"
+            )
         session.engine = engine
         engine.submit(
             self._now_s,
@@ -287,7 +289,7 @@
             self._send_event(entry, event)
 
     def _exchange_lengths(self) -> None:
-        """Let each entry learn from one other, from each in turn."""
+        """Send each entry the length summary of one other, of each in turn."""
         self._schedule(self._now_s + LENGTH_EXCHANGE_INTERVAL_S, self._exchange_lengths)
         self._exchange_round = self._exchange_round % (len(self._entries) - 1) + 1
         for number, entry in enumerate(self._entries):
@@ -306,7 +308,7 @@
             self._interrupt(self._sessions[number])
 
     def _interrupt(self, session: _Session) -> None:
-        """End a stream that was being read; run anything else again elsewhere."""
+        """End a stream that was being read; run any other request again elsewhere."""
         if session.line.stream and session.decoded_tokens > 0:
             self._tally.lost += 1
             self._end(session, EndReason.FAILED)
--- a/egretstack/replay/_run.py
+++ b/egretstack/replay/_run.py
@@ -1,4 +1,4 @@
-"""Replays a trace under one policy after the other."""
+"""Replays a trace under one policy."""
 
 import random
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 
 def resolve_policy_names(name: str) -> list[str]:
-    """Give the policies that a name stands for, the oracle last."""
+    """Return the policies that a name refers to, the oracle last."""
     if name == ALL_POLICIES:
         return [*POLICIES, ORACLE]
     return [name]
@@ -31,8 +31,8 @@
 ) -> Figures:
     """Replay a trace under one policy; the same arguments give the same figures.
 
-    Each entry has its own instance of the policy. The oracle is one instance that sees every
-    request and its length. `left_out` are parts of the default policy that are taken out.
+    Each entry has its own instance of the policy. The oracle is a single instance that sees every
+    request and its length. `disabled_features` are switched off in the default policy.
     """
     if policy == ORACLE:
         lengths = {RequestId(str(n)): line.output_tokens for n, line in enumerate(lines)}
--- a/egretstack/replay/_site.py
+++ b/egretstack/replay/_site.py
@@ -1,4 +1,4 @@
-"""Reads ENGINES.ini: the engines a trace is replayed against, and what contracts promise."""
+"""Reads the engines file: the engines that a trace is replayed against, and contract terms."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class ServiceTerms:
-    """What the contracts of a service's callers say."""
+    """The terms in the contracts of a service's callers."""
 
     start_deadline_s: float = 10.0
     max_output_tokens: int = 32_000
@@ -87,23 +87,23 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """The engines, and the terms of each service."""
+    """The engines of a replay, and the contract terms of each service."""
 
     engines: tuple[EngineSpec, ...]
     terms_by_service: dict[ServiceName, ServiceTerms]
 
     def serves(self, service: ServiceName, model: ModelName) -> bool:
-        """Tell whether an engine of the service serves the model."""
+        """Return whether an engine of the service serves the model."""
         infos = (engine.info for engine in self.engines)
         return any(info.service == service and model in info.models for info in infos)
 
     def terms(self, service: ServiceName) -> ServiceTerms:
-        """Give the terms of a service."""
+        """Return the contract terms of a service, or the defaults."""
         return self.terms_by_service.get(service, ServiceTerms())
 
 
 def read_deployment(path: Path) -> Deployment:
-    """Read the file; raise UserError that names file, section and key of each fault."""
+    """Read an engines file; raise UserError that names the file, section and key of each fault."""
     engines: list[EngineSpec] = []
     terms = {}
     for section, keys in read_ini(path).items():
--- a/egretstack/replay/_trace.py
+++ b/egretstack/replay/_trace.py
@@ -1,4 +1,4 @@
-"""Reads traces: one JSON object a line, each a request and the length its answer had."""
+"""Reads traces: one JSON object per line, each a request and the length of its answer."""
 
 import json
 from collections.abc import Iterator
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceLine:
-    """One recorded request. `output_tokens` is hidden from every policy but the oracle."""
+    """One recorded request. Only the oracle policy sees `output_tokens`."""
 
     at_s: float
     account: AccountId
@@ -34,14 +34,14 @@
 
 
 class _InvalidField(Exception):
-    """A field is wrong."""
+    """Raised for a field with an invalid value."""
 
     def __init__(self, field: str, allowed: str) -> None:
         super().__init__(f"{field}: allowed: {allowed}")
 
 
 def read_trace(path: Path, deployment: Deployment) -> list[TraceLine]:
-    """Read a trace; raise UserError that names file, line and field of the first fault."""
+    """Read a trace; raise UserError that names the file, line and field of the first fault."""
     lines: list[TraceLine] = []
     try:
         for number, text in _read_lines(path):
--- a/egretstack/reports/__init__.py
+++ b/egretstack/reports/__init__.py
@@ -1,4 +1,4 @@
-"""Reports on service-level burn, from Prometheus text."""
+"""Reports on service-level burn from saved metrics, and on single requests from saved logs."""
 
 from egretstack.reports._burn import (
     BUDGET_WINDOW,
--- a/egretstack/reports/_burn.py
+++ b/egretstack/reports/_burn.py
@@ -1,9 +1,9 @@
-"""Burn of service-level budgets over several windows.
+"""Burn rates of service-level error budgets over several windows.
 
 The burn rate is the share of bad events in a window, divided by the share that may be bad: at 1
 the budget lasts exactly as long as the period it is meant for. Alerts need a long window, so that
-a few bad events do not ring, and a short one, so that they stop soon after the cause has (Beyer
-and others, "The Site Reliability Workbook", chapter 5, "Alerting on SLOs").
+a few bad events raise none, and a short one, so that they stop soon after the cause has ended
+(Beyer and others, "The Site Reliability Workbook", chapter 5, "Alerting on SLOs").
 """
 
 from bisect import bisect_right
@@ -17,7 +17,7 @@
 
 
 class Window(Enum):
-    """A span of time that ends with the newest snapshot: name and length in seconds."""
+    """A time window that ends with the newest snapshot: its label and its length in seconds."""
 
     FIVE_MINUTES = ("5m", 300.0)
     HALF_HOUR = ("30m", 1_800.0)
@@ -31,11 +31,11 @@
 
 
 BUDGET_WINDOW = Window.THREE_DAYS
-"""Period over which the budget left is told."""
+"""Window over which the remaining budget is computed."""
 
 
 class Alert(Enum):
-    """What a burn asks of an operator: burn rate, and the long and the short window."""
+    """An alert: label, burn rate from which it is raised, long window and short window."""
 
     PAGE_FAST = ("page", 14.4, Window.HOUR, Window.FIVE_MINUTES)
     PAGE_SLOW = ("page", 6.0, Window.SIX_HOURS, Window.HALF_HOUR)
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class WindowBurn:
-    """The events of one window. `covered_s` is how much of it the snapshots cover, in seconds."""
+    """The events of one window; the snapshots cover `covered_s` seconds of it."""
 
     window: Window
     total: int
@@ -60,18 +60,18 @@
 
     @property
     def bad(self) -> int:
-        """Give the events that missed the target."""
+        """Return the number of events that missed the target."""
         return self.total - self.good
 
     @property
     def rate(self) -> float:
-        """Give the burn rate; 0 without events."""
+        """Return the burn rate; 0 without events."""
         return self.bad / self.total / (1 - self.target_share) if self.total else 0.0
 
 
 @dataclass(frozen=True)
 class LevelBurn:
-    """One account's burn of one objective. `target_s` is None where the target is no time."""
+    """One account's burn of one objective. `target_s` is None if its target is not a time."""
 
     account: AccountId
     objective: Objective
@@ -81,17 +81,17 @@
 
     @property
     def rates(self) -> tuple[float, ...]:
-        """Give the burn rate of each window."""
+        """Return the burn rate of each window."""
         return tuple(burn.rate for burn in self.burn_by_window.values())
 
     @property
     def budget_left(self) -> float:
-        """Give the share of the budget that is left; below 0 once it is overspent."""
+        """Return the share of the budget that is left; negative when it is overspent."""
         return 1 - self.burn_by_window[BUDGET_WINDOW].rate
 
     @property
     def alert(self) -> Alert | None:
-        """Give the most urgent alert that both of its windows call for."""
+        """Return the most urgent alert whose burn rate is reached in both of its windows."""
         for alert in Alert:
             burns = (self.burn_by_window[alert.long], self.burn_by_window[alert.short])
             if all(burn.rate >= alert.rate for burn in burns):
@@ -100,7 +100,7 @@
 
 
 def compute_burns(snapshots: Sequence[Snapshot]) -> list[LevelBurn]:
-    """Work out every account's burn at the time of the newest snapshot."""
+    """Compute the burn of every account and objective at the time of the newest snapshot."""
     end_s = max(one.at_s for one in snapshots)
     histories = _group_by_instance(snapshots)
     newest_by_key = {place: one for one in snapshots for place in one.share_by_level}
@@ -149,12 +149,12 @@
 
 
 def _started_within(history: list[Snapshot], begin_s: float) -> bool:
-    """Tell whether the process of the first snapshot started inside the window."""
+    """Return whether the process of the first snapshot started within the window."""
     return history[0].started_s >= begin_s
 
 
 def _find_window_start(history: list[Snapshot], begin_s: float) -> tuple[int, float]:
-    """Give the snapshot that a window starts from, and the time from which it is covered."""
+    """Return the index of a window's first snapshot, and the time from which it is covered."""
     index = bisect_right([one.at_s for one in history], begin_s) - 1
     if index >= 0:
         return index, begin_s
@@ -162,7 +162,7 @@
 
 
 def _compute_growth(history: list[Snapshot], key: LevelKey, *, from_zero: bool) -> Tally:
-    """Add up what the counters grew by; a process that restarted counts from 0 again."""
+    """Sum the growth of the counters; a process that restarted counts from 0 again."""
     growth = Tally()
     if from_zero:
         _add_difference(growth, _tally_of(history[0], key), Tally())
--- a/egretstack/reports/_explain.py
+++ b/egretstack/reports/_explain.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, over saved logs of several instances."""
+"""Finds out from the saved logs of several instances how a request ended, and why."""
 
 import json
 from collections.abc import Iterable
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class LogLine:
-    """One line of one instance; `time` orders lines as far as the instances' clocks agree."""
+    """One log line of one instance; `time` orders lines as far as the instances' clocks agree."""
 
     time: str
     instance: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Explanation:
-    """A request's story in lines, and its cause in one sentence."""
+    """The log lines that concern a request, and the cause of its outcome in one sentence."""
 
     request: str
     lines: tuple[LogLine, ...]
@@ -50,7 +50,7 @@
 
 
 def read_log(lines: Iterable[str]) -> list[LogLine]:
-    """Read the JSON lines of a log; text before a line's JSON is left out, as is all else."""
+    """Parse the JSON lines of a log; skip text before a line's JSON, and any other lines."""
     parsed = []
     for text in lines:
         start = text.find(_JSON_START)
@@ -75,7 +75,7 @@
 
 
 def explain(request: str, lines: list[LogLine]) -> Explanation:
-    """Give the story of a request; `lines` may come from several instances, in any order."""
+    """Explain a request's outcome; `lines` may come from several instances, in any order."""
     ordered = sorted(lines, key=lambda line: line.time)
     own = [line for line in ordered if line.fields.get("request") == request]
     if not own:
@@ -86,7 +86,7 @@
 
 
 def _find_context(own: list[LogLine], ordered: list[LogLine]) -> list[LogLine]:
-    """Give what was known of the request's runners, and what befell its instances."""
+    """Return the lines about the request's runners and about the state of its instances."""
     runners = _runners_named(own)
     instances = {line.instance for line in own}
     first, last = own[0].time, own[-1].time
@@ -116,7 +116,7 @@
 
 
 def _last_own_line(own: list[LogLine]) -> LogLine:
-    """Give the last line that the request itself wrote; what became of a runner comes later."""
+    """Return the request's last line; `run_broken` may follow its end, so it does not count."""
     return next((line for line in reversed(own) if line.name != "run_broken"), own[-1])
 
 
--- a/egretstack/reports/_forms.py
+++ b/egretstack/reports/_forms.py
@@ -1,4 +1,4 @@
-"""The burn report as text and as JSON."""
+"""Formats the burn report as text and as JSON."""
 
 import json
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 
 
 def text_report(burns: Sequence[LevelBurn]) -> str:
-    """Give a table with the burn rate of each window; `~` marks a window covered in part."""
+    """Return a table of burn rates by window; `~` marks a window that is only partly covered."""
     windows = "".join(f" {window.label:>8}" for window in Window)
     lines = [f"{_HEADER}{windows} {'left':>7} alert"]
     lines.extend(_format_line(burn) for burn in burns)
@@ -25,18 +25,18 @@
 
 
 def json_report(burns: Sequence[LevelBurn]) -> str:
-    """Give all figures as JSON; times in seconds, shares and burn rates as fractions."""
+    """Return all figures as JSON; times in seconds, shares and burn rates as fractions."""
     return json.dumps([_make_row(burn) for burn in burns], indent=2)
 
 
 def format_target(burn: LevelBurn) -> str:
-    """Write a target, such as `95% in 0.63 s`."""
+    """Format a target, such as `95% in 0.63 s`."""
     share = f"{burn.target_share * 100:g}%"
     return share if burn.target_s is None else f"{share} in {burn.target_s:g} s"
 
 
 def format_duration(seconds: float) -> str:
-    """Write a length of time in the largest unit that suits."""
+    """Format a duration in hours, minutes or seconds."""
     if seconds >= HOUR_S:
         return f"{seconds / HOUR_S:.1f} h"
     if seconds >= MINUTE_S:
--- a/egretstack/reports/_page.py
+++ b/egretstack/reports/_page.py
@@ -1,4 +1,4 @@
-"""The burn report as one HTML page that needs nothing beside it."""
+"""Formats the burn report as one self-contained HTML page."""
 
 from collections.abc import Sequence
 from html import escape
@@ -15,8 +15,8 @@
 svg { max-width: 100%; height: auto; }"""
 
 
-def html_report(burns: Sequence[LevelBurn], taken_at: str) -> str:
-    """Give the page; `taken` says of when the newest snapshot is."""
+def html_report(burns: Sequence[LevelBurn], taken: str) -> str:
+    """Return the page; `taken` is the time of the newest snapshot, as text."""
     heads = ["account", "objective", "target", *[w.label for w in Window], "budget left", "alert"]
     cells = "".join(f"<th>{escape(head)}</th>" for head in heads)
     rows = "\n".join(_make_row(burn) for burn in burns)
@@ -25,7 +25,7 @@
 <head><meta charset="utf-8"><title>Service-level burn</title><style>{_STYLE}</style></head>
 <body>
 <h1>Service-level burn</h1>
-<p>As of {escape(taken_at)}. A burn rate of 1 spends the budget exactly over its period; a window that
+<p>As of {escape(taken)}. A burn rate of 1 spends the budget exactly over its period; a window that
 the snapshots cover in part is marked with what they cover.</p>
 {render_svg(burn_figure(burns))}
 <table>
--- a/egretstack/reports/_plots.py
+++ b/egretstack/reports/_plots.py
@@ -19,7 +19,7 @@
 
 
 def burn_figure(burns: Sequence[LevelBurn]) -> Figure:
-    """Draw the burn rate of every window and the budget left, one row an objective."""
+    """Plot the burn rate of every window and the budget left, with one row for each objective."""
     height = HEADER_INCHES + ROW_INCHES * 2 * max(1, len(burns))
     figure = Figure(figsize=(WIDTH_INCHES, height), layout="constrained")
     rates, left = figure.subplots(1, 2, sharey=True, width_ratios=(3, 1))
@@ -32,7 +32,7 @@
 
 
 def render_svg(figure: Figure) -> str:
-    """Give a figure as an SVG element without the file's head; the same figure gives the same."""
+    """Return a figure as an SVG element without XML header; equal figures give equal text."""
     out = StringIO()
     with rc_context({"svg.hashsalt": SVG_SALT}):
         figure.savefig(out, format="svg", metadata={"Date": None, "Creator": None})
@@ -41,7 +41,7 @@
 
 
 def render_png(figure: Figure) -> bytes:
-    """Give a figure as a PNG image."""
+    """Return a figure as a PNG image."""
     out = BytesIO()
     figure.savefig(out, format="png", dpi=PNG_DPI, metadata={"Software": None})
     return out.getvalue()
--- a/egretstack/reports/_samples.py
+++ b/egretstack/reports/_samples.py
@@ -1,4 +1,4 @@
-"""Sums over samples of Prometheus text."""
+"""Sums over Prometheus samples."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 
 
 def sessions_by_account(samples: Iterable[Sample]) -> Counter:
-    """Sum ended sessions by account and outcome."""
+    """Return the number of ended sessions by account and outcome."""
     totals: Counter = Counter()
     for sample in samples:
         if sample.name == "egret_sessions_total":
--- a/egretstack/reports/_snapshots.py
+++ b/egretstack/reports/_snapshots.py
@@ -1,7 +1,7 @@
-"""Snapshots of entries' metrics, from files of Prometheus text.
+"""Reads snapshots of entries' metrics from files of Prometheus text.
 
-A snapshot tells by itself which instance it is of, when it was taken and when its process
-started, so file names and their order mean nothing.
+Each snapshot contains the id of its instance, the time at which it was taken and the start time of
+the process, so the names of the files and their order do not matter.
 """
 
 from collections.abc import Iterable
@@ -34,7 +34,7 @@
 
 @dataclass
 class Snapshot:
-    """What one process had counted when it was asked; times in seconds since the epoch."""
+    """The counters of one process at one time; times are in seconds since the epoch."""
 
     instance: InstanceId
     at_s: float
@@ -45,7 +45,7 @@
 
 
 def read_snapshots(files: Iterable[Path]) -> list[Snapshot]:
-    """Read files, oldest snapshot first; raise UserError that names the file."""
+    """Return the snapshots in files, oldest first; raise UserError that names an invalid file."""
     paths = list(files)
     if not paths:
         raise UserError("no files were named; save the metrics of the entries first")
@@ -59,7 +59,7 @@
 
 
 def read_samples(files: Iterable[Path]) -> list[Sample]:
-    """Read every sample of the files; raise UserError that names the file."""
+    """Return every sample in the files; raise UserError that names an invalid file."""
     samples: list[Sample] = []
     for path in files:
         try:
--- a/scripts/_capacity_lines.py
+++ b/scripts/_capacity_lines.py
@@ -29,7 +29,7 @@
 
 
 def entry_lines(slopes: Slopes) -> list[Line]:
-    """Give what passing sessions on costs one entry process."""
+    """Return what passing sessions on costs one entry process."""
     return [
         Line(
             "tokens",
@@ -67,7 +67,7 @@
 
 
 def instance_lines(slopes: Slopes) -> list[Line]:
-    """Give what control costs each instance, with its entry and its steward."""
+    """Return what control costs each instance, with its entry and its steward."""
     return [
         *_list_lines(slopes),
         *_report_lines(slopes),
@@ -228,7 +228,7 @@
 
 
 def limits_lines(slopes: Slopes) -> list[Line]:
-    """Give what lending limits costs an instance, as entry and as home."""
+    """Return what lending limits costs an instance, as entry and as home."""
     carrier = "limits lent by an account's home instance, renewed by the entries that use them"
     basis = f"{ACTIVE_ACCOUNTS} active accounts on each entry"
     return [
@@ -242,7 +242,7 @@
 
 
 def relay_lines(slopes: Slopes) -> list[Line]:
-    """Give what the busiest steward sends while changes pass."""
+    """Return what the busiest steward sends while changes pass."""
     return [
         Line(
             "news and changed parts",
@@ -256,7 +256,7 @@
 
 
 def ledger_lines(slopes: Slopes) -> list[Line]:
-    """Give what calls that may not be repeated cost the object API."""
+    """Return what calls that may not be repeated cost the object API."""
     basis = f"{LEDGER_CALLS_PER_S} such calls a second, over 40 entries"
     carrier = "shards with group commit, each written by its home instance alone"
     return [
@@ -301,7 +301,7 @@
 
 
 def object_api_lines(slopes: Slopes) -> list[Line]:
-    """Give what the whole fleet asks of the object API."""
+    """Return what the whole fleet asks of the object API."""
     return [
         Line(
             "configuration, at rest",
@@ -331,7 +331,7 @@
 
 
 def prose_figures(slopes: Slopes) -> dict[str, str]:
-    """Give the figures that the page's prose names."""
+    """Return the figures that the page's prose names."""
     writes = slopes.slope_by_name["ledger.writes"]
     token_us = slopes.unit_cost("path.entry_token_cpu")
     report_us = slopes.unit_cost("path.entry_idle_cpu") / REPORTS_PER_RUNNER
--- a/scripts/_capacity_platform.py
+++ b/scripts/_capacity_platform.py
@@ -9,7 +9,7 @@
 
 
 def placing_home_lines(slopes: Slopes) -> list[Line]:
-    """Give what the one home of the users' platform costs, were it alone at the target."""
+    """Return what the one home of the users' platform costs, were it alone at the target."""
     reports = TARGET.nodes / REPORT_PERIOD_S
     sessions = TARGET.open_sessions
     return [
@@ -41,7 +41,7 @@
 
 
 def platform_prose_figures(slopes: Slopes) -> dict[str, str]:
-    """Give the figures that the page's sentences on the platform name."""
+    """Return the figures that the page's sentences on the platform name."""
     return {
         "whole_news": format_amount(
             slopes.value_at("fleet.instance_news_wire", TARGET.nodes)
--- a/scripts/_sheet.py
+++ b/scripts/_sheet.py
@@ -43,7 +43,7 @@
 
     @property
     def fits(self) -> bool:
-        """Tell whether this line alone stays within the bound."""
+        """Return whether this line alone stays within the bound."""
         return is_within(self.value, self.resource.bound)
 
 
@@ -82,7 +82,7 @@
             self.slope_by_name[name] = fit(short_name, unit, per, value_by_size)
 
     def value_at(self, name: str, size: float) -> float:
-        """Give the value at a size by the fitted line.
+        """Return the value at a size by the fitted line.
 
         Where the line falls, which only scatter makes it do, it gives the largest value measured.
         """
@@ -92,7 +92,7 @@
         return max(0.0, slope.base + slope.each * size)
 
     def unit_cost(self, name: str) -> float:
-        """Give what one more costs."""
+        """Return what one more costs."""
         return self.slope_by_name[name].each
 
 
@@ -134,7 +134,7 @@
 
 
 def is_within(value: float, bound: float | None) -> bool:
-    """Tell whether a value stays within a bound, where there is one."""
+    """Return whether a value stays within a bound, where there is one."""
     return bound is None or value <= bound
 
 
--- a/scripts/_slope.py
+++ b/scripts/_slope.py
@@ -59,7 +59,7 @@
 
 
 def measure_held_bytes(make: Callable[[], object]) -> int:
-    """Give the memory that what `make` returns holds on to, in bytes."""
+    """Return the memory that what `make` returns holds on to, in bytes."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -74,7 +74,7 @@
 
 
 def measure_cpu_us(function: Callable[[], object], rounds: int = 1) -> float:
-    """Give the processor time of one round of `work` in microseconds: the best of several."""
+    """Return the processor time of one round of `work` in microseconds: the best of several."""
     best = float("inf")
     for _ in range(REPEATS):
         started_s = time.process_time()
--- a/scripts/_target.py
+++ b/scripts/_target.py
@@ -28,32 +28,32 @@
 
     @property
     def changes(self) -> float:
-        """Give the changes of configuration in a second."""
+        """Return the changes of configuration in a second."""
         return self.changes_a_day / DAY_S
 
     @property
     def members(self) -> int:
-        """Give the members of the instance list."""
+        """Return the members of the instance list."""
         return self.nodes + self.runners
 
     @property
     def parts(self) -> int:
-        """Give the parts of the configuration: contracts, and a description for each model."""
+        """Return the parts of the configuration: contracts, and a description for each model."""
         return self.accounts + self.models
 
     @property
     def node_tokens(self) -> float:
-        """Give the tokens one node passes on."""
+        """Return the tokens one node passes on."""
         return self.tokens / self.nodes
 
     @property
     def node_requests(self) -> float:
-        """Give the requests one node takes."""
+        """Return the requests one node takes."""
         return self.requests / self.nodes
 
     @property
     def open_sessions(self) -> float:
-        """Give the sessions open on one node, were every gap as long as its target allows.
+        """Return the sessions open on one node, were every gap as long as its target allows.
 
         A stream makes at least one token in each gap, so there are at most tokens times gap.
         """
@@ -61,7 +61,7 @@
 
     @property
     def tokens_a_session(self) -> float:
-        """Give the mean length of an output."""
+        """Return the mean length of an output."""
         return self.tokens / self.requests
 
 
--- a/scripts/account_of_loss.py
+++ b/scripts/account_of_loss.py
@@ -75,11 +75,11 @@
     lines: list[tuple[float, dict]] = field(default_factory=list)
 
     def first(self, name: str) -> dict | None:
-        """Give the first line of an event."""
+        """Return the first line of an event."""
         return next((line for _, line in self.lines if line["name"] == name), None)
 
     def has(self, name: str) -> bool:
-        """Tell whether an event is there."""
+        """Return whether an event is there."""
         return self.first(name) is not None
 
 
@@ -109,7 +109,7 @@
 
 
 def _read_kinds(site: Path) -> list[RequestKind]:
-    """Give the kinds of generations by rank, and last the plain requests as one kind."""
+    """Return the kinds of generations by rank, and last the plain requests as one kind."""
     classes = tomllib.loads(site.read_text())["classes"]
     kinds = [
         RequestKind(
@@ -174,7 +174,7 @@
 
 
 def _find_cause(kind: RequestKind, attempt: AttemptLog) -> Cause | None:
-    """Give why a request was not served in time; None if it was."""
+    """Return why a request was not served in time; None if it was."""
     if attempt.has("stream_ended"):
         return _find_late_cause(kind, attempt)
     if attempt.has("stream_lost"):
--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -17,7 +17,7 @@
 
 
 def capacity_page(slopes: Slopes) -> str:
-    """Give the text of the page; a place that names nothing known is a KeyError."""
+    """Return the text of the page; a place that names nothing known is a KeyError."""
     fit_runs(slopes)
     figures = prose_figures(slopes)
 
--- a/scripts/hunt_days.py
+++ b/scripts/hunt_days.py
@@ -111,7 +111,7 @@
 
 
 def _format_interval(differences: list[float]) -> str:
-    """Give how far the mean of paired differences may be off, in 95 of 100 rounds."""
+    """Return how far the mean of paired differences may be off, in 95 of 100 rounds."""
     if len(differences) < 2:
         return ""
     error = statistics.stdev(differences) / len(differences) ** 0.5
--- a/scripts/make_trace.py
+++ b/scripts/make_trace.py
@@ -227,7 +227,7 @@
 
 
 def format_engines_file(spec: SiteSpec, day_s: float) -> str:
-    """Give the engines file of a site; the first engine is reclaimed at the peak."""
+    """Return the engines file of a site; the first engine is reclaimed at the peak."""
     stall, preemptions, tail = spec.weights
     sections = [
         f"[service.{spec.service}]\nstart_deadline_s = 10\nmax_output_tokens = {MAX_OUTPUT}\n"
--- a/scripts/path_site.py
+++ b/scripts/path_site.py
@@ -76,7 +76,7 @@
     entry_pid: int
 
     def entry_cpu_s(self) -> float:
-        """Give the processor time the entry has used, in seconds."""
+        """Return the processor time the entry has used, in seconds."""
         fields = Path(f"/proc/{self.entry_pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / _CLOCK_TICKS
 
--- a/scripts/slopes_accounts.py
+++ b/scripts/slopes_accounts.py
@@ -63,7 +63,7 @@
 
 
 def snapshot_bytes(accounts: int) -> int:
-    """Give the length of all pieces in which a starting instance takes the configuration."""
+    """Return the length of all pieces in which a starting instance takes the configuration."""
     snapshot = make_snapshot(accounts)
     total = 0
     after = ""
--- a/scripts/slopes_configuration.py
+++ b/scripts/slopes_configuration.py
@@ -54,13 +54,13 @@
 
 
 def make_contract(name: str, mark: int) -> dict[str, dict[str, str]]:
-    """Give a contract of about 1 KB."""
+    """Return a contract of about 1 KB."""
     digests = ",".join(f"{mark + place:064x}" for place in range(14))
     return {"contract": {"account": name, "key_sha256": digests}}
 
 
 def make_snapshot() -> Snapshot:
-    """Give 700 contracts as revision 1."""
+    """Return 700 contracts as revision 1."""
     names = [f"account-{number}" for number in range(CONTRACTS)]
     sections = {f"contract.{name}": make_contract(name, 1) for name in names}
     digests = {part: part_digest(one) for part, one in sections.items()}
@@ -69,7 +69,7 @@
 
 
 def with_change(snapshot: Snapshot, number: int) -> Snapshot:
-    """Give the next revision, with one contract changed."""
+    """Return the next revision, with one contract changed."""
     name = f"account-{number % CONTRACTS}"
     part = f"contract.{name}"
     sections = snapshot.sections_by_part | {part: make_contract(name, number + 1000)}
@@ -149,7 +149,7 @@
 
 
 def make_members(count: int) -> list[Member]:
-    """Give the stewards of a fleet in ten availability zones."""
+    """Return the stewards of a fleet in ten availability zones."""
     return [
         Member(
             f"i-{number}",
--- a/scripts/slopes_fleet.py
+++ b/scripts/slopes_fleet.py
@@ -69,7 +69,7 @@
 
 
 def wire_slopes() -> list[Slope]:
-    """Give the slopes of bytes, which do not depend on the machine."""
+    """Return the slopes of bytes, which do not depend on the machine."""
     quiet = {n: _update_bytes(NEWEST, n, 0) for n in INSTANCES}
     instances = {n: _update_bytes(0, n, 0) for n in INSTANCES}
     runners = {n: _update_bytes(0, 0, n) for n in ENGINES}
@@ -82,7 +82,7 @@
 
 
 def make_known_instance(number: int) -> KnownInstance:
-    """Give an instance."""
+    """Return an instance."""
     instance = FleetInstance(
         InstanceId(f"edge-zone-{number}"),
         ZoneName("zone-a"),
@@ -94,14 +94,14 @@
 
 
 def make_engine(number: int) -> Runner:
-    """Give an engine."""
+    """Return an engine."""
     address = f"10.2.{number // 250}.{number % 250}:8087"
     start = Incarnation(RunnerName(f"i-{number:010x}"), 1_700_000_000_000 + number)
     return Runner(start, SERVICE, address, ZoneName("zone-a"), 24, RunnerState.READY, 0)
 
 
 def make_request(name: str) -> GenerationRequest:
-    """Give a long generation."""
+    """Return a long generation."""
     return GenerationRequest(
         name, SERVICE, 3_000, 1_756, 500, 0, 1.8, 3.6, f"{hash(name) & (1 << 64) - 1:016x}"
     )
@@ -135,7 +135,7 @@
 
 
 def _update_bytes(held_version: int, instances: int, engines: int) -> float:
-    """Give the bytes of all that the home tells an instance that holds a version."""
+    """Return the bytes of all that the home tells an instance that holds a version."""
     publisher = UpdatePublisher(lambda: 1 << 52, HeldVersion(), VersionedRows())
     publisher.replace_rows(_make_rows(instances, engines))
     instance_id = InstanceId("e")
--- a/scripts/slopes_ledger.py
+++ b/scripts/slopes_ledger.py
@@ -79,7 +79,7 @@
         api = InProcessObjectApi(self.store)
         if self.mode == "per-call":
             return PerCallLedger(api)
-        if self.mode == "homed" and hasattr(self, "home"):
+        if self.mode == "homed" and hasattr(self, "home_store"):
             return self.home_store
         self.home_store = ShardStore(api, epoch, nursery, self.shards, self.pace_s)
         return self.home_store
--- a/scripts/slopes_limits.py
+++ b/scripts/slopes_limits.py
@@ -60,7 +60,7 @@
 
 
 def _measure_memory(nodes: int, contracts: list, entries_by_account: dict) -> int:
-    """Give the bytes that one node holds more after each of its accounts was active."""
+    """Return the bytes that one node holds more after each of its accounts was active."""
     fleet = Fleet(nodes, contracts)
     gc.collect()
     tracemalloc.start()
@@ -76,7 +76,7 @@
 
 
 def measure_use(nodes: int, spread: int, over: float, burst: int, slots: int) -> dict:
-    """Give what share of the rate and of the slots is used with demand on `spread` entries."""
+    """Return what share of the rate and of the slots is used with demand on `spread` entries."""
     return {
         "kind": "use",
         "nodes": nodes,
@@ -123,7 +123,7 @@
 
 
 def measure_overshoot(fault: str, nodes: int = 20, slots: int = 100) -> dict:
-    """Give the most open requests, as a multiple of the contract, during and after a fault."""
+    """Return the most open requests, as a multiple of the contract, during and after a fault."""
     fleet = Fleet(nodes, [contract("acme", 100, 100, slots)])
     rng = random.Random(SEED)
     home = fleet.home_of("acme")
--- a/scripts/slopes_membership.py
+++ b/scripts/slopes_membership.py
@@ -106,7 +106,7 @@
 
 
 def _measure_steps(size: int, runners: int) -> dict[str, float]:
-    """Give the longest time that one change, and one reading of the list, hold the loop."""
+    """Return the longest time that one change, and one reading of the list, hold the loop."""
     listed = [instance(number) for number in range(size)]
     listed += [runner(number) for number in range(runners)]
     state = MembershipState(listed[0], 0.0, EPOCH_S, random.Random(1))
--- a/scripts/slopes_policy.py
+++ b/scripts/slopes_policy.py
@@ -56,7 +56,7 @@
 
 
 def make_request(number: int, now_s: float) -> SchedulingRequest:
-    """Give one request."""
+    """Return one request."""
     account = AccountId(f"account-{number % 20}")
     return SchedulingRequest(
         id=RequestId(str(number)),
--- a/tests/burn_fixtures.py
+++ b/tests/burn_fixtures.py
@@ -1,4 +1,4 @@
-"""Saved metrics of entries, made by the product's own registry at chosen times."""
+"""Saved metrics of entries, written by the product's own registry at given times."""
 
 import tempfile
 from collections.abc import Iterator
@@ -15,28 +15,30 @@
 
 
 class Entry:
-    """An entry whose clock a test sets; `save` writes what its operator port would answer."""
+    """An entry with a settable clock; `save` writes what its operator port would answer."""
 
-    def __init__(self, folder: Path, name: str = "entry-a", started_s: float = 1_000_000.0) -> None:
-        self._folder = folder
+    def __init__(
+        self, directory: Path, name: str = "entry-a", started_s: float = 1_000_000.0
+    ) -> None:
+        self._directory = directory
         self.name = name
         self.now_s = started_s
         self.metrics = Metrics(name, lambda: self.now_s)
 
     def levels(self, account: AccountId = ACME) -> AccountLevels:
-        """Give the counts of an account."""
+        """Return the service-level counts of an account."""
         return self.metrics.levels.of(account, TARGETS)
 
     def save(self, at_s: float) -> Path:
-        """Save the metrics as they are at a time."""
+        """Save the metrics at a time; return the file."""
         self.now_s = at_s
-        path = self._folder / f"{self.name}-{at_s:.0f}-{id(self)}.prom"
+        path = self._directory / f"{self.name}-{at_s:.0f}-{id(self)}.prom"
         path.write_bytes(generate_latest(self.metrics.registry))
         return path
 
 
 @contextmanager
 def saved_files() -> Iterator[Path]:
-    """Give a folder that goes with the block."""
-    with tempfile.TemporaryDirectory() as folder:
-        yield Path(folder)
+    """Yield a temporary directory that is removed after the block."""
+    with tempfile.TemporaryDirectory() as directory:
+        yield Path(directory)
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""The burn report: windows, restarts, several entries, and what it refuses to read."""
+"""The burn report: windows, restarts, several entries, and files that it rejects."""
 
 import json
 import re
@@ -25,13 +25,13 @@
 
 
 def burn_of(files, objective=Objective.GAP):
-    [found] = [one for one in compute_burns(read_snapshots(files)) if one.objective is objective]
-    return found
+    [burn] = [b for b in compute_burns(read_snapshots(files)) if b.objective is objective]
+    return burn
 
 
 def test_a_burn_rate_is_the_share_of_bad_events_over_the_share_allowed():
-    with saved_files() as folder:
-        entry = Entry(folder, started_s=START_S)
+    with saved_files() as directory:
+        entry = Entry(directory, started_s=START_S)
         entry.levels().gap(0.05, 90)
         entry.levels().gap(0.2, 10)
         burn = burn_of([entry.save(START_S + 60)])
@@ -39,11 +39,11 @@
     check.assertAlmostEqual(burn.budget_left, -1.0)
 
 
-def test_a_target_between_two_buckets_of_the_histogram_is_judged_exactly():
-    # 0.06 s lies between the buckets 0.054 and 0.072: a report made from buckets would have to
-    # guess for the gaps of 0.055 to 0.06 s.
-    with saved_files() as folder:
-        entry = Entry(folder)
+def test_a_target_between_two_histogram_buckets_is_evaluated_exactly():
+    # 0.06 s lies between the bucket bounds 0.054 and 0.072: from the buckets alone, a report could
+    # not tell whether the gaps of 0.055 to 0.06 s met the target.
+    with saved_files() as directory:
+        entry = Entry(directory)
         levels = entry.levels()
         levels.targets = type(levels.targets)(0.63, 0.06, 0.95)
         levels.gap(0.0599)
@@ -52,9 +52,9 @@
     check.assertEqual((tally.total, tally.good), (2, 1))
 
 
-def test_windows_start_from_the_snapshot_before_them():
-    with saved_files() as folder:
-        entry = Entry(folder, started_s=START_S)
+def test_a_window_starts_from_the_snapshot_before_it():
+    with saved_files() as directory:
+        entry = Entry(directory, started_s=START_S)
         entry.levels().gap(0.2, 100)
         files = [entry.save(START_S + DAY_S)]
         entry.levels().gap(0.01, 100)
@@ -65,9 +65,9 @@
     check.assertEqual((long.total, long.bad), (200, 100))
 
 
-def test_a_window_covered_in_part_says_so():
-    with saved_files() as folder:
-        entry = Entry(folder, started_s=START_S - 10 * DAY_S)
+def test_a_partly_covered_window_is_marked():
+    with saved_files() as directory:
+        entry = Entry(directory, started_s=START_S - 10 * DAY_S)
         entry.levels().gap(0.2, 100)
         files = [entry.save(START_S)]
         entry.levels().gap(0.01, 10)
@@ -80,15 +80,15 @@
 
 
 def test_a_restarted_entry_counts_from_zero_again():
-    # The operator sees a burn that is too low, or below zero, after each restart. The counters
-    # of the new process start at 0, and so the growth since the last snapshot seems negative.
-    # The time at which the process started is in each snapshot and tells them apart, also when
-    # the new process has already counted more than the old one had.
-    with saved_files() as folder:
-        old = Entry(folder, started_s=START_S)
+    # If a restart is missed, the report shows a burn that is too low, or negative: the counters of
+    # the new process start at 0, so they seem to shrink since the last snapshot. Each snapshot
+    # has the start time of its process, which shows the restart even when the new process has
+    # already counted more than the old one.
+    with saved_files() as directory:
+        old = Entry(directory, started_s=START_S)
         old.levels().gap(0.2, 10)
         files = [old.save(START_S + 100)]
-        new = Entry(folder, started_s=START_S + 150)
+        new = Entry(directory, started_s=START_S + 150)
         new.levels().gap(0.2, 50)
         files.append(new.save(START_S + 200))
         burn = burn_of(files)
@@ -96,10 +96,10 @@
 
 
 def test_entries_are_added_up_and_a_file_given_twice_counts_once():
-    with saved_files() as folder:
+    with saved_files() as directory:
         files = []
         for name in ("entry-a", "entry-b"):
-            entry = Entry(folder, name, START_S)
+            entry = Entry(directory, name, START_S)
             entry.levels().gap(0.2, 5)
             files.append(entry.save(START_S + 60))
         burn = burn_of([*files, files[0]])
@@ -107,8 +107,8 @@
 
 
 def test_alerts_need_both_windows():
-    with saved_files() as folder:
-        entry = Entry(folder, started_s=START_S)
+    with saved_files() as directory:
+        entry = Entry(directory, started_s=START_S)
         files = [entry.save(START_S + 2700)]
         entry.levels().gap(0.2, 900)
         entry.levels().gap(0.01, 100)
@@ -116,14 +116,14 @@
         check.assertIs(burn_of(files).alert, Alert.PAGE_FAST)
         entry.levels().gap(0.01, 1000)
         files.append(entry.save(START_S + 3300))
-        calmed = burn_of(files)
-    check.assertLess(calmed.burn_by_window[Window.FIVE_MINUTES].rate, Alert.PAGE_FAST.rate)
-    check.assertIsNot(calmed.alert, Alert.PAGE_FAST)
+        recovered = burn_of(files)
+    check.assertLess(recovered.burn_by_window[Window.FIVE_MINUTES].rate, Alert.PAGE_FAST.rate)
+    check.assertIsNot(recovered.alert, Alert.PAGE_FAST)
 
 
-def test_the_report_comes_as_json_and_as_one_page():
-    with saved_files() as folder:
-        entry = Entry(folder, started_s=START_S)
+def test_the_report_as_json_and_as_an_html_page():
+    with saved_files() as directory:
+        entry = Entry(directory, started_s=START_S)
         entry.levels().first_token(0.2)
         entry.levels().ended(kept=False)
         entry.levels(AccountId("zeta")).gap(0.2, 3)
@@ -137,29 +137,29 @@
     check.assertEqual(page, html_report(burns, "now"))
 
 
-def test_files_that_are_no_snapshot_are_refused_by_name():
-    good = 'egret_snapshot_seconds{instance_id="a"} 5\negret_start_seconds{instance_id="a"} 1\n'
+def test_files_that_are_not_snapshots_are_rejected_by_name():
+    valid = 'egret_snapshot_seconds{instance_id="a"} 5\negret_start_seconds{instance_id="a"} 1\n'
     labels = '{account="acme",objective="gap"}'
-    faults = {
+    error_by_text = {
         "": "0 samples of egret_snapshot_seconds",
         "{": "is not Prometheus text",
-        good.replace('"a"', '"../a"'): "names no instance",
-        good + good.replace('"a"', '"b"'): "2 samples",
-        good.replace(" 5", " NaN"): "is nan",
-        good + f"egret_level_events_total{labels} 3\n": "no share between 0 and 1",
-        good + f"egret_level_events_total{labels} -1\n": "is -1",
-        good
+        valid.replace('"a"', '"../a"'): "names no instance",
+        valid + valid.replace('"a"', '"b"'): "2 samples",
+        valid.replace(" 5", " NaN"): "is nan",
+        valid + f"egret_level_events_total{labels} 3\n": "no share between 0 and 1",
+        valid + f"egret_level_events_total{labels} -1\n": "is -1",
+        valid
         + 'egret_level_events_total{account="acme"} 1\n': "without an account and an objective",
-        good
+        valid
         + f"egret_level_events_total{labels} 1\negret_level_good_total{labels} 2\n": "more good",
     }
-    with saved_files() as folder:
-        path = folder / "x.prom"
-        for text, said in faults.items():
+    with saved_files() as directory:
+        path = directory / "x.prom"
+        for text, error in error_by_text.items():
             path.write_text(text)
             with check.assertRaises(UserError) as caught:
                 read_snapshots([path])
-            check.assertIn(said, str(caught.exception))
+            check.assertIn(error, str(caught.exception))
             check.assertIn(str(path), str(caught.exception))
     with check.assertRaises(UserError):
         read_snapshots([])
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page follows from the kept slopes, and the slopes from their measurements."""
+"""The capacity page agrees with the stored slopes, and the slopes with their measurements."""
 
 import json
 import re
@@ -11,51 +11,53 @@
 
 load_tests = tests_of(globals())
 
-NAMED = re.compile(r"`([a-z]+\.[a-z_]+)`: ")
+SLOPE_NAME = re.compile(r"`([a-z]+\.[a-z_]+)`: ")
 ROUNDING = 0.005
 
 
-def kept_rows():
+def read_stored_rows():
     return [json.loads(line) for line in SLOPES_FILE.read_text().splitlines()]
 
 
-def all_slopes():
+def read_all_slopes():
     slopes = Slopes()
     fit_runs(slopes)
     return slopes
 
 
-def test_the_page_is_what_the_slopes_give():
+def test_the_page_is_up_to_date_with_the_slopes():
     check.assertEqual(PAGE.read_text(), capacity_page(Slopes()), "run make slopes, or capacity.py")
 
 
 def test_every_slope_on_the_page_was_measured():
-    named = set(NAMED.findall(PAGE.read_text()))
-    check.assertTrue(named)
-    check.assertLessEqual(named, all_slopes().slope_by_name.keys())
+    names = set(SLOPE_NAME.findall(PAGE.read_text()))
+    check.assertTrue(names)
+    check.assertLessEqual(names, read_all_slopes().slope_by_name.keys())
 
 
-def test_every_kept_slope_is_the_least_squares_line_of_its_values():
+def test_every_stored_slope_is_the_least_squares_line_of_its_values():
     fields = Slope.__dataclass_fields__.keys()
-    for row in kept_rows():
+    for row in read_stored_rows():
         script = row.pop("script")
         if row.keys() != fields:
             continue
-        again = fit(
+        line = fit(
             row["name"],
             row["unit"],
             row["per"],
             dict(zip(row["sizes"], row["values"], strict=True)),
         )
-        top = max(abs(value) for value in row["values"])
+        max_value = max(abs(value) for value in row["values"])
         for size in row["sizes"]:
-            kept = row["base"] + row["each"] * size
-            fresh = again.base + again.each * size
-            check.assertLessEqual(abs(kept - fresh), ROUNDING * top, f"{script}: {row['name']}")
+            stored = row["base"] + row["each"] * size
+            refitted = line.base + line.each * size
+            check.assertLessEqual(
+                abs(stored - refitted), ROUNDING * max_value, f"{script}: {row['name']}"
+            )
 
 
 def test_every_line_says_whether_it_fits():
-    slopes = all_slopes()
+    slopes = read_all_slopes()
     page = PAGE.read_text()
     for lines in LINES_BY_TABLE.values():
         for line in lines(slopes):
--- a/tests/test_dispatching.py
+++ b/tests/test_dispatching.py
@@ -19,7 +19,7 @@
 from egretstack.replay import read_deployment, read_trace, replay
 from egretstack.services.dispatching import Dispatching
 from tests.support import check, tests_of
-from tests.test_replay import files, trace_of
+from tests.test_replay import files, make_trace
 from tests.test_world import open_story, read_all, small_site
 
 load_tests = tests_of(globals())
@@ -52,7 +52,7 @@
             policies = {id(one.kernel.get(Dispatching)._policy) for one in entries}
     live = {type(event) for policy, event, _ in handled if id(policy) in policies}
     check.assertLessEqual({Arrived, Progressed, Ended, InstancesSeen, RunnerReported}, live)
-    with recorded_events() as handled, files(trace_of(5)) as (trace, path):
+    with recorded_events() as handled, files(make_trace(5)) as (trace, path):
         site = read_deployment(path)
         replay(read_trace(trace, site), site, DEFAULT_POLICY, entries=2, seed=1)
     check.assertLessEqual(live - {Evicted}, {type(event) for _, event, _ in handled})
--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -1,4 +1,4 @@
-"""The model of an engine: prompts take time for all, memory is never overdrawn."""
+"""The engine model: prefill delays the whole batch, and memory is never exceeded."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -18,8 +18,8 @@
 )
 
 
-def run(model, until=None):
-    """Step to the end; give the time of each output by generation."""
+def run_steps(model, until=None):
+    """Step until idle, or until a time; return the kind and time of each output by generation."""
     times = {}
     while (at_s := model.next_step_s()) is not None and (until is None or at_s <= until):
         for output in model.step(at_s):
@@ -31,52 +31,52 @@
     model.submit(now_s, name, prompt_tokens=prompt, output_tokens=output, **more)
 
 
-def test_the_first_token_comes_after_the_prompt_is_read():
+def test_the_first_token_comes_after_prefill():
     model = EngineModel(PARAMETERS)
     submit(model, "a", 400, 2)
-    times = [at_s for _, at_s in run(model)["a"]]
+    times = [at_s for _, at_s in run_steps(model)["a"]]
     check.assertAlmostEqual(times[0], 0.42)
     check.assertAlmostEqual(times[1], 0.44)
 
 
-def test_a_prompt_stalls_everyone_in_the_batch():
+def test_prefill_of_a_prompt_stalls_the_whole_batch():
     model = EngineModel(PARAMETERS)
     submit(model, "a", 1, 3)
     first_s = model.next_step_s()
     submit(model, "b", 300, 1)
-    tokens = [at_s for kind, at_s in run(model)["a"] if kind is OutputKind.TOKEN]
+    tokens = [at_s for kind, at_s in run_steps(model)["a"] if kind is OutputKind.TOKEN]
     check.assertAlmostEqual(tokens[0], first_s)
     check.assertAlmostEqual(tokens[1] - tokens[0], 0.02 + 0.3)
     check.assertAlmostEqual(tokens[2] - tokens[1], 0.02)
 
 
-def test_a_long_prompt_is_read_over_several_steps():
+def test_a_long_prompt_is_prefilled_over_several_steps():
     model = EngineModel(PARAMETERS)
     submit(model, "a", 800, 1)
     check.assertAlmostEqual(model.next_step_s(), 0.52)
     check.assertEqual(model.step(0.52), [])
-    check.assertAlmostEqual(run(model)["a"][0][1], 0.84)
+    check.assertAlmostEqual(run_steps(model)["a"][0][1], 0.84)
 
 
-def test_a_cached_prefix_is_not_read_again():
+def test_a_cached_prefix_is_not_prefilled_again():
     model = EngineModel(PARAMETERS)
     submit(model, "a", 400, 1, prefix="p")
-    run(model)
+    run_steps(model)
     submit(model, "b", 400, 1, now_s=10.0, prefix="p")
-    check.assertAlmostEqual(run(model)["b"][0][1] - 10.0, 0.02 + 0.4 * 0.3)
+    check.assertAlmostEqual(run_steps(model)["b"][0][1] - 10.0, 0.02 + 0.4 * 0.3)
 
 
-def test_the_least_valuable_is_preempted_and_read_again():
+def test_the_lowest_priority_is_preempted_and_prefilled_again():
     model = EngineModel(PARAMETERS)
-    submit(model, "kept", 450, 100, priority=2)
-    submit(model, "taken", 450, 100, priority=1)
-    outputs = run(model)
-    kinds = [kind for kind, _ in outputs["taken"]]
+    submit(model, "high", 450, 100, priority=2)
+    submit(model, "low", 450, 100, priority=1)
+    outputs = run_steps(model)
+    kinds = [kind for kind, _ in outputs["low"]]
     check.assertIn(OutputKind.PREEMPTED, kinds)
-    check.assertNotIn(OutputKind.PREEMPTED, [kind for kind, _ in outputs["kept"]])
+    check.assertNotIn(OutputKind.PREEMPTED, [kind for kind, _ in outputs["high"]])
     check.assertEqual(kinds.count(OutputKind.TOKEN), 100)
-    cut = kinds.index(OutputKind.PREEMPTED)
-    gap_s = outputs["taken"][cut + 1][1] - outputs["taken"][cut - 1][1]
+    preempted_at = kinds.index(OutputKind.PREEMPTED)
+    gap_s = outputs["low"][preempted_at + 1][1] - outputs["low"][preempted_at - 1][1]
     check.assertGreater(gap_s, 0.45)
 
 
--- a/tests/test_expected.py
+++ b/tests/test_expected.py
@@ -1,4 +1,4 @@
-"""Replays of the committed traces stay within the outcomes stated in expected/."""
+"""Replays of the committed traces stay within the bounds stated in expected/."""
 
 import json
 from pathlib import Path
@@ -12,14 +12,14 @@
 EXPECTED = sorted((ROOT / "expected").glob("*.json"))
 
 
-def replayed(stated, policy):
-    site = read_deployment(ROOT / "traces" / stated["engines"])
-    lines = read_trace(ROOT / "traces" / stated["trace"], site)
-    return replay(lines, site, policy, entries=stated["entries"], seed=stated["seed"])
+def replay_trace(spec, policy):
+    deployment = read_deployment(ROOT / "traces" / spec["engines"])
+    lines = read_trace(ROOT / "traces" / spec["trace"], deployment)
+    return replay(lines, deployment, policy, entries=spec["entries"], seed=spec["seed"])
 
 
-def outside(where, bounds, value_of):
-    """Give the figures that lie outside their bounds, in words."""
+def find_violations(where, bounds, value_of):
+    """Return a message for each figure that lies outside its bounds."""
     return [
         f"{where} {name}: {value_of(name)} is not within {low} to {high}"
         for name, (low, high) in bounds.items()
@@ -29,17 +29,19 @@
 
 def test_traces_end_as_stated():
     check.assertGreaterEqual(len(EXPECTED), 2)
-    faults = []
+    violations = []
     for path in EXPECTED:
-        stated = json.loads(path.read_text())
-        own = replayed(stated, "default")
-        faults += outside(path.name, stated["default"], lambda name, own=own: getattr(own, name))
+        spec = json.loads(path.read_text())
+        figures = replay_trace(spec, "default")
+        violations += find_violations(
+            path.name, spec["default"], lambda name, figures=figures: getattr(figures, name)
+        )
         for policy in ("least-loaded", "oracle"):
-            other = replayed(stated, policy)
+            other_figures = replay_trace(spec, policy)
 
-            def ratio(name, own=own, other=other):
-                return getattr(own, name) / max(1e-9, getattr(other, name))
+            def ratio(name, figures=figures, other_figures=other_figures):
+                return getattr(figures, name) / max(1e-9, getattr(other_figures, name))
 
-            bounds = stated["to_" + policy.replace("-", "_")]
-            faults += outside(f"{path.name} to {policy}", bounds, ratio)
-    check.assertEqual(faults, [])
+            bounds = spec["to_" + policy.replace("-", "_")]
+            violations += find_violations(f"{path.name} to {policy}", bounds, ratio)
+    check.assertEqual(violations, [])
