--- a/scripts/_capacity_lines.py
+++ b/scripts/_capacity_lines.py
@@ -1,4 +1,4 @@
-"""The lines of the capacity page, role by role, from the kept slopes."""
+"""Computes the lines of the capacity page, role by role, from the stored slopes."""
 
 from collections.abc import Callable
 
@@ -9,19 +9,19 @@
 from scripts._target import BOUNDS, DAY_S, TARGET
 
 PROCESSES = 2
-"""Processes of an instance: its entry and its steward."""
+"""Processes per instance: an entry and a steward."""
 LIST_PERIOD_S = ReadingPlan.make(1.0, TARGET.members, 0, TARGET.nodes).period_s
-"""Time between two reads of the instance list by one process, as the product plans it."""
+"""Time between two reads of the instance list by one process, as planned by the product."""
 REPORTS_PER_RUNNER = 2
-"""Load reports read of each runner in a second when the kept slope for idle entries was run."""
+"""Load reports read per runner and second when the stored slope of idle entries was measured."""
 REPORTS_PER_S = 2.0
-"""Load reports an entry reads in a second, whatever the number of runners: the default of the
-setting `engines.report_readings_per_s`."""
+"""Load reports that an entry reads per second, independent of the number of runners: the default
+of the setting `engines.report_readings_per_s`."""
 CORE_US_PER_S = 1_000_000
 ACTIVE_ACCOUNTS = 10
-"""Accounts an entry serves at once, were each account's callers spread over six entries."""
+"""Accounts active on an entry if the callers of each account are spread over six entries."""
 LEDGER_CALLS_PER_S = 800
-"""Calls a second that may not be repeated, the most that was run; the users give no figure."""
+"""At-most-once calls per second: the highest rate that was run; the users give no figure."""
 
 _LIST_CARRIER = "processes take turns; what one finds spreads with heartbeats"
 _REPORTS_CARRIER = f"each entry reads at most {MAX_REPORTS} runners, at a bounded rate"
@@ -29,7 +29,7 @@
 
 
 def entry_lines(slopes: Slopes) -> list[Line]:
-    """Return what passing sessions on costs one entry process."""
+    """Return the costs of serving sessions for one entry process."""
     return [
         Line(
             "tokens",
@@ -67,7 +67,7 @@
 
 
 def instance_lines(slopes: Slopes) -> list[Line]:
-    """Return what control costs each instance, with its entry and its steward."""
+    """Return the control costs of each instance: those of its entry and its steward."""
     return [
         *_list_lines(slopes),
         *_report_lines(slopes),
@@ -228,7 +228,7 @@
 
 
 def limits_lines(slopes: Slopes) -> list[Line]:
-    """Return what lending limits costs an instance, as entry and as home."""
+    """Return the costs of granting limits for an instance, as entry and as limits home."""
     carrier = "limits lent by an account's home instance, renewed by the entries that use them"
     basis = f"{ACTIVE_ACCOUNTS} active accounts on each entry"
     return [
@@ -242,7 +242,7 @@
 
 
 def relay_lines(slopes: Slopes) -> list[Line]:
-    """Return what the busiest steward sends while changes pass."""
+    """Return the traffic of the busiest steward while changes are distributed."""
     return [
         Line(
             "news and changed parts",
@@ -256,7 +256,7 @@
 
 
 def ledger_lines(slopes: Slopes) -> list[Line]:
-    """Return what calls that may not be repeated cost the object API."""
+    """Return the object API calls that at-most-once calls cause."""
     basis = f"{LEDGER_CALLS_PER_S} such calls a second, over 40 entries"
     carrier = "shards with group commit, each written by its home instance alone"
     return [
@@ -280,7 +280,7 @@
 
 
 def fit_runs(slopes: Slopes) -> None:
-    """Fit the runs of parts that print runs."""
+    """Fit slopes to the rows of the scripts that print runs rather than slopes."""
     for value, name, unit in (
         ("bytes_per_s", "limits.traffic", "bytes/s"),
         ("cpu_us_per_s", "limits.cpu", "us/s"),
@@ -301,7 +301,7 @@
 
 
 def object_api_lines(slopes: Slopes) -> list[Line]:
-    """Return what the whole fleet asks of the object API."""
+    """Return the object API calls of the whole fleet."""
     return [
         Line(
             "configuration, at rest",
@@ -331,7 +331,7 @@
 
 
 def prose_figures(slopes: Slopes) -> dict[str, str]:
-    """Return the figures that the page's prose names."""
+    """Return the figures that the prose of the page refers to."""
     writes = slopes.slope_by_name["ledger.writes"]
     token_us = slopes.unit_cost("path.entry_token_cpu")
     report_us = slopes.unit_cost("path.entry_idle_cpu") / REPORTS_PER_RUNNER
--- a/scripts/_capacity_platform.py
+++ b/scripts/_capacity_platform.py
@@ -1,15 +1,15 @@
-"""The lines of the capacity page for the users' platform, from the kept slopes."""
+"""Computes the capacity page's lines for the users' platform from the stored slopes."""
 
 from egretstack.fleet import REPORT_PERIOD_S
 from scripts._sheet import Line, Resource, Slopes, format_amount
 from scripts._target import TARGET
 
 CURRENT_ENGINES = 24
-"""Engines of the larger of the users' two sites after it has grown."""
+"""Engines of the larger of the users' two deployments after its planned growth."""
 
 
 def placing_home_lines(slopes: Slopes) -> list[Line]:
-    """Return what the one home of the users' platform costs, were it alone at the target."""
+    """Return the costs of the single placing home of the users' platform at the target size."""
     reports = TARGET.nodes / REPORT_PERIOD_S
     sessions = TARGET.open_sessions
     return [
@@ -41,7 +41,7 @@
 
 
 def platform_prose_figures(slopes: Slopes) -> dict[str, str]:
-    """Return the figures that the page's sentences on the platform name."""
+    """Return the figures that the prose on the platform refers to."""
     return {
         "whole_news": format_amount(
             slopes.value_at("fleet.instance_news_wire", TARGET.nodes)
--- a/scripts/_sheet.py
+++ b/scripts/_sheet.py
@@ -1,4 +1,4 @@
-"""Lines of the capacity page: a measured slope carried to the target and held against a bound."""
+"""Lines of the capacity page: measured slopes extrapolated to the target, and their bounds."""
 
 import json
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 
 class Resource(Enum):
-    """What is spent, its unit, and its bound."""
+    """A resource: label, unit, and bound, or None if there is no bound."""
 
     CPU = ("processor time", "us/s", BOUNDS.cpu_us)
     MEMORY = ("memory", "bytes", BOUNDS.memory_bytes)
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Line:
-    """One cost of one role. `sum_of` says in words how the value follows from the slopes."""
+    """One cost of one role. `basis` describes how the value follows from the slopes."""
 
     cost: str
     resource: Resource
@@ -43,12 +43,12 @@
 
     @property
     def fits(self) -> bool:
-        """Return whether this line alone stays within the bound."""
+        """Return whether this line on its own stays within the bound."""
         return is_within(self.value, self.resource.bound)
 
 
 class Slopes:
-    """The kept slopes by name, such as `accounts.metrics_memory` of `slopes_accounts.py`."""
+    """The stored slopes by name, such as `accounts.metrics_memory` from `slopes_accounts.py`."""
 
     def __init__(self, path: Path = SLOPES_FILE) -> None:
         self.slope_by_name: dict[str, Slope] = {}
@@ -65,10 +65,10 @@
     def fit_rows(
         self, name: str, unit: str, size: tuple[str, str], value: str, **filters: object
     ) -> None:
-        """Fit the rows of a part that prints its runs and not slopes, such as `limits.traffic`.
+        """Fit a slope to the rows of a script that prints runs and not slopes (`limits.traffic`).
 
-        `size` is what a run's size counts and the field that holds it, `value` the field that
-        was measured; `only` picks runs by other fields.
+        `size` is the unit of a run's size and the field that holds the size; `value` is the field
+        with the measured value; `filters` select runs by other fields.
         """
         part, _, short_name = name.partition(".")
         per, size_field = size
@@ -82,9 +82,9 @@
             self.slope_by_name[name] = fit(short_name, unit, per, value_by_size)
 
     def value_at(self, name: str, size: float) -> float:
-        """Return the value at a size by the fitted line.
+        """Return the value at a size on the fitted line.
 
-        Where the line falls, which only scatter makes it do, it gives the largest value measured.
+        A line falls only because of scatter; for such a line, return the largest measured value.
         """
         slope = self.slope_by_name[name]
         if slope.each <= 0:
@@ -92,12 +92,12 @@
         return max(0.0, slope.base + slope.each * size)
 
     def unit_cost(self, name: str) -> float:
-        """Return what one more costs."""
+        """Return the cost of one more unit."""
         return self.slope_by_name[name].each
 
 
 def format_amount(value: float, unit: str) -> str:
-    """Write a value so that a person can read it."""
+    """Format a value with its unit for people to read."""
     head, _, tail = unit.partition("/")
     rate = "/" + tail if tail else ""
     if head == "bytes" and value >= MEGABYTE:
@@ -110,7 +110,7 @@
 
 
 def format_slope(slope: Slope) -> str:
-    """Write a slope as a line with its unit."""
+    """Format a slope as base and cost per unit."""
     if len(slope.sizes) == 1:
         return f"{slope.each:,.4g} {slope.unit} a {slope.per}"
     if slope.each <= 0:
@@ -119,7 +119,7 @@
 
 
 def format_table(lines: Iterable[Line], slopes: Slopes) -> str:
-    """Write lines as a table, with the sum of each resource below."""
+    """Format lines as a table, with the total of each resource below."""
     rows = [
         "| cost | carried by | measured | sum at the target | bound | |",
         "| --- | --- | --- | --- | --- | --- |",
@@ -134,12 +134,12 @@
 
 
 def is_within(value: float, bound: float | None) -> bool:
-    """Return whether a value stays within a bound, where there is one."""
+    """Return whether a value is within a bound; None means no bound."""
     return bound is None or value <= bound
 
 
 def format_verdict(value: float, bound: float | None) -> str:
-    """Say whether a value stays within a bound."""
+    """Return the text that says whether a value is within a bound."""
     if bound is None:
         return ""
     return "fits" if value <= bound else "**does not fit**"
@@ -152,7 +152,10 @@
     resource = line.resource
     total = f"{line.basis}: {format_amount(line.value, resource.unit)}"
     verdict = format_verdict(line.value, resource.bound)
-    return f"| {line.cost} | {line.carried_by} | {measured} | {total} | {_format_bound(resource)} | {verdict} |"
+    return (
+        f"| {line.cost} | {line.carried_by} | {measured} | {total} "
+        f"| {_format_bound(resource)} | {verdict} |"
+    )
 
 
 def _format_total_row(resource: Resource, value: float) -> str:
--- a/scripts/_slope.py
+++ b/scripts/_slope.py
@@ -1,4 +1,4 @@
-"""A measured slope: values at several sizes, fitted by least squares and printed as a JSON line."""
+"""Slopes: values measured at several sizes, fitted by least squares, printed as JSON lines."""
 
 import gc
 import json
@@ -14,11 +14,10 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """`value = base + each * size`, with the points it was fitted to.
+    """A fitted line `value = base + each * size`, with the points that it was fitted to.
 
-    `per` names what the size counts. `worst` is the largest distance of a point from the line,
-    as a share of the largest value: near 0 for a straight line, and a warning not to carry the
-    line to the target where it is large.
+    `per` is the unit of the size. `worst` is the largest residual as a share of the largest value:
+    close to 0 if the points are on a line; if it is large, do not extrapolate to the target.
     """
 
     name: str
@@ -59,7 +58,7 @@
 
 
 def measure_held_bytes(make: Callable[[], object]) -> int:
-    """Return the memory that what `make` returns holds on to, in bytes."""
+    """Return the memory held by the object that `make` returns, in bytes."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -74,7 +73,7 @@
 
 
 def measure_cpu_us(function: Callable[[], object], rounds: int = 1) -> float:
-    """Return the processor time of one round of `work` in microseconds: the best of several."""
+    """Return the processor time of one call of `function` in microseconds, the best of several."""
     best = float("inf")
     for _ in range(REPEATS):
         started_s = time.process_time()
--- a/scripts/_target.py
+++ b/scripts/_target.py
@@ -1,4 +1,4 @@
-"""The size to build towards, and the bounds it has to stay within."""
+"""The target size of a deployment, and the bounds on its control costs."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """The target size. Rates are for each second unless the name says otherwise."""
+    """The target size. Rates are per second unless the name says otherwise."""
 
     nodes: int = 420
     runners: int = 1_700
@@ -28,34 +28,34 @@
 
     @property
     def changes(self) -> float:
-        """Return the changes of configuration in a second."""
+        """Return the configuration changes per second."""
         return self.changes_a_day / DAY_S
 
     @property
     def members(self) -> int:
-        """Return the members of the instance list."""
+        """Return the number of members in the instance list."""
         return self.nodes + self.runners
 
     @property
     def parts(self) -> int:
-        """Return the parts of the configuration: contracts, and a description for each model."""
+        """Return the number of configuration parts: contracts, and a description for each model."""
         return self.accounts + self.models
 
     @property
     def node_tokens(self) -> float:
-        """Return the tokens one node passes on."""
+        """Return the tokens per second that one node relays."""
         return self.tokens / self.nodes
 
     @property
     def node_requests(self) -> float:
-        """Return the requests one node takes."""
+        """Return the requests per second that one node receives."""
         return self.requests / self.nodes
 
     @property
     def open_sessions(self) -> float:
-        """Return the sessions open on one node, were every gap as long as its target allows.
+        """Return the sessions open on one node if every gap is as long as its target allows.
 
-        A stream makes at least one token in each gap, so there are at most tokens times gap.
+        A stream produces at least one token per gap, so at most tokens times gap are open.
         """
         return self.tokens * self.gap_s / self.nodes
 
@@ -67,15 +67,15 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """What control may cost. Processor time is in microseconds a second, sizes in bytes."""
+    """Bounds on control costs. Processor time is in microseconds per second, sizes in bytes."""
 
     cpu_us: float = 12_000
     memory_bytes: float = 256 * MEGABYTE
     sent_bytes: float = 3 * KILOBYTE
     writes: float = 300
-    """Several hundred a second."""
+    """The requirement is "several hundred" per second."""
     reads: float = 2_000
-    """Each waiting watch is counted as one."""
+    """Each open watch counts as one read per second."""
 
 
 TARGET = Target()
--- a/scripts/account_of_loss.py
+++ b/scripts/account_of_loss.py
@@ -23,13 +23,13 @@
 
 _LINE = re.compile(r"\s*(-?[\d.]+) (\S+) (\{.*\})")
 ROUTE_RANKS = 100
-"""Ranks of routes that the log tells apart within one rank of client accounts."""
+"""Number of route ranks within one rank of client accounts in the logged rank."""
 LATE_WAIT_S = 0.2
-"""Wait for room from which a late first token counts as caused by it."""
+"""Queueing time from which a late first token is attributed to queueing."""
 
 
 class Cause(Enum):
-    """Why a request was not served in time; `avoidable` if some decision could have saved it."""
+    """Why a request was not served in time, and whether another decision could have avoided it."""
 
     PROCESS_ENDED = ("the process that served it ended", False)
     RUNNER_FAILED = ("the runner ran it and failed it", False)
@@ -52,13 +52,13 @@
 
 
 _NOT_COUNTED = (Cause.CLIENT_LEFT, Cause.NOT_OWED, Cause.OUT_OF_TIME)
-"""Causes whose requests are not owed. The log does not tell a request that only tries whether a
-timeout is in force from one that ran out of time at its runner; neither is counted."""
+"""Causes whose requests are not owed. The log does not distinguish a request that only tests a
+timeout from one that ran out of time at its runner, so neither is counted."""
 
 
 @dataclass(frozen=True)
 class RequestKind:
-    """A kind of request, as the site's sheet has it."""
+    """A kind of request from the site file."""
 
     name: str
     worth: float
@@ -69,17 +69,17 @@
 
 @dataclass
 class AttemptLog:
-    """What the log tells of one attempt."""
+    """The log lines of one attempt, and the instance that served it."""
 
     instance: str
     lines: list[tuple[float, dict]] = field(default_factory=list)
 
     def first(self, name: str) -> dict | None:
-        """Return the first line of an event."""
+        """Return the first line of an event, or None."""
         return next((line for _, line in self.lines if line["name"] == name), None)
 
     def has(self, name: str) -> bool:
-        """Return whether an event is there."""
+        """Return whether an event was logged."""
         return self.first(name) is not None
 
 
@@ -104,12 +104,12 @@
     lost = sum(worth for cause, worth in total_worth.items() if cause not in _NOT_COUNTED)
     avoidable = sum(worth for cause, worth in total_worth.items() if cause.is_avoidable)
     if not owed:
-        return  # No log line of a request that is owed.
+        return  # The logs contain no request that is owed.
     print(f"served {1 - lost / owed:.4f}, attainable {1 - (lost - avoidable) / owed:.4f}")
 
 
 def _read_kinds(site: Path) -> list[RequestKind]:
-    """Return the kinds of generations by rank, and last the plain requests as one kind."""
+    """Return the kinds of generations by rank, then the plain requests as a single kind."""
     classes = tomllib.loads(site.read_text())["classes"]
     kinds = [
         RequestKind(
@@ -134,7 +134,7 @@
         try:
             line = json.loads(match[3])
         except ValueError:
-            continue  # Player output that only looks like a log line.
+            continue  # Output of the player that only resembles a log line.
         attempt = line.get("request")
         if attempt:
             attempt_log = log_by_attempt.setdefault(attempt, AttemptLog(match[2]))
@@ -174,7 +174,7 @@
 
 
 def _find_cause(kind: RequestKind, attempt: AttemptLog) -> Cause | None:
-    """Return why a request was not served in time; None if it was."""
+    """Return why a request was not served in time, or None if it was."""
     if attempt.has("stream_ended"):
         return _find_late_cause(kind, attempt)
     if attempt.has("stream_lost"):
--- a/scripts/burn_picture.py
+++ b/scripts/burn_picture.py
@@ -1,4 +1,4 @@
-"""Draws the picture of the burn page: `burn_picture.py METRICS... PICTURE`."""
+"""Plots the picture of the burn page: `burn_picture.py METRICS... PICTURE`."""
 
 import sys
 from pathlib import Path
@@ -8,7 +8,7 @@
 
 
 def main() -> None:
-    """Draw."""
+    """Plot the picture."""
     *files, picture = (Path(argument) for argument in sys.argv[1:])
     picture.write_bytes(render_png(burn_figure(compute_burns(read_snapshots(files)))))
 
--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,7 +1,7 @@
-"""Makes `docs/CAPACITY.md` from its text and the kept slopes.
+"""Generates `docs/CAPACITY.md` from a template and the stored slopes.
 
-In the text, `{{table NAME}}` stands for a table and `{{NAME}}` for a figure, both worked out by
-`scripts/_capacity_lines.py`, so that no figure on the page can differ from the run it quotes.
+In the template, `{{table NAME}}` stands for a table and `{{NAME}}` for a figure, both computed by
+`scripts/_capacity_lines.py`, so that every figure on the page agrees with the run it comes from.
 """
 
 import re
@@ -17,7 +17,7 @@
 
 
 def capacity_page(slopes: Slopes) -> str:
-    """Return the text of the page; a place that names nothing known is a KeyError."""
+    """Return the text of the page; raise KeyError for an unknown placeholder."""
     fit_runs(slopes)
     figures = prose_figures(slopes)
 
--- a/scripts/demo_platform.py
+++ b/scripts/demo_platform.py
@@ -1,7 +1,7 @@
-"""Shows the users' platform in small: stand-ins, two entries, a stream that outlives its runner.
+"""Demo of the users' platform: stand-ins, two entries, and a stream that outlives its runner.
 
-The stand-ins run in this process, on loopback addresses; the entries are processes of their own,
-ended by the ids that were started here.
+The stand-ins run in this process, on loopback addresses. The entries are separate processes; the
+demo ends only the processes that it started.
 """
 
 import json
@@ -76,7 +76,7 @@
 def configure(
     store: StoreStandIn, plain_runner: PlainStandIn, engines: list[EngineStandIn]
 ) -> None:
-    """Write what the operator and the runners write."""
+    """Write the objects of the operator and the runners to the store."""
     store.put("servers", plain_runner.runner_id, runner_spec("desk", plain_runner.address))
     for engine in engines:
         store.put("servers", engine.runner_id, runner_spec("llm", engine.address))
@@ -85,7 +85,7 @@
 
 
 def start_entry(number: int, folder: Path) -> subprocess.Popen:
-    """Start an entry."""
+    """Start an entry process."""
     settings = folder / f"entry-{number}.conf"
     settings.write_text(_SETTINGS.format(number=number, ip=f"{NET}.21.{number + 1}", net=NET))
     return subprocess.Popen(
@@ -98,7 +98,7 @@
 async def drive_entries(
     store: StoreStandIn, engines: list[EngineStandIn], entries: list[subprocess.Popen]
 ) -> None:
-    """Drive the entries."""
+    """Send requests to the entries and print what they answer."""
     print_headline("which entries to use")
     addresses = await wait_for_two_addresses()
     print(json.dumps(addresses))
@@ -126,7 +126,7 @@
 async def read_moved_stream(
     address: str, store: StoreStandIn, engines: list[EngineStandIn]
 ) -> None:
-    """Read a stream, and let its engine leave after some events."""
+    """Read a stream whose engine is told to leave after some events."""
     head, body = client_request("/plans/ring-road", "demo-plan", method=b"POST", headers=GENERATION)
     connection = await connect_upstream(address, 2.0)
     await connection.send(head, body)
@@ -149,7 +149,7 @@
 
 
 async def wait_for_two_addresses() -> list[str]:
-    """Ask the directory until both entries are ready."""
+    """Query the directory until both entries are ready; return their addresses."""
     while True:
         try:
             addresses = await resolve(0)
@@ -161,7 +161,7 @@
 
 
 async def resolve(number: int) -> list[str]:
-    """Ask an entry's directory. Raises OSError, ValueError, KeyError."""
+    """Query the directory of an entry. Raises OSError, ValueError or KeyError."""
     target = f"/egretstack/resolve?name={HOST}&region=bajio&zone=leon-a".encode()
     head = RequestHead(b"GET", target, ((b"host", b"directory"),))
     _, data = await send_request(f"{NET}.21.{number + 1}:8746", head, b"")
@@ -169,7 +169,7 @@
 
 
 async def send_request(address: str, head: RequestHead, body: bytes):
-    """Make one request. Raises OSError."""
+    """Send one request; return the head and body of the response. Raises OSError."""
     try:
         connection = await connect_upstream(address, 2.0)
     except ConnectFailed as error:
--- a/scripts/hunt_days.py
+++ b/scripts/hunt_days.py
@@ -27,7 +27,7 @@
 
 @dataclass
 class Finding:
-    """One play and what came of it."""
+    """The result of one play."""
 
     site: str
     day: str
@@ -92,26 +92,26 @@
 def compare(before: Path, after: Path) -> None:
     """Show worth and broken rules of two rounds side by side."""
     finding_by_play = {(one.site, one.day, one.seed): one for one in _read_findings(before)}
-    differences = []
-    for finding in _read_findings(after):
-        earlier = finding_by_play.get((finding.site, finding.day, finding.seed))
-        if earlier is None or earlier.worth is None or finding.worth is None:
+    gains = []
+    for new in _read_findings(after):
+        old = finding_by_play.get((new.site, new.day, new.seed))
+        if old is None or old.worth is None or new.worth is None:
             continue
-        differences.append(finding.worth - earlier.worth)
-        if earlier.broken or finding.broken or abs(differences[-1]) >= 0.03:
+        gains.append(new.worth - old.worth)
+        if old.broken or new.broken or abs(gains[-1]) >= 0.03:
             print(
-                f"{finding.site} {finding.day} {finding.seed}: {earlier.worth:.3f} -> {finding.worth:.3f}",
+                f"{new.site} {new.day} {new.seed}: {old.worth:.3f} -> {new.worth:.3f}",
                 end="",
             )
-            print(f"  broken: {earlier.broken or '-'} -> {finding.broken or '-'}")
-    if differences:
+            print(f"  broken: {old.broken or '-'} -> {new.broken or '-'}")
+    if gains:
         print(
-            f"{len(differences)} plays, mean gain {statistics.mean(differences):+.4f}{_format_interval(differences)}"
+            f"{len(gains)} plays, mean gain {statistics.mean(gains):+.4f}{_format_interval(gains)}"
         )
 
 
 def _format_interval(differences: list[float]) -> str:
-    """Return how far the mean of paired differences may be off, in 95 of 100 rounds."""
+    """Format the half-width of the 95 % confidence interval of a mean of paired differences."""
     if len(differences) < 2:
         return ""
     error = statistics.stdev(differences) / len(differences) ** 0.5
--- a/scripts/load_client.py
+++ b/scripts/load_client.py
@@ -1,7 +1,7 @@
-"""Holds streams open against one address and prints what they saw, as one JSON line.
+"""Opens streams to one address and prints their latency and token counts as one JSON line.
 
-A process of its own, so that the cost of reading does not count against what is measured. It
-counts events in the raw bytes; decoding each would make this process the limit.
+It runs as a separate process, so that the cost of reading is not part of the measurement. It counts
+events in the raw bytes, because decoding each event would make this process the bottleneck.
 """
 
 import json
--- a/scripts/make_trace.py
+++ b/scripts/make_trace.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Makes a trace of one day at a site, and the engines file that goes with it.
+"""Generates a trace of one day at a site, and the engines file for it.
 
 A day is compressed to a quarter of an hour: 900 s of the trace. The load rises to a peak and
 falls again; the mean over the day is `--load` times what the engines can generate. At noon the
-lengths shift; one engine is reclaimed at the peak; a large account sends a burst. The file is
-named after the parameters: SITE-LOAD-SEED[-SECONDSs][-ENGINESe].jsonl.
+length distributions change; one engine is reclaimed at the peak; a large account sends a burst.
+The file is named after the parameters: SITE-LOAD-SEED[-SECONDSs][-ENGINESe].jsonl.
 """
 
 import json
@@ -20,7 +20,7 @@
 DAY_S = 900.0
 MAX_OUTPUT = 24_000
 RECLAIMED_AT_SHARE = 0.5
-"""Part of the day at which an engine goes."""
+"""Time at which an engine is reclaimed, as a fraction of the day."""
 BACK_AT_SHARE = 0.65
 NOON = 0.5
 BURST_SHARES = (0.6, 0.64)
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class RequestKind:
-    """One kind of request: its share, value and lengths (log-normal with a Pareto tail)."""
+    """One kind of request: share, value and length distribution (log-normal, Pareto tail)."""
 
     name: str
     request_share: float
@@ -40,14 +40,14 @@
     median_tokens: float
     sigma: float
     tail_share: float
-    """Part of the answers that are drawn from the tail."""
+    """Fraction of the answers whose length is drawn from the tail."""
     afternoon_factor: float
-    """Factor on the median after noon."""
+    """Factor on the median length after noon."""
 
 
 @dataclass(frozen=True)
 class SiteSpec:
-    """One user's service and kinds of requests."""
+    """The service, zones, engines and kinds of requests of one site."""
 
     service: str
     model: str
@@ -133,7 +133,7 @@
 
 
 def draw_requests(spec: SiteSpec, load: float, day_s: float, rng: random.Random) -> list[dict]:
-    """Draw a day's requests in the order of their times."""
+    """Draw the requests of a day, ordered by time."""
     rate = load * capacity_tokens_per_s(spec) / mean_output(spec) / _mean_load_factor()
     lines = []
     at_s = 0.0
@@ -151,9 +151,9 @@
 
 
 def capacity_tokens_per_s(spec: SiteSpec) -> float:
-    """Tokens a second when memory is full of sequences of mean size, half way through.
+    """Return the tokens per second when memory is full of half-generated mean-size sequences.
 
-    The mean size is taken by the time that sequences spend, not by their number.
+    The mean size is weighted by the time that sequences run, not by their number.
     """
     rng = random.Random("capacity")
     token_time = output = 0.0
@@ -167,7 +167,7 @@
 
 
 def mean_output(spec: SiteSpec) -> float:
-    """Mean length of an answer over the day, tokens."""
+    """Return the mean length of an answer over the day, in tokens."""
     rng = random.Random("mean")
     total = 0.0
     for _ in range(20_000):
@@ -227,7 +227,7 @@
 
 
 def format_engines_file(spec: SiteSpec, day_s: float) -> str:
-    """Return the engines file of a site; the first engine is reclaimed at the peak."""
+    """Return the text of a site's engines file; the first engine is reclaimed at the peak."""
     stall, preemptions, tail = spec.weights
     sections = [
         f"[service.{spec.service}]\nstart_deadline_s = 10\nmax_output_tokens = {MAX_OUTPUT}\n"
--- a/scripts/measure_idle.py
+++ b/scripts/measure_idle.py
@@ -1,7 +1,7 @@
-"""Measures the processor time of an entry that serves nobody, by the number of engines listed.
+"""Measures the processor time of an idle entry by the number of engines listed.
 
-Prints one JSON line for each number of engines: percent of one core, readings of the instance
-list and of load reports a second. The processes are real and on loopback. Run it as
+Prints one JSON line for each number of engines: percent of one core, and reads of the instance
+list and of load reports per second. The processes are real and use loopback. Run it as
 `python scripts/measure_idle.py [ENGINES ...]`.
 """
 
@@ -44,7 +44,7 @@
 
 
 async def _count_readings(client: httpx.AsyncClient, deployment: PathDeployment) -> tuple[int, int]:
-    """Count readings of the list and of all load reports so far."""
+    """Return the reads of the instance list and of all load reports so far."""
     calls = (await client.get(f"http://{NET}.0.10:9000/calls")).json()
     reports = 0
     for url in deployment.engine_urls:
--- a/scripts/measure_lengths.py
+++ b/scripts/measure_lengths.py
@@ -1,8 +1,9 @@
 #!/usr/bin/env python3
-"""Measures the calibration of the length model; prints one JSON line a figure.
+"""Measures the calibration of the length model; prints one JSON line per figure.
 
-On each trace the model learns from the sessions in the order in which they end, and before each
-begins, and when it has passed a length, the quantile is asked for and later compared.
+On each trace the model learns from the sessions in the order in which they end. Before each session
+begins, and whenever it passes one of a few lengths, the model's quantiles are recorded; they are
+compared with the actual length of the session.
 """
 
 import json
@@ -20,7 +21,7 @@
 
 
 def main() -> None:
-    """Print the share of sessions that each quantile held."""
+    """Print the share of sessions whose length was within each quantile."""
     for site, spec in SITES.items():
         for period in ("before noon", "after noon"):
             rows = [row for seed in SEEDS for row in _replay_quantiles(spec, seed, period)]
--- a/scripts/measure_path.py
+++ b/scripts/measure_path.py
@@ -1,7 +1,7 @@
-"""Measures what the way through an entry costs, against the same engines asked directly.
+"""Measures the overhead of requests through an entry, compared with direct requests to engines.
 
-Prints one JSON line a figure: time to first token as p50 and p95, tokens a second, and the
-entry's processor time for each token, at several numbers of concurrent streams.
+Prints one JSON line per number of concurrent streams: p50 and p95 of the time to first token,
+tokens per second, and the entry's processor time per token.
 """
 
 import json
@@ -39,7 +39,7 @@
 
 
 async def _run_load(urls: list[str], streams: int, key: str) -> dict[str, object]:
-    """Share the streams out over client processes and join what they saw."""
+    """Distribute the streams over client processes and merge their results."""
     clients = min(CLIENTS, streams)
     processes = []
     for number in range(clients):
--- a/scripts/measure_policy.py
+++ b/scripts/measure_policy.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Measures the policies on generated traces and prints one JSON line a figure.
+"""Measures the policies on generated traces and prints one JSON line per figure.
 
 Each figure is the mean over the seeds, for one site and load, with the ratio to the best baseline
-for that figure, to the baseline that finishes most value, and to the oracle. `--ablations` takes
-each part of the default policy out instead, and prints the figures without it.
+for that figure, to the baseline that finishes most value, and to the oracle. `--ablations` instead
+disables each feature of the default policy in turn and prints the figures without it.
 """
 
 import json
@@ -21,7 +21,7 @@
 from egretstack.replay import read_deployment, read_trace, replay
 
 HELD_OUT_SEEDS = (11, 12, 13)
-"""Seeds that no constant was chosen on."""
+"""Seeds that were not used to tune any constant."""
 LOADS = (1.0, 1.4)
 SECONDS = 300.0
 ENTRIES = 6
@@ -42,7 +42,7 @@
     "given_up": min,
     "lost": min,
 }
-"""Each figure with the function that finds the better of two."""
+"""Figures, each with the function that selects the better of two values."""
 
 app = App(help="Measure the policies against baselines and an oracle.")
 
@@ -60,7 +60,7 @@
     seconds: float = SECONDS
 
     def run(self) -> dict[str, float]:
-        """Replay and give the figures."""
+        """Replay the trace and return the figures."""
         suffix = f"-{self.seconds:g}s"
         deployment = read_deployment(self.folder / f"{self.site}{suffix}.ini")
         name = f"{self.site}-{self.load:g}-{self.seed}{suffix}.jsonl"
--- a/scripts/path_site.py
+++ b/scripts/path_site.py
@@ -1,7 +1,7 @@
-"""Starts one entry with its stand-ins as processes on loopback, for measurements.
+"""Starts one entry and its stand-ins as processes on loopback, for measurements.
 
-Engines are asked through the entry or directly with the same requests. Every process is ended
-by the id it was started with.
+The engines accept the same requests directly and through the entry. At the end, only the processes
+that were started here are terminated.
 """
 
 import json
@@ -68,7 +68,7 @@
 
 @dataclass
 class PathDeployment:
-    """The running site: where to ask, with which key, and the entry's process id."""
+    """A running deployment: URLs, the API key, and the process id of the entry."""
 
     entry_url: str
     engine_urls: list[str]
@@ -76,7 +76,7 @@
     entry_pid: int
 
     def entry_cpu_s(self) -> float:
-        """Return the processor time the entry has used, in seconds."""
+        """Return the processor time that the entry has used, in seconds."""
         fields = Path(f"/proc/{self.entry_pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / _CLOCK_TICKS
 
@@ -85,7 +85,7 @@
 async def open_path_deployment(
     net: str, engines: int, step_s: float
 ) -> AsyncIterator[PathDeployment]:
-    """Run the site for the length of the block."""
+    """Run the deployment for the duration of the block."""
     processes: list[subprocess.Popen] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
--- a/scripts/show_stream.py
+++ b/scripts/show_stream.py
@@ -1,4 +1,4 @@
-"""Prints the text of a streamed answer from standard input."""
+"""Prints the text of a streamed response from standard input."""
 
 import json
 import sys
@@ -7,7 +7,7 @@
 
 
 def main() -> None:
-    """Print deltas as they come, then how the stream ended."""
+    """Print deltas as they arrive, then the final status of the response."""
     for line in sys.stdin:
         if not line.startswith(DATA):
             continue
--- a/scripts/site_variants.py
+++ b/scripts/site_variants.py
@@ -20,11 +20,11 @@
 
 
 class NothingReplaced(Exception):
-    """A variant left the site as it was: the file names things otherwise than expected."""
+    """Raised if a variant changes nothing: the site file does not use the expected names."""
 
 
 def scale(names: tuple[str, ...], factor: float) -> Edit:
-    """Multiply each of some figures, wherever they stand."""
+    """Return an edit that multiplies the given figures wherever they occur."""
     pattern = re.compile(rf"\b({'|'.join(names)}) = (\d+(?:\.\d+)?)")
 
     def times(found: re.Match[str]) -> str:
@@ -36,13 +36,13 @@
 
 
 def switch_off(*names: str) -> Edit:
-    """Set some switches to false."""
+    """Return an edit that sets the given switches to false."""
     pattern = re.compile(rf"\b({'|'.join(names)}) = true")
     return lambda text: pattern.sub(r"\1 = false", text)
 
 
 def limit_to_one_machine_per_zone(text: str) -> str:
-    """Leave one machine in each zone, on the site and on each of its days."""
+    """Reduce each zone to one machine, in the site and in each of its days."""
     return re.sub(r'(class = "front".*?count = )\d+', r"\g<1>1", text)
 
 
--- a/scripts/slopes.py
+++ b/scripts/slopes.py
@@ -1,8 +1,8 @@
-"""Runs every `scripts/slopes_*.py` and keeps what they print in `docs/capacity-slopes.jsonl`.
+"""Runs every `scripts/slopes_*.py` and stores their output in `docs/capacity-slopes.jsonl`.
 
-Each script prints JSON lines; this one adds the script's name to each. With names as arguments,
-such as `ledger path`, runs only those and keeps the other scripts' lines as they are. One runs
-after the other, so that none shares the processor with the next.
+Each script prints JSON lines; this one adds the name of the script to each. With names as
+arguments, such as `ledger path`, it runs only those and leaves the lines of the others unchanged.
+The scripts run one after the other, so that they do not compete for the processor.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 
 def main() -> int:
-    """Run and give the exit code: 1 if any script failed."""
+    """Run the scripts and return the exit code: 1 if any failed."""
     names = sys.argv[1:] or _known_names()
     new_rows: dict[str, list[dict]] = {}
     failed = []
@@ -58,7 +58,7 @@
 
 
 def _run_script(name: str) -> tuple[list[dict], bool]:
-    """Run one script and show its lines as they come; also tell whether it ended well."""
+    """Run one script, echoing its lines; return its rows and whether it succeeded."""
     environment = os.environ | {"PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1"}
     command = [sys.executable, str(SCRIPTS / f"{PREFIX}{name}.py")]
     rows = []
--- a/scripts/slopes_accounts.py
+++ b/scripts/slopes_accounts.py
@@ -1,4 +1,4 @@
-"""Measures what one more account costs: configuration held, told and changed, and metrics."""
+"""Measures the cost of an account: configuration in memory, on the wire and changed; metrics."""
 
 from collections.abc import Iterator
 from functools import partial
@@ -31,7 +31,7 @@
 
 
 def make_snapshot(accounts: int, revision: int = 1) -> Snapshot:
-    """Make a configuration of that many contracts, of a usual length each."""
+    """Make a configuration with this many contracts of typical length."""
     sections_by_part = {
         f"contract.account-{number}": {
             "contract": {
@@ -51,19 +51,19 @@
 
 
 def make_state(accounts: int) -> ConfigurationState:
-    """Put such a configuration in force."""
+    """Make a state with such a configuration in force."""
     state = ConfigurationState()
     state.offer(make_snapshot(accounts))
     return state
 
 
 def apply_snapshot(snapshot: Snapshot) -> None:
-    """Put a configuration in force on a process that has none."""
+    """Apply a configuration to a process that has none."""
     ConfigurationState().offer(snapshot)
 
 
 def snapshot_bytes(accounts: int) -> int:
-    """Return the length of all pieces in which a starting instance takes the configuration."""
+    """Return the total size of the pieces that send the configuration to a starting instance."""
     snapshot = make_snapshot(accounts)
     total = 0
     after = ""
@@ -76,7 +76,7 @@
 
 
 def make_delta(accounts: int) -> Delta:
-    """Make the change of one contract in a configuration of that many."""
+    """Make the delta that changes one contract in a configuration with this many."""
     snapshot = make_snapshot(accounts)
     part = "contract.account-0"
     sections = snapshot.sections_by_part[part] | {"limits": {"burst": "200"}}
@@ -91,13 +91,13 @@
 
 
 def apply_delta(state: ConfigurationState, deltas: Iterator[Delta]) -> None:
-    """Put the next of several deltas in force."""
+    """Apply the next of several deltas."""
     if state.offer_delta(next(deltas)) is not Offer.APPLIED:
         raise RuntimeError("the delta was not applied")
 
 
 def make_deltas(accounts: int, count: int) -> Iterator[Delta]:
-    """Make deltas that follow each other."""
+    """Yield consecutive deltas, each based on the one before."""
     base = make_snapshot(accounts).head
     digests = dict(base.digest_by_part)
     part = "contract.account-0"
@@ -113,7 +113,7 @@
 
 
 def make_metrics(accounts: int) -> Metrics:
-    """Make the metrics of an entry that served that many accounts."""
+    """Make the metrics of an entry that has served this many accounts."""
     metrics = Metrics()
     for number in range(accounts):
         account = f"account-{number}"
@@ -125,7 +125,7 @@
 
 
 def print_account_slopes() -> None:
-    """Measure accounts."""
+    """Measure and print the slopes per account."""
     sizes = OBJECT_SIZES
     held = {size: measure_held_bytes(lambda size=size: make_state(size)) for size in sizes}
     print_slope(fit("configuration_memory", "bytes", "account", held))
--- a/scripts/slopes_configuration.py
+++ b/scripts/slopes_configuration.py
@@ -1,13 +1,13 @@
-"""Measures what a change of configuration costs, as JSON lines.
+"""Measures the cost of a configuration change; prints JSON lines.
 
 Run: PYTHONPATH=. .venv/bin/python scripts/slopes_configuration.py
 
-- `bytes`: encoded bytes of each way to hand one change on, with 700 contracts.
-- `cpu`: processor microseconds of one change on one instance, and of the steps it is made of.
-- `fan_out`: news sent by the busiest steward and levels of a tree, by fleet and width.
+- `bytes`: encoded size of each way to send one change, with 700 contracts.
+- `cpu`: processor microseconds of each step of one change on one instance.
+- `fan_out`: updates sent by the busiest steward and depth of the tree, by fleet size and width.
 - `in_force`: seconds of simulated time until a change is in force, bytes and messages between
   stewards for each change and each steward, and calls to the platform. The objects are those of
-  the product; links between them are functions with a delay each way.
+  the product; links between them are function calls with a delay in each direction.
 - `head_update`: retries of the conditional update of the head at several rates of changes.
 """
 
@@ -47,20 +47,20 @@
 CHANGES_A_DAY = 5100
 DAY_S = 86_400
 LINK_DELAY_S = 0.04
-"""One way between stewards, as between far regions."""
+"""One-way delay between stewards, as between distant regions."""
 
 SEED = 7
 IP_AND_TCP_BYTES = 52
 
 
 def make_contract(name: str, mark: int) -> dict[str, dict[str, str]]:
-    """Return a contract of about 1 KB."""
+    """Make a contract of about 1 KB."""
     digests = ",".join(f"{mark + place:064x}" for place in range(14))
     return {"contract": {"account": name, "key_sha256": digests}}
 
 
 def make_snapshot() -> Snapshot:
-    """Return 700 contracts as revision 1."""
+    """Make a snapshot of 700 contracts with 256 recent changes."""
     names = [f"account-{number}" for number in range(CONTRACTS)]
     sections = {f"contract.{name}": make_contract(name, 1) for name in names}
     digests = {part: part_digest(one) for part, one in sections.items()}
@@ -87,7 +87,7 @@
 
 
 def measure_bytes() -> None:
-    """Say the bytes of each way to hand a change on."""
+    """Print the encoded size of each way to send a change."""
     first = make_snapshot()
     state = ConfigurationState()
     state.offer(first)
@@ -118,7 +118,7 @@
 
 
 def measure_cpu(rounds: int = 200) -> None:
-    """Say the processor time of one change on one instance."""
+    """Print the processor time of one change on one instance."""
     sender, receiver, starting = (ConfigurationState() for _ in range(3))
     snapshot = make_snapshot()
     for state in (sender, receiver):
@@ -149,7 +149,7 @@
 
 
 def make_members(count: int) -> list[Member]:
-    """Return the stewards of a fleet in ten availability zones."""
+    """Make the stewards of a fleet in ten availability zones."""
     return [
         Member(
             f"i-{number}",
@@ -164,7 +164,7 @@
 
 
 def measure_fan_out() -> None:
-    """Say how many news the busiest steward sends, and how deep a tree is."""
+    """Print how many updates the busiest steward sends, and the depth of the tree."""
     for count in (20, 80, 420):
         for width in (2, 4, 8, 16):
             listed = make_members(count)
@@ -191,7 +191,7 @@
 
 
 class Steward:
-    """A steward's state and trees, with links that are functions with a delay."""
+    """A steward's state and fan-out tree; its links are function calls with a delay."""
 
     def __init__(self, member: Member, fleet: "StewardFleet", width: int) -> None:
         self.id = InstanceId(member.id)
@@ -202,24 +202,24 @@
         self._fleet = fleet
 
     def count_message(self, message: object) -> None:
-        """Count a message."""
+        """Count a sent message and its bytes."""
         self.messages += 1
         self.sent_bytes += len(encode(message)) + IP_AND_TCP_BYTES
 
     async def apply_snapshot(self, snapshot: Snapshot) -> None:
-        """Take a snapshot from the platform's report."""
+        """Apply a snapshot that a watch reported."""
         self.state.offer(snapshot)
         self.notify_children()
 
     def notify_children(self) -> None:
-        """Send news to the children."""
+        """Send the new revision to the children."""
         for child in self.fan_out.children:
             news = ConfigNews(self.id, self.state.revision)
             self.count_message(news)
             self._fleet.nursery.start_soon(self._fleet.steward_by_id[child.id].on_news, self, news)
 
     async def on_news(self, sender: "Steward", news: ConfigNews) -> None:
-        """Ask the sender of news for what changed, if it is new here."""
+        """Request the changes from the sender if its revision is newer, and apply them."""
         await trio.sleep(LINK_DELAY_S)
         if news.revision <= self.state.revision:
             return
@@ -238,7 +238,7 @@
 
 
 class StewardFleet:
-    """Stewards as objects on a mock clock."""
+    """The stewards of a fleet as objects on a mock clock."""
 
     def __init__(self, count: int, width: int, nursery: trio.Nursery) -> None:
         listed = make_members(count)
@@ -249,7 +249,7 @@
 
 
 async def measure_in_force(count: int, width: int, changes: int = 5) -> None:
-    """Say how long a change takes to be in force, and what it costs each steward."""
+    """Print the time until a change is in force, and its cost for each steward."""
     async with trio.open_nursery() as nursery:
         fleet = StewardFleet(count, width, nursery)
         snapshot = make_snapshot()
@@ -287,7 +287,7 @@
 
 
 async def measure_head_update(per_day: int, latency_s: float, changes: int = 200) -> None:
-    """Say how often the update of the head conflicts when changes come at random times."""
+    """Print how often updates of the head conflict when changes arrive at random times."""
     store = ObjectStore()
     store.faults.delay_s = latency_s
     operators = ConfigurationStore(InProcessObjectApi(store))
@@ -332,7 +332,7 @@
 
 
 def main() -> None:
-    """Measure all."""
+    """Run all measurements."""
     measure_bytes()
     measure_cpu()
     measure_fan_out()
--- a/scripts/slopes_fleet.py
+++ b/scripts/slopes_fleet.py
@@ -1,7 +1,7 @@
-"""Measures what acting together costs on the users' platform: reports, news, places at the home.
+"""Measures coordination costs on the users' platform: reports, updates, placement at the home.
 
-Views and messages as objects, through the real codec, without sockets. Message sizes are whole
-datagrams; processor time is of one message or one question.
+Views and messages are objects that pass through the real codec, without sockets. Message sizes are
+those of whole datagrams; processor time is per message or per placement request.
 """
 
 import random
@@ -69,7 +69,7 @@
 
 
 def wire_slopes() -> list[Slope]:
-    """Return the slopes of bytes, which do not depend on the machine."""
+    """Return the slopes of message sizes, which do not depend on the machine."""
     quiet = {n: _update_bytes(NEWEST, n, 0) for n in INSTANCES}
     instances = {n: _update_bytes(0, n, 0) for n in INSTANCES}
     runners = {n: _update_bytes(0, 0, n) for n in ENGINES}
@@ -82,7 +82,7 @@
 
 
 def make_known_instance(number: int) -> KnownInstance:
-    """Return an instance."""
+    """Make an instance."""
     instance = FleetInstance(
         InstanceId(f"edge-zone-{number}"),
         ZoneName("zone-a"),
@@ -94,14 +94,14 @@
 
 
 def make_engine(number: int) -> Runner:
-    """Return an engine."""
+    """Make an engine."""
     address = f"10.2.{number // 250}.{number % 250}:8087"
     start = Incarnation(RunnerName(f"i-{number:010x}"), 1_700_000_000_000 + number)
     return Runner(start, SERVICE, address, ZoneName("zone-a"), 24, RunnerState.READY, 0)
 
 
 def make_request(name: str) -> GenerationRequest:
-    """Return a long generation."""
+    """Make the request of a long generation."""
     return GenerationRequest(
         name, SERVICE, 3_000, 1_756, 500, 0, 1.8, 3.6, f"{hash(name) & (1 << 64) - 1:016x}"
     )
@@ -135,7 +135,7 @@
 
 
 def _update_bytes(held_version: int, instances: int, engines: int) -> float:
-    """Return the bytes of all that the home tells an instance that holds a version."""
+    """Return the size of all updates that the home sends to an instance with a version."""
     publisher = UpdatePublisher(lambda: 1 << 52, HeldVersion(), VersionedRows())
     publisher.replace_rows(_make_rows(instances, engines))
     instance_id = InstanceId("e")
@@ -162,7 +162,7 @@
 
 
 def _measure_report_us(instances: int) -> float:
-    """Time for the home to take one report of an instance with two runs."""
+    """Return the time that the home takes to process the report of an instance with two runs."""
     view = Fleet(make_known_instance(0), 0.0)
     for number in range(1, instances):
         view.record_report(0.0, make_known_instance(number))
@@ -186,7 +186,7 @@
 
 
 def _measure_place_us(engines: int) -> float:
-    """Time for the home to place one generation, with four runs on each engine."""
+    """Return the time that the home takes to place a generation, with four runs per engine."""
     table = RunnerTable()
     table.apply_reading(0.0, [make_engine(number) for number in range(engines)], 1, 0.0)
     placer = Placer(table, random.Random(1))
--- a/scripts/slopes_ledger.py
+++ b/scripts/slopes_ledger.py
@@ -1,9 +1,9 @@
-"""Measures how many writes the ledger makes for calls that may not be repeated.
+"""Measures how many writes the ledger makes for at-most-once calls.
 
-Each line is one run on the mock clock: entries offer calls at a rate, spread evenly, through the
-in-process object store with a delay for each call to it. Each call writes an intent and, 50 ms
-later, its outcome. `way` is per-call (one object a call), sharded (every entry writes the shard
-of the key itself) or homed (one entry writes a shard; the others' calls reach it).
+Each line is one run on a mock clock: entries offer calls at a rate, spread evenly, to the
+in-process object store, which delays each access. Each call writes an intent and, 50 ms later, its
+outcome. `way` is per-call (one object per call), sharded (every entry writes the shard of the key
+itself) or homed (the shard's ledger home writes it; calls of the other entries are sent there).
 """
 
 import json
@@ -49,7 +49,7 @@
 
 
 class Measurement:
-    """One measurement."""
+    """One measurement of a way to write the ledger."""
 
     def __init__(self, mode: str, entries: int, rate: float, shards: int, pace_s: float) -> None:
         self.mode, self.entries, self.rate = mode, entries, rate
@@ -61,7 +61,7 @@
         self.rng = random.Random(7)
 
     async def measure(self) -> None:
-        """Offer the calls, wait for them, print the line."""
+        """Offer the calls, wait until they end, and print the figures."""
         epoch = EpochClock.start()
         async with trio.open_nursery() as nursery:
             stores = [self._open_ledger(epoch, nursery) for _ in range(self.entries)]
@@ -154,7 +154,7 @@
 def measure_mode(
     mode: str, entries: int, rate: float, shards: int = 8, pace_s: float = 0.05
 ) -> None:
-    """Make one measurement."""
+    """Run one measurement on a mock clock."""
     measurement = Measurement(mode, entries, rate, shards, pace_s)
     trio.run(partial(measurement.measure), clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -193,7 +193,7 @@
 
 
 def main() -> None:
-    """Print every line: the cost of a commit, today's sizes, then the target's rates."""
+    """Measure the cost of a commit, then current deployment sizes, then the target's rates."""
     for rows in (10, 50, 100, 150):
         measure_commit(rows)
     for entries in (1, 2, 4, 7, 20):
--- a/scripts/slopes_limits.py
+++ b/scripts/slopes_limits.py
@@ -1,8 +1,8 @@
-"""Measure what limits cost each node, how much of a limit can be used, and the overshoot.
+"""Measures what limits cost each node, how much of a limit is usable, and the overshoot.
 
-Prints JSON lines: `python -m scripts.slopes_limits` from the root. Entries are objects in
-simulated time; messages pass through the real codec. With `cost`, `use` or `faults` as argument,
-prints only those.
+Prints JSON lines; run it from the root with `python -m scripts.slopes_limits`. Entries are objects
+in simulated time; messages pass through the real codec. With the arguments `cost`, `use` or
+`faults` it prints only those.
 """
 
 import gc
@@ -19,11 +19,11 @@
 USE_S = 40
 NODES = (5, 20, 80, 320)
 ENTRIES_PER_ACCOUNT = 3
-"""Entries that serve each account in the runs for cost."""
+"""Number of entries that serve each account in the cost measurement."""
 
 
 def measure_cost(nodes: int, accounts_each: int) -> dict:
-    """Run steady demand; each node serves `accounts_each` accounts, each on SPREAD entries."""
+    """Measure steady demand: `accounts_each` accounts per node, on ENTRIES_PER_ACCOUNT entries."""
     account_count = max(1, nodes * accounts_each // ENTRIES_PER_ACCOUNT)
     contracts = [contract(f"account-{n}", 20, 40, 100) for n in range(account_count)]
     rng = random.Random(SEED)
@@ -60,7 +60,7 @@
 
 
 def _measure_memory(nodes: int, contracts: list, entries_by_account: dict) -> int:
-    """Return the bytes that one node holds more after each of its accounts was active."""
+    """Return the growth of a node's memory after each of its accounts was active, in bytes."""
     fleet = Fleet(nodes, contracts)
     gc.collect()
     tracemalloc.start()
@@ -76,7 +76,7 @@
 
 
 def measure_use(nodes: int, spread: int, over: float, burst: int, slots: int) -> dict:
-    """Return what share of the rate and of the slots is used with demand on `spread` entries."""
+    """Return the used shares of the rate and of the slots with demand on `spread` entries."""
     return {
         "kind": "use",
         "nodes": nodes,
@@ -123,7 +123,7 @@
 
 
 def measure_overshoot(fault: str, nodes: int = 20, slots: int = 100) -> dict:
-    """Return the most open requests, as a multiple of the contract, during and after a fault."""
+    """Return the peak of open requests during and after a fault, relative to the contract."""
     fleet = Fleet(nodes, [contract("acme", 100, 100, slots)])
     rng = random.Random(SEED)
     home = fleet.home_of("acme")
@@ -195,7 +195,7 @@
 
 
 def main() -> None:
-    """Print the measurements asked for."""
+    """Print the requested measurements."""
     wanted = sys.argv[1:] or ["cost", "use", "faults"]
     if "cost" in wanted:
         for nodes in NODES:
--- a/scripts/slopes_membership.py
+++ b/scripts/slopes_membership.py
@@ -1,8 +1,9 @@
-"""Measures what membership costs for each instance, at several sizes of the fleet.
+"""Measures the cost of membership per instance at several fleet sizes.
 
-Prints one JSON line for each size: instances as objects on a clock of their own, messages through
-the real codec, no sockets. Rates are for each instance in a quiet fleet; `cpu_us_per_s` holds the
-cost of the test clock as well. Run it as `python scripts/slopes_membership.py [SIZE ...]`.
+Prints one JSON line for each size. Instances are objects on a simulated clock; messages pass
+through the real codec, without sockets. Rates are per instance in an idle fleet; `cpu_us_per_s`
+includes the cost of the simulated clock. Run it with
+`python scripts/slopes_membership.py [SIZE ...]`.
 """
 
 import json
@@ -70,7 +71,7 @@
 
 
 def _measure_spread(fleet: Fleet, size: int) -> dict[str, float]:
-    """Let some instances leave and one die; give the longest times until all know."""
+    """Let some instances leave and one crash; return the longest times until all others know."""
     leaving_s, leaving_bytes = 0.0, 0.0
     for number in range(LEAVING_TRIES):
         _, before = _totals(fleet)
@@ -106,7 +107,7 @@
 
 
 def _measure_steps(size: int, runners: int) -> dict[str, float]:
-    """Return the longest time that one change, and one reading of the list, hold the loop."""
+    """Return how long one change, and one reading of the list, block the event loop at most."""
     listed = [instance(number) for number in range(size)]
     listed += [runner(number) for number in range(runners)]
     state = MembershipState(listed[0], 0.0, EPOCH_S, random.Random(1))
@@ -126,7 +127,7 @@
 
 
 def _measure_change_us(state: MembershipState, number: int) -> float:
-    """Let a neighbour tell of a runner that leaves; time it until the members are at hand."""
+    """Return the time from a neighbour's notice of a leaving runner to the updated member list."""
     notice = RunnerNotice(RunnerId(f"runner-{number}"), True, number, NO_EXPIRY)
     message = Heartbeat(1, 0, 0, 0, number, 0, 0, [pack_row(notice)])
     began = time.perf_counter()
--- a/scripts/slopes_memory.py
+++ b/scripts/slopes_memory.py
@@ -1,4 +1,4 @@
-"""Measures the memory that one instance holds as objects, in fleets of several sizes."""
+"""Measures the memory of one instance's objects in fleets of several sizes."""
 
 from loguru import logger
 
@@ -9,7 +9,7 @@
 
 
 def main() -> None:
-    """Measure fleets of every size."""
+    """Measure fleets of every size and print the slope."""
     held = {size: run_fleet(size, memory=True).memory_bytes for size in FLEET_SIZES}
     print_slope(fit("idle_memory", "bytes an instance", "instance", held))
 
--- a/scripts/slopes_nodes.py
+++ b/scripts/slopes_nodes.py
@@ -1,7 +1,7 @@
-"""Measures what a fleet of idle instances costs as it grows: whole programs in one process.
+"""Measures the cost of a fleet of idle instances as it grows, with all programs in one process.
 
-Each instance is a real entry and a real steward on a mock clock, linked by a network that counts
-bytes. The fleet has one account and one engine, so what is counted is control alone.
+Each instance is a real entry and a real steward on a mock clock, connected by a network that counts
+bytes. The fleet has one account and one engine service, so that only control is measured.
 """
 
 import time
@@ -34,7 +34,7 @@
         self.links_by_host: Counter = Counter()
 
     async def connect(self, source: str, host: str, port: int) -> trio.abc.Stream:
-        """Open a stream whose bytes are counted both ways, unless it stays on one instance."""
+        """Open a stream; count its bytes in both directions unless it stays on one instance."""
         stream = await super().connect(source, host, port)
         if source == host:
             return stream
@@ -71,10 +71,10 @@
 
 @dataclass(frozen=True)
 class FleetCost:
-    """What a fleet cost while nothing was asked of it, and what one change cost.
+    """The cost of an idle fleet, and of one configuration change.
 
-    Bytes and processor time are for one instance and second, calls for the whole fleet and
-    second; a change's bytes are for one instance and change.
+    Bytes and processor time are per instance and second, calls are per second for the whole fleet;
+    `change_bytes` is per instance and change.
     """
 
     sent_bytes: float
@@ -89,7 +89,7 @@
 
 
 async def measure(instances: int) -> FleetCost:
-    """Run a fleet of that many instances for a while."""
+    """Run a fleet of this many instances, idle and then with changes; return its cost."""
     async with open_world() as world:
         network = CountingNetwork()
         world.network = network
@@ -132,7 +132,7 @@
 
 
 def run_fleet(instances: int, *, memory: bool) -> FleetCost:
-    """Measure one fleet; memory is traced only when asked for, since tracing costs time."""
+    """Measure one fleet; trace memory only on request, because tracing costs processor time."""
     clock = trio.testing.MockClock(autojump_threshold=0)
     if memory:
         tracemalloc.start()
@@ -143,7 +143,7 @@
 
 
 def main() -> None:
-    """Measure fleets of every size."""
+    """Measure fleets of every size and print the slopes."""
     timed = {size: run_fleet(size, memory=False) for size in FLEET_SIZES}
     for field, name, unit in (
         ("sent_bytes", "idle_bytes", "bytes/s an instance"),
--- a/scripts/slopes_path.py
+++ b/scripts/slopes_path.py
@@ -1,7 +1,7 @@
-"""Measures what tokens, requests and open sessions cost one entry as a real process on loopback.
+"""Measures the cost of tokens, requests and open sessions for one entry process on loopback.
 
-Streams go through the entry from client processes; the entry's processor time and memory are
-read from `/proc`. Every token is written by itself, which is the dearest case.
+Client processes open streams through the entry; the entry's processor time and memory are read
+from `/proc`. Every token is written separately, which is the most expensive case.
 """
 
 import subprocess
@@ -24,16 +24,16 @@
 IDLE_WARM_UP_S = 2.0
 IDLE_S = 8.0
 STREAMS_PER_CLIENT = 16
-"""Streams one client process opens at once; a burst of many more fills the listening backlog."""
+"""Streams that one client process opens at once; many more would fill the listen backlog."""
 CLIENT_START_INTERVAL_S = 1.0
 GRANT_WARM_UP_S = 10.0
-"""Time in which the account's limits are lent whole; before it a burst of requests is refused."""
+"""Time until the account's whole limits are granted; before it, a burst is refused."""
 KILOBYTE = 1024
 LOAD_CLIENT = Path(__file__).parent / "load_client.py"
 
 
 async def main() -> None:
-    """Measure an idle entry, then one under load."""
+    """Measure an idle entry, then an entry under load."""
     idle_us_by_engines = {}
     for engines in IDLE_ENGINES:
         async with open_path_deployment(NET, engines, STEP_S) as deployment:
@@ -44,7 +44,7 @@
 
 
 async def _measure_under_load() -> None:
-    """Measure under load; the sizes grow, so that the peak of memory belongs to the last one."""
+    """Measure under load; sizes increase, so that the peak memory is that of the latest size."""
     async with open_path_deployment(NET, ENGINES, STEP_S) as deployment:
         await trio.sleep(GRANT_WARM_UP_S)
         await _run_load(deployment, STREAMS_PER_CLIENT, SHORT_TOKENS)
@@ -73,7 +73,7 @@
 
 
 async def _run_load(deployment: PathDeployment, streams: int, tokens: int) -> float:
-    """Stream through the entry; give its processor time in microseconds."""
+    """Open streams through the entry; return its processor time in microseconds."""
     before_s = deployment.entry_cpu_s()
     processes = []
     for _ in range(streams // STREAMS_PER_CLIENT):
--- a/scripts/slopes_policy.py
+++ b/scripts/slopes_policy.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Measures the processor time of the default policy's decisions; prints one JSON line a figure."""
+"""Measures the processor time of the default policy's decisions; prints a JSON line per figure."""
 
 import json
 import random
@@ -23,7 +23,7 @@
 
 REQUESTS = 2000
 REQUESTS_PER_S = 10.0
-"""Of one node at the target size."""
+"""Request rate of one node at the target size."""
 TOKENS = 512
 PROGRESS_TOKENS = 32
 TOKENS_PER_S = 40.0
@@ -36,7 +36,7 @@
 
 
 class PolicyMeter:
-    """Adds up processor time by kind of event."""
+    """Sums the processor time of a policy by kind of event."""
 
     def __init__(self, policy: Policy) -> None:
         self._policy = policy
@@ -44,7 +44,7 @@
         self.count_by_kind: dict[str, int] = {}
 
     def handle(self, now_s: float, event: object) -> list:
-        """Pass an event on and note what it cost."""
+        """Pass an event to the policy and record its processor time."""
         kind = type(event).__name__
         before = time.process_time_ns()
         actions = self._policy.handle(now_s, event)
@@ -56,7 +56,7 @@
 
 
 def make_request(number: int, now_s: float) -> SchedulingRequest:
-    """Return one request."""
+    """Make one request."""
     account = AccountId(f"account-{number % 20}")
     return SchedulingRequest(
         id=RequestId(str(number)),
@@ -73,7 +73,7 @@
 
 
 def drive_policy(runners: int) -> PolicyMeter:
-    """Send a policy the events of one node for REQUESTS requests."""
+    """Send a policy the events of one node for REQUESTS requests; return the meter."""
     rng = random.Random(1)
     meter = PolicyMeter(make_policy("default", rng))
     meter.handle(0.0, InstancesSeen(6))
@@ -108,7 +108,7 @@
 
 
 def main() -> None:
-    """Print microseconds for each event, and the part of a core at the target's rates."""
+    """Print the microseconds per event, and the share of a core at the target's rates."""
     for runners in RUNNERS:
         meter = drive_policy(runners)
         micros = {
--- a/scripts/slopes_runners.py
+++ b/scripts/slopes_runners.py
@@ -1,4 +1,4 @@
-"""Measures what one more runner or instance costs: the list, load reports and the policy."""
+"""Measures the cost of a runner or instance: instance list, load reports and policy."""
 
 import json
 import random
@@ -28,7 +28,7 @@
 
 
 def make_endpoint_list(members: int) -> bytes:
-    """Make the platform's answer that lists that many runners."""
+    """Make the platform's response that lists this many runners."""
     endpoints = [
         {
             "addresses": [f"10.1.{number // 250}.{number % 250}"],
@@ -45,7 +45,7 @@
 
 
 def read_list(body: bytes) -> None:
-    """Read a listed answer through the real client, without a socket."""
+    """Read an instance list through the real client, without a socket."""
 
     async def read() -> None:
         transport = httpx.MockTransport(lambda request: httpx.Response(200, content=body))
@@ -61,7 +61,7 @@
 
 
 def make_policy_with(runners: int) -> Policy:
-    """Make the policy in use with that many runners, spread over the models."""
+    """Make the default policy with this many runners, spread over the models."""
     policy = make_policy(DEFAULT_POLICY, random.Random(1))
     for number in range(runners):
         runner_id = RunnerId(f"engine-{number}")
@@ -75,7 +75,7 @@
 
 
 def serve_requests(policy: Policy) -> None:
-    """Let the policy place and end a number of requests."""
+    """Let the policy dispatch a number of requests, and end them."""
     for number in range(REQUESTS):
         request = SchedulingRequest(
             id=RequestId(f"work-{number}"),
@@ -97,7 +97,7 @@
 
 
 def print_member_slopes() -> None:
-    """Measure instances and runners."""
+    """Measure and print the slopes per member and runner."""
     bodies = {size: make_endpoint_list(size) for size in OBJECT_SIZES}
     wire = {size: len(body) for size, body in bodies.items()}
     print_slope(fit("instance_list_answer", "bytes", "member", wire))
@@ -118,7 +118,7 @@
 
 
 def read_reports(count: int) -> None:
-    """Read load reports of engines through the real client, without a socket."""
+    """Read this many load reports through the real client, without a socket."""
 
     async def read() -> None:
         transport = httpx.MockTransport(lambda request: httpx.Response(200, text=LOAD_REPORT))
@@ -137,11 +137,11 @@
 egret_engine_report_age_seconds 0.25
 """
 REPORT_HEAD_BYTES = 300
-"""Request line and headers of a report's request and answer, as httpx and hypercorn send them."""
+"""Size of the request line, status line and headers of a report, with httpx and hypercorn."""
 
 
 def print_report_slopes() -> None:
-    """Measure load reports of engines."""
+    """Measure and print the slopes per load report."""
     sizes = (5, 20, 80)
     read = {size: measure_cpu_us(lambda size=size: read_reports(size)) for size in sizes}
     print_slope(fit("load_report_read_cpu", "us", "report", read))
@@ -150,7 +150,7 @@
 
 
 class ClosedStream(trio.abc.Stream):
-    """The stream of a link that nothing is sent over."""
+    """The stream of a link that carries no data."""
 
     async def send_all(self, data: bytes) -> None:
         """Do nothing."""
@@ -159,7 +159,7 @@
         """Do nothing."""
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Say that the peer closed."""
+        """Return the end of the stream."""
         return b""
 
     async def aclose(self) -> None:
@@ -167,7 +167,7 @@
 
 
 def print_link_slopes() -> None:
-    """Measure what one end of a link holds."""
+    """Measure and print the memory of one end of a link."""
     held = {
         size: measure_held_bytes(lambda size=size: [PeerLink(ClosedStream()) for _ in range(size)])
         for size in OBJECT_SIZES
--- a/scripts/slopes_tokens.py
+++ b/scripts/slopes_tokens.py
@@ -1,4 +1,4 @@
-"""Measures what one more token or session costs as objects, without sockets."""
+"""Measures the cost of a token or session as objects, without sockets."""
 
 from functools import partial
 
@@ -34,7 +34,7 @@
 
 
 def make_session(tokens: int) -> Session:
-    """Make a session that keeps that many events."""
+    """Make a session that keeps this many events."""
     generation = GenerationRequest(ModelName("model-0"), "prompt", 2000, 100)
     request = SessionRequest(AccountId("acme"), ServiceName("llm"), generation, True)
     session = Session(RequestId("work-1"), request, Cursor(GenerationId("gen"), 0))
@@ -48,7 +48,7 @@
 
 
 def print_token_slopes() -> None:
-    """Measure tokens."""
+    """Measure and print the slopes per token and session."""
     held = {size: measure_held_bytes(lambda size=size: make_session(size)) for size in TOKEN_SIZES}
     print_slope(fit("session_kept_events", "bytes", "token", held))
     session = SessionId("resp_" + "x" * 200)
