--- a/egretstack/programs/_ctl_parts.py
+++ b/egretstack/programs/_ctl_parts.py
@@ -38,24 +38,24 @@
     def show(name: str, *, platform: PlatformUrl, namespace: Namespace = "egretstack") -> None:
         """Show what is in force, as JSON."""
 
-        async def work() -> None:
+        async def command() -> None:
             async with open_platform(platform, namespace) as (_, api, _listed):
                 sections = await shown(ConfigurationStore(api), kind, name)
             if sections is None:
                 raise UserError(f"no {kind.value} of {name} is in force")
             print(json.dumps(sections, indent=2))
 
-        run_command(work)
+        run_command(command)
 
     @group.command
     def diff(file: Path, *, platform: PlatformUrl, namespace: Namespace = "egretstack") -> None:
         """Show what applying a file would change."""
 
-        async def work() -> None:
+        async def command() -> None:
             async with open_platform(platform, namespace) as (_, api, _listed):
                 print(await diff_text(ConfigurationStore(api), read_part_file(file, kind)))
 
-        run_command(work)
+        run_command(command)
 
 
 def _add_changing_commands(group: App, kind: PartKind) -> None:
@@ -83,7 +83,7 @@
             Digest of the version you started from; a newer one in force is then a conflict.
         """
 
-        async def work() -> None:
+        async def command() -> None:
             part = read_part_file(file, kind)
             async with open_platform(platform, namespace) as (client, api, listed):
                 store = ConfigurationStore(api)
@@ -95,20 +95,20 @@
                     raise
             print(f"{part.part}: {_describe_accepted(accepted)}")
 
-        run_command(work)
+        run_command(command)
 
     @group.command
     def remove(name: str, *, platform: PlatformUrl, namespace: Namespace = "egretstack") -> None:
         """Take a part out of the configuration everywhere; exit codes as for `apply`."""
 
-        async def work() -> None:
+        async def command() -> None:
             async with open_platform(platform, namespace) as (client, api, listed):
                 store = ConfigurationStore(api)
                 await refuse_older_store(client, listed, store)
                 accepted = await remove_part(store, kind, name)
             print(f"{kind.value}.{name}: removed, {_describe_accepted(accepted)}")
 
-        run_command(work)
+        run_command(command)
 
 
 def _describe_accepted(accepted: Accepted) -> str:
--- a/egretstack/programs/ctl.py
+++ b/egretstack/programs/ctl.py
@@ -142,30 +142,30 @@
 ) -> None:
     """Show the revision in force on every instance, and the lowest of them."""
 
-    async def work() -> None:
+    async def command() -> None:
         async with open_platform(platform, namespace) as (client, _, listed):
             rows = await fleet_status(client, listed)
         answered = [row.revision for row in rows if row.revision is not None]
         lowest = min(answered, default=None)
-        silent = len(rows) - len(answered)
+        unanswered = len(rows) - len(answered)
         if json_output:
-            rows_out = [asdict(row) for row in rows]
-            print(json.dumps({"lowest": lowest, "silent": silent, "instances": rows_out}))
+            instance_rows = [asdict(row) for row in rows]
+            print(json.dumps({"lowest": lowest, "silent": unanswered, "instances": instance_rows}))
             return
         for row in rows:
             state = "draining" if row.draining else "serving"
             revision = "no answer" if row.revision is None else f"revision {row.revision}"
             print(f"{row.instance:20} {row.port:18} {revision:16} {state}")
-        print(f"lowest revision in force: {lowest}; without an answer: {silent}")
+        print(f"lowest revision in force: {lowest}; without an answer: {unanswered}")
 
-    run_command(work)
+    run_command(command)
 
 
 @app.command
 def settle(change_id: str, *, platform: PlatformUrl, namespace: Namespace = "egretstack") -> None:
     """Tell whether a change whose outcome was unknown is among the latest accepted."""
 
-    async def work() -> None:
+    async def command() -> None:
         async with open_platform(platform, namespace) as (_, api, _listed):
             accepted = await ConfigurationStore(api).settle(change_id)
         if accepted is None:
@@ -173,7 +173,7 @@
             sys.exit(ExitCode.UNKNOWN)
         print(f"change {change_id} was accepted as revision {accepted.revision}")
 
-    run_command(work)
+    run_command(command)
 
 
 @app.command
@@ -183,7 +183,7 @@
     Changes that the store accepted since the restore, and no instance took, are given up.
     """
 
-    async def work() -> None:
+    async def command() -> None:
         async with open_platform(platform, namespace) as (client, api, listed):
             snapshot = await snapshot_in_force(client, await listed_instance(listed, instance))
             given_up = await ConfigurationStore(api).put_back(snapshot)
@@ -191,19 +191,19 @@
         print(f"revision {head.revision}, change {head.change_id}, is back in the store")
         print(f"changes given up: {', '.join(given_up) or 'none'}")
 
-    run_command(work)
+    run_command(command)
 
 
 @app.command
 def drain(instance: str, *, platform: PlatformUrl, namespace: Namespace = "egretstack") -> None:
     """Ask the entry of an instance to shut down gracefully."""
 
-    async def work() -> None:
+    async def command() -> None:
         async with open_platform(platform, namespace) as (client, _, listed):
             await drain_instance(client, await listed_instance(listed, instance))
         print(f"{instance} is draining")
 
-    run_command(work)
+    run_command(command)
 
 
 add_part_commands(contract, PartKind.CONTRACT)
--- a/egretstack/programs/report.py
+++ b/egretstack/programs/report.py
@@ -59,12 +59,12 @@
         Metrics of entries, one file for each entry.
     """
 
-    def work() -> None:
+    def print_totals() -> None:
         totals = sessions_by_account(read_samples(files))
         for (account, outcome), count in sorted(totals.items()):
             print(f"{account:24} {outcome:24} {count:8.0f}")
 
-    run_or_exit(work)
+    run_or_exit(print_totals)
 
 
 def _make_report(files: tuple[Path, ...], form: Form) -> str:
--- a/egretstack/replay/__init__.py
+++ b/egretstack/replay/__init__.py
@@ -1,5 +1,6 @@
 """Replays recorded traces under the scheduling policies, against a model of the engines."""
 
+from egretstack.replay._deployment import Deployment, EngineSpec, ServiceTerms, read_deployment
 from egretstack.replay._engine_model import (
     EngineModel,
     EngineParameters,
@@ -10,7 +11,6 @@
 )
 from egretstack.replay._figures import STALL_STEPS, Figures, Tally
 from egretstack.replay._run import ALL_POLICIES, replay, resolve_policy_names
-from egretstack.replay._site import Deployment, EngineSpec, ServiceTerms, read_deployment
 from egretstack.replay._trace import TraceLine, read_trace
 
 __all__ = [
--- a/egretstack/replay/_site.py
+++ b/egretstack/replay/_deployment.py
@@ -140,13 +140,13 @@
         raise UserError(f"{where}: [engine] back_at_s: not after reclaimed_at_s")
     return [
         EngineSpec(
-            _make_info(one, document),
+            _make_info(engine_name, document),
             _make_parameters(document),
             reclaimed_at_s,
             document.number("engine", "notice_s"),
             back_at_s,
         )
-        for one in names
+        for engine_name in names
     ]
 
 
--- a/egretstack/replay/_engine_model.py
+++ b/egretstack/replay/_engine_model.py
@@ -131,7 +131,7 @@
     def cancel(self, generation: GenerationId) -> None:
         """Remove a generation, whether it is waiting or running."""
         self._waiting = [one for one in self._waiting if one.id != generation]
-        for sequence in [one for one in self._running if one.id == generation]:
+        for sequence in [s for s in self._running if s.id == generation]:
             self._remove(sequence)
 
     def next_step_s(self) -> float | None:
--- a/egretstack/replay/_fleet.py
+++ b/egretstack/replay/_fleet.py
@@ -2,8 +2,8 @@
 
 from egretstack.ids import GenerationId, RunnerId
 from egretstack.policy import RunnerInfo, RunnerReported
+from egretstack.replay._deployment import EngineSpec
 from egretstack.replay._engine_model import EngineModel, StepResult
-from egretstack.replay._site import EngineSpec
 
 
 class ReplayEngine:
--- a/egretstack/replay/_loop.py
+++ b/egretstack/replay/_loop.py
@@ -28,9 +28,9 @@
     Started,
     Tick,
 )
+from egretstack.replay._deployment import Deployment
 from egretstack.replay._figures import Tally
 from egretstack.replay._fleet import ReplayEngine
-from egretstack.replay._site import Deployment
 from egretstack.replay._trace import TraceLine
 
 PROGRESS_INTERVAL_TOKENS = 32
--- a/egretstack/replay/_run.py
+++ b/egretstack/replay/_run.py
@@ -5,9 +5,9 @@
 
 from egretstack.ids import RequestId
 from egretstack.policy import ORACLE, POLICIES, Feature, Policy, make_oracle, make_policy
+from egretstack.replay._deployment import Deployment
 from egretstack.replay._figures import Figures
 from egretstack.replay._loop import ReplayLoop
-from egretstack.replay._site import Deployment
 from egretstack.replay._trace import TraceLine
 
 ALL_POLICIES = "all"
--- a/egretstack/replay/_trace.py
+++ b/egretstack/replay/_trace.py
@@ -8,7 +8,7 @@
 
 from egretstack.errors import UserError
 from egretstack.ids import AccountId, ModelName, ServiceName, is_name
-from egretstack.replay._site import Deployment
+from egretstack.replay._deployment import Deployment
 
 MAX_LINES = 1_000_000
 MAX_LINE_BYTES = 16_384
--- a/egretstack/reports/__init__.py
+++ b/egretstack/reports/__init__.py
@@ -9,7 +9,7 @@
     compute_burns,
 )
 from egretstack.reports._explain import Explanation, LogLine, explain, read_log
-from egretstack.reports._forms import json_report, text_report
+from egretstack.reports._formatting import json_report, text_report
 from egretstack.reports._samples import sessions_by_account
 from egretstack.reports._snapshots import Snapshot, read_samples, read_snapshots
 
--- a/egretstack/reports/_burn.py
+++ b/egretstack/reports/_burn.py
@@ -103,7 +103,7 @@
     """Compute the burn of every account and objective at the time of the newest snapshot."""
     end_s = max(one.at_s for one in snapshots)
     histories = _group_by_instance(snapshots)
-    newest_by_key = {place: one for one in snapshots for place in one.share_by_level}
+    newest_by_key = {key: one for one in snapshots for key in one.share_by_level}
     level_burns = []
     for key, snapshot in sorted(newest_by_key.items(), key=lambda item: _sort_key(item[0])):
         share = snapshot.share_by_level[key]
--- a/egretstack/reports/_forms.py
+++ b/egretstack/reports/_formatting.py
@@ -65,12 +65,12 @@
 def _make_row(burn: LevelBurn) -> dict[str, object]:
     windows = {
         window.label: {
-            "events": one.total,
-            "bad": one.bad,
-            "burn_rate": round(one.rate, 4),
-            "covered_s": round(one.covered_s, 3),
+            "events": window_burn.total,
+            "bad": window_burn.bad,
+            "burn_rate": round(window_burn.rate, 4),
+            "covered_s": round(window_burn.covered_s, 3),
         }
-        for window, one in burn.burn_by_window.items()
+        for window, window_burn in burn.burn_by_window.items()
     }
     return {
         "account": burn.account,
--- a/egretstack/reports/_page.py
+++ b/egretstack/reports/_page.py
@@ -4,7 +4,7 @@
 from html import escape
 
 from egretstack.reports._burn import LevelBurn, Window
-from egretstack.reports._forms import format_duration, format_target
+from egretstack.reports._formatting import format_duration, format_target
 from egretstack.reports._plots import burn_figure, render_svg
 
 _STYLE = """body { font: 15px sans-serif; margin: 2em; max-width: 70em; }
--- a/scripts/slopes_limits.py
+++ b/scripts/slopes_limits.py
@@ -127,8 +127,8 @@
     fleet = Fleet(nodes, [contract("acme", 100, 100, slots)])
     rng = random.Random(SEED)
     home = fleet.home_of("acme")
-    half = fleet.nodes()[: nodes // 2]
-    rest = fleet.nodes()[nodes // 2 :]
+    one_half = fleet.nodes()[: nodes // 2]
+    other_half = fleet.nodes()[nodes // 2 :]
     most = [0]
 
     def demand() -> None:
@@ -143,9 +143,9 @@
 
     whole = peak(15)
     began = fleet.now
-    _begin_fault(fleet, fault, home, half, rest)
+    _begin_fault(fleet, fault, home, one_half, other_half)
     blind = peak(3)
-    _update_views(fleet, fault, home, half, rest)
+    _update_views(fleet, fault, home, one_half, other_half)
     during = peak(30)
     _end_fault(fleet, fault, home)
     after = peak(20)
@@ -163,9 +163,9 @@
     }
 
 
-def _begin_fault(fleet: Fleet, fault: str, home, half: list, rest: list) -> None:
+def _begin_fault(fleet: Fleet, fault: str, home, one_half: list, other_half: list) -> None:
     if fault == "partition":
-        fleet.cut(half, rest)
+        fleet.cut(one_half, other_half)
     elif fault == "home killed":
         fleet.kill(home)
     elif fault == "home frozen and thawed":
@@ -174,9 +174,9 @@
         fleet.cut([home], fleet.others(home))
 
 
-def _update_views(fleet: Fleet, fault: str, home, half: list, rest: list) -> None:
+def _update_views(fleet: Fleet, fault: str, home, one_half: list, other_half: list) -> None:
     if fault == "partition":
-        for side in (half, rest):
+        for side in (one_half, other_half):
             for node in side:
                 fleet.set_view(node, [one.name for one in side])
     elif fault == "home killed":
--- a/scripts/slopes_membership.py
+++ b/scripts/slopes_membership.py
@@ -163,7 +163,7 @@
 
 def _first_messages(sender: MembershipState, receiver: MembershipState):
     sender.apply_list(0.0, [receiver.own_member])
-    return [ask.message for ask in sender.tick(1.0)]
+    return [outgoing.message for outgoing in sender.tick(1.0)]
 
 
 def _traced_kb(build: Callable[[], object]) -> int:
