--- a/scripts/_capacity_platform.py
+++ b/scripts/_capacity_platform.py
@@ -5,7 +5,7 @@
 from scripts._target import TARGET
 
 CURRENT_ENGINES = 24
-"""Engines of the larger of the users' two deployments after its planned growth."""
+"""Engines of the larger of the users' two deployments after it has grown."""
 
 
 def placing_home_lines(slopes: Slopes) -> list[Line]:
