--- a/egretstack/programs/_ctl_common.py
+++ b/egretstack/programs/_ctl_common.py
@@ -1,4 +1,4 @@
-"""What every command of `egretctl` shares: the platform's address, and errors as exit codes."""
+"""Shared by the commands of `egretctl`: connecting to the platform, errors and exit codes."""
 
 import json
 import sys
@@ -17,7 +17,7 @@
     PlatformError,
     PlatformOutcomeUnknown,
 )
-from egretstack.programs._running import ExitCode, exit_with
+from egretstack.programs._running import ExitCode, run_or_exit
 
 TIMEOUT_S = 5.0
 
@@ -27,19 +27,19 @@
 
 @asynccontextmanager
 async def open_platform(url: str, namespace: str):
-    """Give an HTTP client, the object API and the instance list."""
+    """Yield an HTTP client, the object API and the instance list."""
     async with httpx.AsyncClient(timeout=TIMEOUT_S, trust_env=False) as client:
         yield client, HttpObjectApi(client, url, namespace), HttpInstanceList(
             client, url, namespace
         )
 
 
-def run_command(work: Callable[[], Awaitable[None]]) -> None:
-    """Run an asynchronous command and turn its errors into words and exit codes."""
+def run_command(command: Callable[[], Awaitable[None]]) -> None:
+    """Run an asynchronous command; report its errors on stderr and as exit codes."""
 
     async def guarded() -> None:
         try:
-            await work()
+            await command()
         except ApplyConflict as error:
             print(f"conflict: {error}; in force now:", file=sys.stderr)
             print(json.dumps(error.current_sections, indent=2), file=sys.stderr)
@@ -53,6 +53,6 @@
             sys.exit(ExitCode.UNKNOWN)
         except (PlatformError, httpx.HTTPError) as error:
             print(f"no answer, nothing was changed: {error}", file=sys.stderr)
-            sys.exit(ExitCode.AWAY)
+            sys.exit(ExitCode.UNAVAILABLE)
 
-    exit_with(lambda: trio.run(guarded))
+    run_or_exit(lambda: trio.run(guarded))
--- a/egretstack/programs/_ctl_parts.py
+++ b/egretstack/programs/_ctl_parts.py
@@ -18,7 +18,7 @@
     sections_diff,
 )
 from egretstack.programs._ctl_common import Namespace, PlatformUrl, open_platform, run_command
-from egretstack.programs._running import exit_with
+from egretstack.programs._running import run_or_exit
 
 
 def add_part_commands(group: App, kind: PartKind) -> None:
@@ -32,30 +32,30 @@
     @group.command
     def check(file: Path) -> None:
         """Check a file without asking the platform."""
-        exit_with(lambda: print(f"{file}: a good {kind.value} of {check_file(file, kind)}"))
+        run_or_exit(lambda: print(f"{file}: a good {kind.value} of {check_file(file, kind)}"))
 
     @group.command
     def show(name: str, *, platform: PlatformUrl, namespace: Namespace = "egretstack") -> None:
         """Show what is in force, as JSON."""
 
-        async def work() -> None:
+        async def command() -> None:
             async with open_platform(platform, namespace) as (_, api, _listed):
                 sections = await part_in_force(ConfigurationStore(api), kind, name)
             if sections is None:
                 raise UserError(f"no {kind.value} of {name} is in force")
             print(json.dumps(sections, indent=2))
 
-        run_command(work)
+        run_command(command)
 
     @group.command
     def diff(file: Path, *, platform: PlatformUrl, namespace: Namespace = "egretstack") -> None:
         """Show what applying a file would change."""
 
-        async def work() -> None:
+        async def command() -> None:
             async with open_platform(platform, namespace) as (_, api, _listed):
                 print(await diff_text(ConfigurationStore(api), read_part_file(file, kind)))
 
-        run_command(work)
+        run_command(command)
 
 
 def _add_changing_commands(group: App, kind: PartKind) -> None:
@@ -83,7 +83,7 @@
             Digest of the version you started from; a newer one in force is then a conflict.
         """
 
-        async def work() -> None:
+        async def command() -> None:
             part = read_part_file(file, kind)
             async with open_platform(platform, namespace) as (client, api, listed):
                 store = ConfigurationStore(api)
@@ -95,23 +95,23 @@
                         sections_diff(error.current_sections, part.sections, "in force", str(file))
                     )
                     raise
-            print(f"{part.part}: {_accepted(accepted)}")
+            print(f"{part.part}: {_describe_accepted(accepted)}")
 
-        run_command(work)
+        run_command(command)
 
     @group.command
     def remove(name: str, *, platform: PlatformUrl, namespace: Namespace = "egretstack") -> None:
         """Take a part out of the configuration everywhere; exit codes as for `apply`."""
 
-        async def work() -> None:
+        async def command() -> None:
             async with open_platform(platform, namespace) as (client, api, listed):
                 store = ConfigurationStore(api)
                 await refuse_older_store(client, listed, store)
                 accepted = await remove_part(store, kind, name)
-            print(f"{kind.value}.{name}: removed, {_accepted(accepted)}")
+            print(f"{kind.value}.{name}: removed, {_describe_accepted(accepted)}")
 
-        run_command(work)
+        run_command(command)
 
 
-def _accepted(accepted: Accepted) -> str:
+def _describe_accepted(accepted: Accepted) -> str:
     return f"accepted as revision {accepted.revision}, change {accepted.change_id}"
--- a/egretstack/programs/_replay.py
+++ b/egretstack/programs/_replay.py
@@ -8,14 +8,14 @@
 from cyclopts import App, Parameter
 
 from egretstack.errors import UserError
-from egretstack.programs._running import exit_with
+from egretstack.programs._running import run_or_exit
 from egretstack.replay import (
     ALL_POLICIES,
     Figures,
-    policies_named,
-    read_site,
+    read_deployment,
     read_trace,
     replay,
+    resolve_policy_names,
 )
 
 MAX_ENTRIES = 1000
@@ -54,7 +54,7 @@
     json_output
         Print one JSON object a policy.
     """
-    exit_with(lambda: _print_replays(trace, engines, entries, policy, seed, json_output))
+    run_or_exit(lambda: _print_replays(trace, engines, entries, policy, seed, json_output))
 
 
 def _print_replays(
@@ -62,21 +62,21 @@
 ) -> None:
     if not 1 <= entries <= MAX_ENTRIES:
         raise UserError(f"--entries {entries}: allowed: 1 to {MAX_ENTRIES}")
-    site = read_site(engines)
-    lines = read_trace(trace, site)
+    deployment = read_deployment(engines)
+    lines = read_trace(trace, deployment)
     all_figures = []
-    for name in policies_named(policy):
-        all_figures.append(replay(lines, site, name, entries=entries, seed=seed))
+    for name in resolve_policy_names(policy):
+        all_figures.append(replay(lines, deployment, name, entries=entries, seed=seed))
         if as_json:
             print(json.dumps(asdict(all_figures[-1])))
     if not as_json:
-        print(_table(all_figures))
+        print(_format_table(all_figures))
 
 
-def _table(all_figures: list[Figures]) -> str:
-    """Give the figures as a table: one row a figure, one column a policy."""
+def _format_table(all_figures: list[Figures]) -> str:
+    """Format the figures as a table with a row for each figure and a column for each policy."""
     rows = []
-    for one in fields(Figures):
-        cells = [str(getattr(figures, one.name)) for figures in all_figures]
-        rows.append(f"{one.name:20}" + "".join(f"{cell:>14}" for cell in cells))
+    for field in fields(Figures):
+        cells = [str(getattr(figures, field.name)) for figures in all_figures]
+        rows.append(f"{field.name:20}" + "".join(f"{cell:>14}" for cell in cells))
     return "\n".join(rows)
--- a/egretstack/programs/report.py
+++ b/egretstack/programs/report.py
@@ -9,9 +9,9 @@
 
 from egretstack import __version__
 from egretstack.errors import UserError
-from egretstack.programs._running import exit_with
+from egretstack.programs._running import run_or_exit
 from egretstack.reports import (
-    burns_of,
+    compute_burns,
     json_report,
     read_samples,
     read_snapshots,
@@ -23,7 +23,7 @@
 
 
 class Form(Enum):
-    """How the report is written."""
+    """Output format of the report."""
 
     TEXT = "text"
     JSON = "json"
@@ -46,7 +46,7 @@
     out
         Where it is written; standard output by default.
     """
-    exit_with(lambda: _write(_made(files, form), out))
+    run_or_exit(lambda: _write(_make_report(files, form), out))
 
 
 @app.command
@@ -59,22 +59,22 @@
         Metrics of entries, one file for each entry.
     """
 
-    def work() -> None:
+    def print_totals() -> None:
         totals = sessions_by_account(read_samples(files))
         for (account, outcome), count in sorted(totals.items()):
             print(f"{account:24} {outcome:24} {count:8.0f}")
 
-    exit_with(work)
+    run_or_exit(print_totals)
 
 
-def _made(files: tuple[Path, ...], form: Form) -> str:
+def _make_report(files: tuple[Path, ...], form: Form) -> str:
     snapshots = read_snapshots(files)
-    burns = burns_of(snapshots)
+    burns = compute_burns(snapshots)
     if form is Form.TEXT:
         return text_report(burns) + "\n"
     if form is Form.JSON:
         return json_report(burns) + "\n"
-    # Loading the plot library takes longer than a whole text report.
+    # Imported here because loading the plot library takes longer than a whole text report.
     from egretstack.reports._page import html_report
 
     taken = datetime.fromtimestamp(snapshots[-1].at_s, UTC)
--- a/egretstack/replay/_engine_model.py
+++ b/egretstack/replay/_engine_model.py
@@ -1,11 +1,12 @@
 """A model of a continuously batching engine with limited memory.
 
-It has no clock and no I/O: the owner calls `step` at the time `next_step_s` gives, which is the
-end of the step in progress. A step decodes one token for each sequence whose prompt has been
-read, and reads prompts for the others, up to a bound for each step; everyone in the batch waits
+It has no clock and does no I/O: the owner calls `step` at the time that `next_step_s` returns, the
+end of the step in progress. A step decodes one token for each sequence whose prefill is complete
+and prefills the prompts of the others, up to a limit per step; every sequence in the batch waits
 for the whole step. A sequence holds one token of KV memory for each token of prompt and output.
-When a step does not fit, the least valuable sequence that started last is preempted: its memory
-is freed, and all it held is read again when it comes back, as vLLM does.
+When a step does not fit into memory, the sequence with the lowest priority that started last is
+preempted: its memory is freed, and its prompt and output are prefilled again when it resumes, as
+vLLM does.
 """
 
 from collections import OrderedDict
@@ -27,12 +28,12 @@
     step_per_sequence_s: float = 0.0003
     prefill_tokens_per_s: float = 20_000.0
     prefill_step_tokens: int = 2048
-    """Most prompt tokens read in one step."""
+    """Maximum number of prompt tokens prefilled in one step."""
     prefix_cache_tokens: int = 20_000
     prefix_share: float = 0.7
-    """Part of a prompt that its named prefix covers."""
+    """Fraction of a prompt that its named prefix covers."""
     watermark: float = 0.01
-    """Part of the memory that stays free when a sequence is admitted."""
+    """Fraction of the memory that stays free when a sequence is admitted."""
     report_period_s: float = 0.5
     report_lag_s: float = 0.5
 
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelOutput:
-    """One happening of a step."""
+    """One event of a step."""
 
     generation: GenerationId
     kind: OutputKind
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StepResult:
-    """What one step did, by generation; `sequences` were in the batch."""
+    """The generations that one step affected; `sequences` is the batch size."""
 
     decoded: list[GenerationId]
     finished: list[GenerationId]
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True)
 class LoadSnapshot:
-    """Load at `taken_s`."""
+    """Load of the engine at `taken_s`."""
 
     taken_s: float
     running: int
@@ -81,19 +82,19 @@
     output_tokens: int
     prefix: str
     priority: int
-    order: int
-    done: int = 0
-    unread: int = 0
-    """Tokens of the prompt, and of recomputed output, that are still to be read."""
-    started: int = field(default=0)
+    queue_order: int
+    decoded_tokens: int = 0
+    prefill_remaining: int = 0
+    """Tokens of the prompt, and of output to recompute, that are still to be prefilled."""
+    start_order: int = field(default=0)
 
     @property
-    def held(self) -> int:
-        return self.prompt_tokens + self.done
+    def kv_tokens(self) -> int:
+        return self.prompt_tokens + self.decoded_tokens
 
 
 class EngineModel:
-    """The sequences of one engine: waiting, running, and the memory they hold."""
+    """The waiting and running sequences of one engine, and the memory that they hold."""
 
     def __init__(self, parameters: EngineParameters) -> None:
         self.parameters = parameters
@@ -102,10 +103,10 @@
         self._running: list[_Sequence] = []
         self._decoding: list[_Sequence] = []
         self._preempted: list[GenerationId] = []
-        self._used = 0
-        self._cached: OrderedDict[str, int] = OrderedDict()
-        self._order = 0
-        self._next_s: float | None = None
+        self._kv_used_tokens = 0
+        self._prefix_cache: OrderedDict[str, int] = OrderedDict()
+        self._last_order = 0
+        self._step_end_s: float | None = None
         self._snapshots: list[LoadSnapshot] = []
 
     def submit(
@@ -118,27 +119,27 @@
         prefix: str = "",
         priority: int = 0,
     ) -> None:
-        """Take a generation in; it starts at a step for which there is memory."""
-        self._order += 1
+        """Queue a generation; it starts at the first step that has memory for it."""
+        self._last_order += 1
         self._waiting.append(
-            _Sequence(generation, prompt_tokens, output_tokens, prefix, priority, self._order)
+            _Sequence(generation, prompt_tokens, output_tokens, prefix, priority, self._last_order)
         )
-        if self._next_s is None:
+        if self._step_end_s is None:
             self._begin_step(now_s)
-        self._snapshot(now_s)
+        self._take_snapshot(now_s)
 
     def cancel(self, generation: GenerationId) -> None:
-        """Drop a generation, waiting or running."""
+        """Remove a generation, whether it is waiting or running."""
         self._waiting = [one for one in self._waiting if one.id != generation]
-        for sequence in [one for one in self._running if one.id == generation]:
-            self._leave(sequence)
+        for sequence in [s for s in self._running if s.id == generation]:
+            self._remove(sequence)
 
     def next_step_s(self) -> float | None:
-        """Give the time at which the step in progress ends, or None when there is none."""
-        return self._next_s
+        """Return the time at which the step in progress ends, or None when there is none."""
+        return self._step_end_s
 
     def step(self, now_s: float) -> list[ModelOutput]:
-        """End the step in progress, begin the next, and tell what happened to each sequence."""
+        """End the step in progress, begin the next, and return each sequence's outputs."""
         result = self.advance(now_s)
         outputs = [ModelOutput(one, OutputKind.PREEMPTED) for one in result.preempted]
         outputs += [ModelOutput(one, OutputKind.TOKEN) for one in result.decoded]
@@ -146,35 +147,35 @@
         return outputs
 
     def advance(self, now_s: float) -> StepResult:
-        """End the step in progress and begin the next; as `step`, without an object a token."""
+        """Do the same as `step`, without allocating an object for each token."""
         decoded = self._decoding
         sequences = len(self._running)
         finished = []
         for sequence in decoded:
-            sequence.done += 1
-            if sequence.done >= sequence.output_tokens:
+            sequence.decoded_tokens += 1
+            if sequence.decoded_tokens >= sequence.output_tokens:
                 finished.append(sequence)
-        self._used += len(decoded)
+        self._kv_used_tokens += len(decoded)
         for sequence in finished:
-            self._leave(sequence)
+            self._remove(sequence)
         preempted = self._preempted
         self._begin_step(now_s)
-        self._snapshot(now_s)
+        self._take_snapshot(now_s)
         return StepResult(
             [one.id for one in decoded], [one.id for one in finished], preempted, sequences
         )
 
     def kv_used_tokens(self) -> int:
-        """Give the tokens of memory that running sequences hold."""
-        return self._used
+        """Return the KV memory that running sequences hold, in tokens."""
+        return self._kv_used_tokens
 
     def cached_prefixes(self) -> list[str]:
-        """Give the prefixes in the cache, the least recently used first."""
-        return list(self._cached)
+        """Return the cached prefixes, least recently used first."""
+        return list(self._prefix_cache)
 
     def report(self, now_s: float) -> LoadSnapshot:
-        """Give the newest snapshot that the reporting lag lets out."""
-        self._snapshot(now_s)
+        """Return the newest snapshot that is at least as old as the reporting lag."""
+        self._take_snapshot(now_s)
         latest_s = now_s - self.parameters.report_lag_s
         visible = [one for one in self._snapshots if one.taken_s <= latest_s]
         if not visible:
@@ -182,78 +183,86 @@
         self._snapshots = self._snapshots[len(visible) - 1 :]
         return visible[-1]
 
-    def _snapshot(self, now_s: float) -> None:
-        last = self._snapshots[-1].taken_s if self._snapshots else None
-        if last is None or now_s - last >= self.parameters.report_period_s:
+    def _take_snapshot(self, now_s: float) -> None:
+        last_taken_s = self._snapshots[-1].taken_s if self._snapshots else None
+        if last_taken_s is None or now_s - last_taken_s >= self.parameters.report_period_s:
             self._snapshots.append(
                 LoadSnapshot(
-                    now_s, len(self._running), len(self._waiting), self._used, self.preemptions
+                    now_s,
+                    len(self._running),
+                    len(self._waiting),
+                    self._kv_used_tokens,
+                    self.preemptions,
                 )
             )
             del self._snapshots[:-MAX_SNAPSHOTS]
 
-    def _leave(self, sequence: _Sequence) -> None:
+    def _remove(self, sequence: _Sequence) -> None:
         self._running.remove(sequence)
-        self._used -= sequence.held
+        self._kv_used_tokens -= sequence.kv_tokens
         if sequence in self._decoding:
             self._decoding = [one for one in self._decoding if one is not sequence]
 
     def _begin_step(self, now_s: float) -> None:
         self._admit()
-        self._preempted = self._make_room()
-        read = self._read_prompts()
-        self._decoding = [one for one in self._running if one.unread == 0]
+        self._preempted = self._preempt_until_fits()
+        prefilled_tokens = self._prefill()
+        self._decoding = [one for one in self._running if one.prefill_remaining == 0]
         if not self._running:
-            self._next_s = None
+            self._step_end_s = None
             return
         duration_s = self.parameters.step_base_s
         duration_s += self.parameters.step_per_sequence_s * len(self._running)
-        duration_s += read / self.parameters.prefill_tokens_per_s
-        self._next_s = now_s + duration_s
+        duration_s += prefilled_tokens / self.parameters.prefill_tokens_per_s
+        self._step_end_s = now_s + duration_s
 
     def _admit(self) -> None:
         if not self._waiting:
             return
-        self._waiting.sort(key=lambda one: (-one.priority, one.order))
-        kept_free = self.parameters.watermark * self.parameters.kv_capacity_tokens
+        self._waiting.sort(key=lambda one: (-one.priority, one.queue_order))
+        reserved_tokens = self.parameters.watermark * self.parameters.kv_capacity_tokens
         while self._waiting and len(self._running) < self.parameters.max_batch:
-            first = self._waiting[0]
-            room = self.parameters.kv_capacity_tokens - self._used - len(self._running)
-            if first.held + 1 + kept_free > room and self._running:
+            candidate = self._waiting[0]
+            free_tokens = (
+                self.parameters.kv_capacity_tokens - self._kv_used_tokens - len(self._running)
+            )
+            if candidate.kv_tokens + 1 + reserved_tokens > free_tokens and self._running:
                 return
             self._waiting.pop(0)
-            self._order += 1
-            first.started = self._order
-            first.unread = max(1, first.held - self._cached_tokens(first))
-            self._running.append(first)
-            self._used += first.held
+            self._last_order += 1
+            candidate.start_order = self._last_order
+            candidate.prefill_remaining = max(
+                1, candidate.kv_tokens - self._cached_tokens(candidate)
+            )
+            self._running.append(candidate)
+            self._kv_used_tokens += candidate.kv_tokens
 
-    def _read_prompts(self) -> int:
+    def _prefill(self) -> int:
         budget = self.parameters.prefill_step_tokens
         for sequence in self._running:
-            if sequence.unread and budget:
-                read = min(budget, sequence.unread)
-                sequence.unread -= read
-                budget -= read
+            if sequence.prefill_remaining and budget:
+                prefilled = min(budget, sequence.prefill_remaining)
+                sequence.prefill_remaining -= prefilled
+                budget -= prefilled
         return self.parameters.prefill_step_tokens - budget
 
     def _cached_tokens(self, sequence: _Sequence) -> int:
         if not sequence.prefix:
             return 0
-        shared = int(sequence.prompt_tokens * self.parameters.prefix_share)
-        hit = min(shared, self._cached.pop(sequence.prefix, 0))
-        self._cached[sequence.prefix] = max(hit, shared)
-        while sum(self._cached.values()) > self.parameters.prefix_cache_tokens:
-            self._cached.popitem(last=False)
-        return hit
-
-    def _make_room(self) -> list[GenerationId]:
+        prefix_tokens = int(sequence.prompt_tokens * self.parameters.prefix_share)
+        hit_tokens = min(prefix_tokens, self._prefix_cache.pop(sequence.prefix, 0))
+        self._prefix_cache[sequence.prefix] = max(hit_tokens, prefix_tokens)
+        while sum(self._prefix_cache.values()) > self.parameters.prefix_cache_tokens:
+            self._prefix_cache.popitem(last=False)
+        return hit_tokens
+
+    def _preempt_until_fits(self) -> list[GenerationId]:
         preempted = []
-        needed = self._used + len(self._running)
+        needed = self._kv_used_tokens + len(self._running)
         while needed > self.parameters.kv_capacity_tokens and len(self._running) > 1:
-            victim = min(self._running, key=lambda one: (one.priority, -one.started))
-            needed -= victim.held + 1
-            self._leave(victim)
+            victim = min(self._running, key=lambda one: (one.priority, -one.start_order))
+            needed -= victim.kv_tokens + 1
+            self._remove(victim)
             self._waiting.append(victim)
             self.preemptions += 1
             preempted.append(victim.id)
--- a/egretstack/reports/__init__.py
+++ b/egretstack/reports/__init__.py
@@ -1,4 +1,4 @@
-"""Reports on service-level burn, from Prometheus text."""
+"""Reports on service-level burn from saved metrics, and on single requests from saved logs."""
 
 from egretstack.reports._burn import (
     BUDGET_WINDOW,
@@ -6,10 +6,10 @@
     LevelBurn,
     Window,
     WindowBurn,
-    burns_of,
+    compute_burns,
 )
 from egretstack.reports._explain import Explanation, LogLine, explain, read_log
-from egretstack.reports._forms import json_report, text_report
+from egretstack.reports._formatting import json_report, text_report
 from egretstack.reports._samples import sessions_by_account
 from egretstack.reports._snapshots import Snapshot, read_samples, read_snapshots
 
@@ -22,7 +22,7 @@
     "Snapshot",
     "Window",
     "WindowBurn",
-    "burns_of",
+    "compute_burns",
     "explain",
     "json_report",
     "read_log",
--- a/egretstack/reports/_page.py
+++ b/egretstack/reports/_page.py
@@ -1,11 +1,11 @@
-"""The burn report as one HTML page that needs nothing beside it."""
+"""Formats the burn report as one self-contained HTML page."""
 
 from collections.abc import Sequence
 from html import escape
 
 from egretstack.reports._burn import LevelBurn, Window
-from egretstack.reports._forms import span, target_text
-from egretstack.reports._plots import burn_figure, svg_of
+from egretstack.reports._formatting import format_duration, format_target
+from egretstack.reports._plots import burn_figure, render_svg
 
 _STYLE = """body { font: 15px sans-serif; margin: 2em; max-width: 70em; }
 table { border-collapse: collapse; }
@@ -16,10 +16,10 @@
 
 
 def html_report(burns: Sequence[LevelBurn], taken: str) -> str:
-    """Give the page; `taken` says of when the newest snapshot is."""
+    """Return the page; `taken` is the time of the newest snapshot, as text."""
     heads = ["account", "objective", "target", *[w.label for w in Window], "budget left", "alert"]
     cells = "".join(f"<th>{escape(head)}</th>" for head in heads)
-    rows = "\n".join(_row(burn) for burn in burns)
+    rows = "\n".join(_make_row(burn) for burn in burns)
     return f"""<!DOCTYPE html>
 <html lang="en">
 <head><meta charset="utf-8"><title>Service-level burn</title><style>{_STYLE}</style></head>
@@ -27,7 +27,7 @@
 <h1>Service-level burn</h1>
 <p>As of {escape(taken)}. A burn rate of 1 spends the budget exactly over its period; a window that
 the snapshots cover in part is marked with what they cover.</p>
-{svg_of(burn_figure(burns))}
+{render_svg(burn_figure(burns))}
 <table>
 <tr>{cells}</tr>
 {rows}
@@ -37,11 +37,19 @@
 """
 
 
-def _row(burn: LevelBurn) -> str:
-    cells = [burn.account, burn.objective.value, target_text(burn)]
-    for window, one in burn.burn_by_window.items():
-        part = "" if one.covered_s >= window.length_s else f" ({span(one.covered_s)})"
-        cells.append(f"{one.rate:.2f} of {one.total:,}{part}" if one.total else "no events")
+def _make_row(burn: LevelBurn) -> str:
+    cells = [burn.account, burn.objective.value, format_target(burn)]
+    for window, window_burn in burn.burn_by_window.items():
+        coverage = (
+            ""
+            if window_burn.covered_s >= window.length_s
+            else f" ({format_duration(window_burn.covered_s)})"
+        )
+        cells.append(
+            f"{window_burn.rate:.2f} of {window_burn.total:,}{coverage}"
+            if window_burn.total
+            else "no events"
+        )
     cells.append(f"{burn.budget_left:.0%}")
     label = "" if burn.alert is None else burn.alert.label
     cells.append(label)
--- a/scripts/_slope.py
+++ b/scripts/_slope.py
@@ -1,4 +1,4 @@
-"""A measured slope: values at several sizes, fitted by least squares and printed as a JSON line."""
+"""Slopes: values measured at several sizes, fitted by least squares, printed as JSON lines."""
 
 import gc
 import json
@@ -14,11 +14,10 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """`value = base + each * size`, with the points it was fitted to.
+    """A fitted line `value = base + each * size`, with the points that it was fitted to.
 
-    `per` names what the size counts. `worst` is the largest distance of a point from the line,
-    as a share of the largest value: near 0 for a straight line, and a warning not to carry the
-    line to the target where it is large.
+    `per` is the unit of the size. `worst` is the largest residual as a share of the largest value:
+    close to 0 if the points are on a line; if it is large, do not extrapolate to the target.
     """
 
     name: str
@@ -37,52 +36,52 @@
     values = tuple(value_by_size.values())
     mean_size = sum(sizes) / len(sizes)
     mean_value = sum(values) / len(values)
-    spread = sum((size - mean_size) ** 2 for size in sizes)
-    if spread:
-        together = sum(
+    variance = sum((size - mean_size) ** 2 for size in sizes)
+    if variance:
+        covariance = sum(
             (size - mean_size) * (value - mean_value)
             for size, value in zip(sizes, values, strict=True)
         )
-        each = together / spread
+        each = covariance / variance
         base = mean_value - each * mean_size
     else:
         each, base = values[0] / sizes[0], 0.0
-    off = [abs(base + each * s - v) for s, v in zip(sizes, values, strict=True)]
-    top = max(abs(value) for value in values)
-    worst = max(off) / top if top else 0.0
-    return Slope(name, unit, per, sizes, _rounded(values), *_rounded((base, each, worst)))
+    residuals = [abs(base + each * s - v) for s, v in zip(sizes, values, strict=True)]
+    max_value = max(abs(value) for value in values)
+    worst = max(residuals) / max_value if max_value else 0.0
+    return Slope(name, unit, per, sizes, _round_all(values), *_round_all((base, each, worst)))
 
 
-def show(slope: Slope) -> None:
+def print_slope(slope: Slope) -> None:
     """Print a slope as one JSON line."""
     print(json.dumps(asdict(slope)), flush=True)
 
 
-def held_bytes(make: Callable[[], object]) -> int:
-    """Give the memory that what `make` returns holds on to, in bytes."""
+def measure_held_bytes(make: Callable[[], object]) -> int:
+    """Return the memory held by the object that `make` returns, in bytes."""
     gc.collect()
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
-        made = make()
+        kept = make()
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    del made
+    del kept
     return after - before
 
 
-def cpu_us(work: Callable[[], object], rounds: int = 1) -> float:
-    """Give the processor time of one round of `work` in microseconds: the best of several."""
+def measure_cpu_us(function: Callable[[], object], rounds: int = 1) -> float:
+    """Return the processor time of one call of `function` in microseconds, the best of several."""
     best = float("inf")
     for _ in range(REPEATS):
         started_s = time.process_time()
         for _ in range(rounds):
-            work()
+            function()
         best = min(best, time.process_time() - started_s)
     return best / rounds * MICROSECONDS
 
 
-def _rounded(values: tuple[float, ...]) -> tuple[float, ...]:
+def _round_all(values: tuple[float, ...]) -> tuple[float, ...]:
     return tuple(float(f"{value:.4g}") for value in values)
--- a/scripts/slopes_tokens.py
+++ b/scripts/slopes_tokens.py
@@ -1,4 +1,4 @@
-"""Measures what one more token or session costs as objects, without sockets."""
+"""Measures the cost of a token or session as objects, without sockets."""
 
 from functools import partial
 
@@ -18,13 +18,13 @@
 )
 from egretstack.sessions import Session, SessionRequest
 from egretstack.upstreams import EngineEvent, EngineEventKind, GenerationRequest
-from scripts._slope import cpu_us, fit, held_bytes, show
+from scripts._slope import fit, measure_cpu_us, measure_held_bytes, print_slope
 
 TOKEN_SIZES = (64, 128, 256)
 BATCH_SIZES = (1, 4, 16, 64)
 
 
-def events(tokens: int) -> list[EngineEvent]:
+def make_events(tokens: int) -> list[EngineEvent]:
     """Make the token events of one generation."""
     generation = GenerationId("gen0123456789abcdef")
     return [
@@ -33,32 +33,34 @@
     ]
 
 
-def session_with(tokens: int) -> Session:
-    """Make a session that keeps that many events."""
+def make_session(tokens: int) -> Session:
+    """Make a session that keeps this many events."""
     generation = GenerationRequest(ModelName("model-0"), "prompt", 2000, 100)
     request = SessionRequest(AccountId("acme"), ServiceName("llm"), generation, True)
     session = Session(RequestId("work-1"), request, Cursor(GenerationId("gen"), 0))
 
     async def add() -> None:
-        for event in events(tokens):
+        for event in make_events(tokens):
             await session.add(event)
 
     trio.run(add)
     return session
 
 
-def show_tokens() -> None:
-    """Measure tokens."""
-    held = {size: held_bytes(lambda size=size: session_with(size)) for size in TOKEN_SIZES}
-    show(fit("session_kept_events", "bytes", "token", held))
+def print_token_slopes() -> None:
+    """Measure and print the slopes per token and session."""
+    held = {size: measure_held_bytes(lambda size=size: make_session(size)) for size in TOKEN_SIZES}
+    print_slope(fit("session_kept_events", "bytes", "token", held))
     session = SessionId("resp_" + "x" * 200)
     encoded = {
-        size: cpu_us(partial(encode_batch, events(size), session, ModelName("m")), 50)
+        size: measure_cpu_us(partial(encode_batch, make_events(size), session, ModelName("m")), 50)
         for size in BATCH_SIZES
     }
-    show(fit("event_encode_cpu", "us", "token", encoded))
-    sent = {size: len(encode_batch(events(size), session, ModelName("m"))) for size in BATCH_SIZES}
-    show(fit("event_wire", "bytes", "token", sent))
+    print_slope(fit("event_encode_cpu", "us", "token", encoded))
+    sent = {
+        size: len(encode_batch(make_events(size), session, ModelName("m"))) for size in BATCH_SIZES
+    }
+    print_slope(fit("event_wire", "bytes", "token", sent))
     box = SessionIdCipher([SessionIdCipher.new_key()])
     ref = SessionRef(
         AccountId("acme"),
@@ -68,10 +70,11 @@
         GenerationId("gen0123456789abcdef"),
     )
     sealed = {
-        size: cpu_us(lambda size=size: [box.seal(ref) for _ in range(size)]) for size in BATCH_SIZES
+        size: measure_cpu_us(lambda size=size: [box.seal(ref) for _ in range(size)])
+        for size in BATCH_SIZES
     }
-    show(fit("session_id_seal_cpu", "us", "session", sealed))
+    print_slope(fit("session_id_seal_cpu", "us", "session", sealed))
 
 
 if __name__ == "__main__":
-    show_tokens()
+    print_token_slopes()
