--- a/tests/process/__init__.py
+++ b/tests/process/__init__.py
@@ -1,1 +1,1 @@
-"""Tests with real processes on loopback; each ends only what it started, by id."""
+"""Tests with real processes on loopback; each ends only the processes it started, by id."""
--- a/tests/process/site.py
+++ b/tests/process/deployment.py
@@ -1,12 +1,13 @@
-"""A site of real processes on loopback: platform, engines, plain services, entries, stewards.
+"""A deployment of real processes on loopback: platform, engines, plain services, entries and
+stewards.
 
-    async with process_site(entries=2) as site:
-        async with site.stream({...}) as events: ...
-        site.kill("entry-0")
+    async with open_deployment(entries=2) as deployment:
+        async with deployment.stream(100) as events: ...
+        deployment.kill("entry-0")
 
 Every process is ended by the id it was started with. Tests that use it run on the real clock and
 assert on what happened, never on how long it took. With `relays=True` the engines are listed at
-relays, which run inside the test and can make open connections silent.
+the addresses of relays, which run inside the test and can silence open connections.
 """
 
 import json
@@ -29,10 +30,10 @@
 from egretstack.operators import new_account_key, new_session_key
 from tests.process.relay import Relay
 
-NET = "127.21"
+NET_PREFIX = "127.21"
 BIN = Path(sys.executable).parent
-START_LIMIT_S = 60.0
-STOP_LIMIT_S = 10.0
+START_TIMEOUT_S = 60.0
+STOP_TIMEOUT_S = 10.0
 MODEL = "story"
 ACCOUNT = "acme"
 OTHER_ACCOUNT = "other"
@@ -60,7 +61,7 @@
 [logs]
 level = INFO
 """
-_CALLER = """
+_CALLER_SETTINGS = """
 [caller]
 address = {host}:8080
 answer_life_s = 1
@@ -80,13 +81,13 @@
 concurrency = 1000
 max_output_tokens = 100000
 """
-_ENGINES = f"[service]\nname = llm\nkind = engine\n\n[engine]\nmodels = {MODEL}\n"
-_PLAIN = f"[service]\nname = {PLAIN_SERVICE}\nkind = plain\n"
+_ENGINE_SERVICE = f"[service]\nname = llm\nkind = engine\n\n[engine]\nmodels = {MODEL}\n"
+_PLAIN_SERVICE = f"[service]\nname = {PLAIN_SERVICE}\nkind = plain\n"
 
 
 @dataclass(frozen=True)
-class SiteOptions:
-    """What a site has. `step_s` is the time between an engine's tokens, in seconds."""
+class DeploymentOptions:
+    """Size and timing of a deployment; `step_s` is the time between an engine's tokens."""
 
     entries: int = 2
     stewards: int = 0
@@ -101,10 +102,10 @@
 
 
 @dataclass
-class ProcessSite:
-    """The running site."""
+class ProcessDeployment:
+    """A running deployment."""
 
-    options: SiteOptions
+    options: DeploymentOptions
     net: str
     folder: Path
     client: httpx.AsyncClient
@@ -117,27 +118,27 @@
         return f"http://{self.net}.10:9000"
 
     def host(self, name: str) -> str:
-        """Give the IP number of an entry's instance, or of an engine itself."""
+        """Return the IP address of an entry, steward, engine, relay or plain service."""
         kind, _, number = name.rpartition("-")
         first = {"entry": 11, "steward": 11, "engine": 50, "relay": 100, "plain": 150}[kind]
         return f"{self.net}.{first + int(number)}"
 
     def url(self, name: str | int = "entry-0") -> str:
-        """Give the base URL of an entry (also by its number), an engine or a plain service."""
+        """Return the base URL of an entry (also by its number), an engine or a plain service."""
         if isinstance(name, int):
             name = f"entry-{name}"
         port = 8080 if name.startswith("entry") else 8000
         return f"http://{self.host(name)}:{port}"
 
     def headers(self, account: str = ACCOUNT) -> dict[str, str]:
-        """Give the headers that authenticate an account."""
+        """Return the headers that authenticate an account."""
         return {"Authorization": f"Bearer {self.key_by_account[account]}"}
 
     async def start(self, name: str, *arguments: str | Path) -> None:
-        """Start a process; its log is kept for as long as the site runs."""
+        """Start a process; its log is kept for as long as the deployment runs."""
         with (self.folder / f"{name}.log").open("ab") as log:
             self.process_by_name[name] = subprocess.Popen(
-                [str(one) for one in arguments], stdout=log, stderr=log, cwd=REPOSITORY
+                [str(argument) for argument in arguments], stdout=log, stderr=log, cwd=REPOSITORY
             )
 
     async def start_entry(self, name: str) -> None:
@@ -156,39 +157,39 @@
         await self.wait_for(f"http://{self.host(name)}:{operator}/metrics")
 
     def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process with SIGKILL."""
         self.process_by_name[name].kill()
         self.process_by_name[name].wait()
 
-    def freeze(self, name: str) -> None:
-        """Stop a process without ending it."""
+    def pause(self, name: str) -> None:
+        """Pause a process with SIGSTOP."""
         self.process_by_name[name].send_signal(signal.SIGSTOP)
 
-    def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+    def resume(self, name: str) -> None:
+        """Resume a paused process with SIGCONT."""
         self.process_by_name[name].send_signal(signal.SIGCONT)
 
     def log(self, name: str) -> str:
-        """Read what a process has written so far."""
+        """Return what a process has logged so far."""
         return (self.folder / f"{name}.log").read_text()
 
     async def exit_code(self, name: str) -> int:
-        """Wait for the end of a process."""
+        """Wait until a process ends, and return its exit code."""
         process = self.process_by_name[name]
         while process.poll() is None:
             await trio.sleep(0.05)
         return process.returncode
 
     async def apply(self, kind: str, name: str, text: str) -> None:
-        """Accept a contract or a service description with egretctl."""
+        """Apply a contract or a service description with egretctl."""
         path = self.folder / f"{name}.ini"
         path.write_text(text)
         command = [BIN / "egretctl", kind, "apply", path, "--platform", self.platform]
-        await trio.run_process([str(one) for one in command], capture_stdout=True)
+        await trio.run_process([str(word) for word in command], capture_stdout=True)
 
     async def wait_for(self, url: str, headers: dict[str, str] | None = None) -> None:
-        """Wait until a URL answers well."""
-        with trio.fail_after(START_LIMIT_S):
+        """Wait until a URL answers with a success status."""
+        with trio.fail_after(START_TIMEOUT_S):
             while True:
                 try:
                     if (await self.client.get(url, headers=headers)).is_success:
@@ -201,26 +202,26 @@
     async def stream(
         self, tokens: int, entry: str = "entry-0"
     ) -> AsyncIterator[AsyncIterator[dict]]:
-        """Create a streamed answer of so many tokens; give its events."""
+        """Request a streamed answer of `tokens` tokens; yield an iterator over its events."""
         body = {"model": MODEL, "input": f"a story tokens:{tokens}", "stream": True}
         url = f"{self.url(entry)}/v1/responses"
         opened = self.client.stream("POST", url, json=body, headers=self.headers())
         async with opened as response:
-            yield _events(response)
+            yield _read_events(response)
 
     @asynccontextmanager
-    async def resumed(
+    async def resume_stream(
         self, session_id: str, after: int, entry: str
     ) -> AsyncIterator[AsyncIterator[dict]]:
-        """Go on with an answer after an event; give its events."""
+        """Resume an answer after event number `after`; yield an iterator over its events."""
         url = f"{self.url(entry)}/v1/responses/{session_id}"
         params = {"stream": "true", "starting_after": str(after)}
         opened = self.client.stream("GET", url, params=params, headers=self.headers())
         async with opened as response:
-            yield _events(response)
+            yield _read_events(response)
 
     async def list_service(self, name: str, hosts: dict[str, str], ports: dict[str, int]) -> None:
-        """Put the members of a service in the instance list."""
+        """Write the members of a service to the instance list."""
         await self.client.put(
             f"{self.platform}/instances/{name}",
             json={
@@ -251,7 +252,7 @@
         )
         if not is_entry:
             return text
-        return text + _CALLER.format(
+        return text + _CALLER_SETTINGS.format(
             host=self.host(name),
             send_timeout_s=options.send_timeout_s,
             silence_s=options.silence_s,
@@ -261,95 +262,103 @@
 REPOSITORY = Path(__file__).parent.parent.parent
 
 
-def open_site(entries: int, step_s: float = 0.02, call_delay_s: float = 0.0):
-    """Give a site with one engine and one plain service."""
-    return process_site(entries=entries, plain=1, step_s=step_s, call_delay_s=call_delay_s)
+def open_simple_deployment(entries: int, step_s: float = 0.02, call_delay_s: float = 0.0):
+    """Run a deployment with one engine and one plain service."""
+    return open_deployment(entries=entries, plain=1, step_s=step_s, call_delay_s=call_delay_s)
 
 
 @asynccontextmanager
-async def process_site(**options: object) -> AsyncIterator[ProcessSite]:
-    """Run a site for the length of the block; the options are those of `SiteOptions`."""
+async def open_deployment(**options: object) -> AsyncIterator[ProcessDeployment]:
+    """Run a deployment within the block; the options are those of `DeploymentOptions`."""
     timeout = httpx.Timeout(60.0)
     with tempfile.TemporaryDirectory() as folder:
         async with (
             httpx.AsyncClient(trust_env=False, timeout=timeout) as client,
             trio.open_nursery() as nursery,
         ):
-            site = ProcessSite(SiteOptions(**options), _free_net(), Path(folder), client)
+            deployment = ProcessDeployment(
+                DeploymentOptions(**options), _find_free_net(), Path(folder), client
+            )
             try:
-                await _start(site, nursery)
-                yield site
+                await _start(deployment, nursery)
+                yield deployment
             finally:
                 nursery.cancel_scope.cancel()
-                await _stop(site)
+                await _stop(deployment)
 
 
-async def _start(site: ProcessSite, nursery: trio.Nursery) -> None:
-    options = site.options
-    await site.start(
-        "platform", sys.executable, "-m", "standins", "platform", f"{site.net}.10:9000"
+async def _start(deployment: ProcessDeployment, nursery: trio.Nursery) -> None:
+    options = deployment.options
+    await deployment.start(
+        "platform", sys.executable, "-m", "standins", "platform", f"{deployment.net}.10:9000"
     )
     engines = [f"engine-{number}" for number in range(options.engines)]
     plain = [f"plain-{number}" for number in range(options.plain)]
     for name in engines:
-        address = f"{site.host(name)}:8000"
+        address = f"{deployment.host(name)}:8000"
         arguments = ("engine", address, MODEL, "--step-s", str(options.step_s))
-        await site.start(name, sys.executable, "-m", "standins", *arguments)
+        await deployment.start(name, sys.executable, "-m", "standins", *arguments)
     delay = ("--delay-s", str(options.call_delay_s))
     for name in plain:
-        await site.start(
-            name, sys.executable, "-m", "standins", "plain", f"{site.host(name)}:8000", *delay
+        await deployment.start(
+            name, sys.executable, "-m", "standins", "plain", f"{deployment.host(name)}:8000", *delay
         )
-    await site.wait_for(f"{site.platform}/calls")
+    await deployment.wait_for(f"{deployment.platform}/calls")
     for name in engines:
-        await site.wait_for(f"{site.url(name)}/metrics")
+        await deployment.wait_for(f"{deployment.url(name)}/metrics")
     for name in plain:
-        await site.wait_for(f"{site.url(name)}/ready")
-    await _list(site, engines, plain, nursery)
-    await _configure(site)
+        await deployment.wait_for(f"{deployment.url(name)}/ready")
+    await _list_services(deployment, engines, plain, nursery)
+    await _configure(deployment)
     for number in range(options.stewards):
-        await site.start_steward(f"steward-{number}")
+        await deployment.start_steward(f"steward-{number}")
     for number in range(options.entries):
-        await site.start_entry(f"entry-{number}")
+        await deployment.start_entry(f"entry-{number}")
 
 
-async def _list(
-    site: ProcessSite, engines: list[str], plain: list[str], nursery: trio.Nursery
+async def _list_services(
+    deployment: ProcessDeployment, engines: list[str], plain: list[str], nursery: trio.Nursery
 ) -> None:
-    listed = {name: site.host(name) for name in engines}
-    if site.options.relays:
+    listed = {name: deployment.host(name) for name in engines}
+    if deployment.options.relays:
         for number, name in enumerate(engines):
-            relay = Relay(site.host(f"relay-{number}"), 8000, site.host(name), 8000)
-            site.relay_by_engine[name] = relay
+            relay = Relay(deployment.host(f"relay-{number}"), 8000, deployment.host(name), 8000)
+            deployment.relay_by_engine[name] = relay
             listed[name] = relay.host
             await nursery.start(relay.run)
-    entries = {f"entry-{n}": site.host(f"entry-{n}") for n in range(site.options.entries)}
-    await site.list_service("llm", listed, {"http": 8000})
-    await site.list_service(PLAIN_SERVICE, {one: site.host(one) for one in plain}, {"http": 8000})
-    await site.list_service("egret-entry", entries, ENTRY_PORTS)
+    entries = {
+        f"entry-{n}": deployment.host(f"entry-{n}") for n in range(deployment.options.entries)
+    }
+    await deployment.list_service("llm", listed, {"http": 8000})
+    await deployment.list_service(
+        PLAIN_SERVICE, {name: deployment.host(name) for name in plain}, {"http": 8000}
+    )
+    await deployment.list_service("egret-entry", entries, ENTRY_PORTS)
 
 
-async def _configure(site: ProcessSite) -> None:
-    (site.folder / "session.keys").write_text(new_session_key() + "\n")
-    await site.apply("service", "llm", _ENGINES)
-    await site.apply("service", PLAIN_SERVICE, _PLAIN)
+async def _configure(deployment: ProcessDeployment) -> None:
+    (deployment.folder / "session.keys").write_text(new_session_key() + "\n")
+    await deployment.apply("service", "llm", _ENGINE_SERVICE)
+    await deployment.apply("service", PLAIN_SERVICE, _PLAIN_SERVICE)
     for account in (ACCOUNT, OTHER_ACCOUNT):
         key, digest = new_account_key()
-        site.key_by_account[account] = key
-        site.client.headers.update(site.headers())
-        await site.apply("contract", account, _CONTRACT.format(account=account, digest=digest))
+        deployment.key_by_account[account] = key
+        deployment.client.headers.update(deployment.headers())
+        await deployment.apply(
+            "contract", account, _CONTRACT.format(account=account, digest=digest)
+        )
 
 
-async def _stop(site: ProcessSite) -> None:
-    """End every process that was started here; nothing of a site is worth a graceful end."""
-    for process in site.process_by_name.values():
+async def _stop(deployment: ProcessDeployment) -> None:
+    """Kill every process that was started here; no state has to survive a deployment."""
+    for process in deployment.process_by_name.values():
         if process.poll() is None:
             process.kill()
-    for process in site.process_by_name.values():
+    for process in deployment.process_by_name.values():
         process.wait()
 
 
-async def _events(response: httpx.Response) -> AsyncIterator[dict]:
+async def _read_events(response: httpx.Response) -> AsyncIterator[dict]:
     if response.is_error:
         await response.aread()
         raise AssertionError(f"{response.status_code} {response.text}")
@@ -357,15 +366,15 @@
         yield json.loads(message.data)
 
 
-def _free_net() -> str:
-    """Find three numbers of loopback addresses that no other test uses now."""
+def _find_free_net() -> str:
+    """Return the first three octets of loopback addresses that no other test uses now."""
     numbers = list(range(1, 255))
     random.Random(os.getpid()).shuffle(numbers)
     for number in numbers:
         with socket.socket() as probe:
             try:
-                probe.bind((f"{NET}.{number}.10", 9000))
+                probe.bind((f"{NET_PREFIX}.{number}.10", 9000))
             except OSError:
                 continue
-        return f"{NET}.{number}"
-    raise RuntimeError(f"no free network under {NET}")
+        return f"{NET_PREFIX}.{number}"
+    raise RuntimeError(f"no free network under {NET_PREFIX}")
--- a/tests/process/test_listening.py
+++ b/tests/process/test_listening.py
@@ -19,8 +19,8 @@
 
 CALLERS = 300
 HOST = "127.0.0.1"
-CONNECT_LIMIT_S = 30
-TOTAL_RETRANS_AT = 100
+CONNECT_TIMEOUT_S = 30
+TOTAL_RETRANS_OFFSET = 100
 _SETTINGS = {
     "instance": {
         "id": "entry",
@@ -33,8 +33,8 @@
 }
 
 
-class KeyedAccess(PlatformAccess):
-    """Access without a key file."""
+class FixedKeyAccess(PlatformAccess):
+    """Platform access with a fixed session key instead of a key file."""
 
     def _keys(self):
         return [SESSION_KEY]
@@ -45,18 +45,18 @@
         return server.getsockname()[1]
 
 
-def packets_sent_again(connection):
+def retransmitted_packets(connection):
     """Read `tcpi_total_retrans` of the kernel's `tcp_info` (linux/tcp.h)."""
-    info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TOTAL_RETRANS_AT + 4)
-    return int.from_bytes(info[TOTAL_RETRANS_AT:], sys.byteorder)
+    info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TOTAL_RETRANS_OFFSET + 4)
+    return int.from_bytes(info[TOTAL_RETRANS_OFFSET:], sys.byteorder)
 
 
 @on_real_clock
-async def test_callers_that_connect_together_all_get_a_connection():
-    # Another entry died and its callers connect here in the same instant, while the loop is busy
-    # and accepts none. The kernel has to hold them all: where its queue is too short it drops
-    # what a caller sends first, and the caller tries again after seconds.
-    access = KeyedAccess(Kernel(schema_of(Program.STEWARD).check("test", _SETTINGS)))
+async def test_callers_that_connect_at_once_all_get_a_connection():
+    # Another entry died and its callers connect here at the same moment, while the event loop is
+    # busy and accepts none. The listen backlog has to hold them all: if it is too short, the kernel
+    # drops a caller's first packet, and the caller retransmits it only after seconds.
+    access = FixedKeyAccess(Kernel(schema_of(Program.STEWARD).check("test", _SETTINGS)))
     port = free_port()
     stop = trio.Event()
     with ExitStack() as callers:
@@ -65,15 +65,15 @@
             # No checkpoint in this loop: the server cannot accept meanwhile.
             for _ in range(CALLERS):
                 caller = callers.enter_context(socket.socket())
-                caller.settimeout(CONNECT_LIMIT_S)
+                caller.settimeout(CONNECT_TIMEOUT_S)
                 caller.connect((HOST, port))
-                check.assertEqual(packets_sent_again(caller), 0)
+                check.assertEqual(retransmitted_packets(caller), 0)
             stop.set()
             nursery.cancel_scope.cancel()
 
 
-class RefusingLinks(CallerLinks):
-    """An entry that takes no new work."""
+class RefusingDependencies(CallerLinks):
+    """An entry that accepts no new requests."""
 
     def authenticate(self, authorization):
         raise EgretError(ErrorKind.UNAUTHENTICATED, "no such key")
@@ -92,14 +92,14 @@
 
 
 @on_real_clock
-async def test_a_refusal_before_the_body_came_says_that_the_connection_closes():
-    # The caller's next request would end without an answer, and it could not know whether it ran:
-    # the refusal goes out when the head has come and the body has not, and the server, which
-    # cannot tell where the next request begins, closes the connection without having said so.
-    access = KeyedAccess(Kernel(schema_of(Program.STEWARD).check("test", _SETTINGS)))
+async def test_a_refusal_before_the_body_arrived_announces_that_the_connection_closes():
+    # The refusal is sent when the head has arrived and the body has not. The server cannot find
+    # the start of the next request and closes the connection. Without `connection: close`, the
+    # caller's next request would end without an answer, and it could not know whether it ran.
+    access = FixedKeyAccess(Kernel(schema_of(Program.STEWARD).check("test", _SETTINGS)))
     port = free_port()
     stop = trio.Event()
-    app = make_caller_app(RefusingLinks(), None, CallerLimits(1_000_000, 5.0))
+    app = make_caller_app(RefusingDependencies(), None, CallerLimits(1_000_000, 5.0))
     async with trio.open_nursery() as nursery:
         await nursery.start(access.serve_http, app, f"{HOST}:{port}", stop)
         caller = await trio.open_tcp_stream(HOST, port)
--- a/tests/process/test_streams.py
+++ b/tests/process/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams through real processes: an entry killed, a connection gone silent, a caller that never
+"""Streams through real processes: a killed entry, an unresponsive connection, a caller that never
 reads, and the `openai` client."""
 
 import socket
@@ -7,18 +7,18 @@
 import openai
 import trio
 
-from tests.process.site import ACCOUNT, MODEL, process_site
+from tests.process.deployment import ACCOUNT, MODEL, open_deployment
 from tests.support import check, on_real_clock, tests_of
 
 load_tests = tests_of(globals())
 
 
-async def read(events, most=None):
-    """Read events; stop after `most`."""
+async def read(events, limit=None):
+    """Read events, at most `limit`."""
     rows = []
     async for event in events:
         rows.append(event)
-        if most is not None and len(rows) >= most:
+        if limit is not None and len(rows) >= limit:
             break
     return rows
 
@@ -33,15 +33,15 @@
 
 @on_real_clock
 async def test_a_stream_is_resumed_at_another_entry_after_its_owner_was_killed():
-    # The entry is killed with SIGKILL when the caller has 20 events. The caller connects to
-    # another entry with the id and its last number, and gets the rest of the same generation.
-    async with process_site(entries=2) as site:
-        async with site.stream(100) as events:
+    # The entry is killed with SIGKILL when the caller has 20 events. The caller connects to another
+    # entry with the session id and its last event number, and gets the rest of the same generation.
+    async with open_deployment(entries=2) as deployment:
+        async with deployment.stream(100) as events:
             first = await read(events, 20)
-            site.kill("entry-0")
+            deployment.kill("entry-0")
         session_id = first[0]["response"]["id"]
         after = numbers(first)[-1]
-        async with site.resumed(session_id, after, "entry-1") as events:
+        async with deployment.resume_stream(session_id, after, "entry-1") as events:
             rest = await read(events)
         check.assertEqual(numbers(first + rest), list(range(102)))
         check.assertEqual(rest[-1]["response"]["usage"]["output_tokens"], 100)
@@ -49,29 +49,29 @@
 
 
 @on_real_clock
-async def test_a_connection_gone_silent_is_replaced_by_a_new_one():
-    # Something between entry and engine forgets the open connections: they stay open and carry
-    # nothing, new ones work. The caller gets every token once, from the one generation.
-    async with process_site(entries=1, relays=True) as site:
-        relay = site.relay_by_engine["engine-0"]
-        async with site.stream(100) as events:
+async def test_an_unresponsive_connection_is_replaced_by_a_new_one():
+    # A device between entry and engine loses its table of connections: the open ones carry nothing
+    # more, and new ones work. The caller gets every token once, from one generation.
+    async with open_deployment(entries=1, relays=True) as deployment:
+        relay = deployment.relay_by_engine["engine-0"]
+        async with deployment.stream(100) as events:
             first = await read(events, 20)
-            relay.forget_open_connections()
+            relay.silence_open_connections()
             rest = await read(events)
         check.assertEqual(numbers(first + rest), list(range(102)))
-        check.assertIn("session_silent", site.log("entry-0"))
-        check.assertNotIn("session_rerun", site.log("entry-0"))
+        check.assertIn("session_silent", deployment.log("entry-0"))
+        check.assertNotIn("session_rerun", deployment.log("entry-0"))
 
 
 @on_real_clock
-async def test_an_engine_killed_after_delivery_is_told_with_the_count():
-    # The engine dies when the caller has 20 tokens. The stream ends with a failed event that
-    # says how many were delivered, and not with a second engine's text.
-    async with process_site(entries=1, engines=2) as site:
-        async with site.stream(500) as events:
+async def test_a_generation_lost_after_delivery_is_reported_with_its_token_count():
+    # The engine dies when the caller has 20 tokens. The stream ends with a failed event that states
+    # how many were delivered, and does not continue with another engine's text.
+    async with open_deployment(entries=1, engines=2) as deployment:
+        async with deployment.stream(500) as events:
             first = await read(events, 21)
             for name in ("engine-0", "engine-1"):
-                site.kill(name)
+                deployment.kill(name)
             rest = await read(events)
         last = rest[-1]
         check.assertEqual(last["type"], "response.failed")
@@ -81,19 +81,21 @@
 
 
 @on_real_clock
-async def test_an_answer_not_streamed_survives_its_engine():
-    # The engine that runs a whole answer is killed in the middle; nothing was delivered, so
-    # another engine runs it and the caller sees one answer.
-    async with process_site(entries=1, engines=2) as site, trio.open_nursery() as nursery:
+async def test_an_answer_that_is_not_streamed_survives_the_end_of_its_engine():
+    # The engine of an answer that is not streamed is killed in the middle. Nothing was delivered,
+    # so another engine runs the request and the caller gets one answer.
+    async with open_deployment(entries=1, engines=2) as deployment, trio.open_nursery() as nursery:
         answers = []
 
-        async def ask():
+        async def request():
             body = {"model": MODEL, "input": "a story tokens:60"}
-            url = f"{site.url()}/v1/responses"
-            answers.append(await site.client.post(url, json=body, headers=site.headers()))
+            url = f"{deployment.url()}/v1/responses"
+            answers.append(
+                await deployment.client.post(url, json=body, headers=deployment.headers())
+            )
 
-        nursery.start_soon(ask)
-        site.kill(await busy_engine(site))
+        nursery.start_soon(request)
+        deployment.kill(await busy_engine(deployment))
         while not answers:
             await trio.sleep(0.05)
         check.assertEqual(answers[0].status_code, 200, answers[0].text)
@@ -102,72 +104,74 @@
         check.assertEqual(len(body["output"][0]["content"][0]["text"].split()), 60)
 
 
-async def busy_engine(site):
-    """Wait until an engine runs something; give its name."""
+async def busy_engine(deployment):
+    """Wait until an engine runs a generation; return its name."""
     while True:
         for name in ("engine-0", "engine-1"):
-            report = (await site.client.get(f"{site.url(name)}/metrics")).text
+            report = (await deployment.client.get(f"{deployment.url(name)}/metrics")).text
             if "vllm:num_requests_running 1" in report:
                 return name
         await trio.sleep(0.05)
 
 
 @on_real_clock
-async def test_a_caller_that_never_reads_is_cut_off_and_its_generation_ended():
-    # The caller sends a request and reads nothing, with its connection open. Its receive buffer
-    # and ours fill up; the kernel closes the connection after the time allowed, the entry
-    # notes it and the generation ends at its engine.
+async def test_a_caller_that_never_reads_is_disconnected_and_its_generation_cancelled():
+    # The caller sends a request, keeps its connection open and reads nothing. Its receive buffer
+    # and the entry's send buffer fill up; the kernel closes the connection after `send_timeout_s`,
+    # the entry logs that the session is abandoned, and the generation ends at its engine.
     options = {"step_s": 0.001, "send_timeout_s": 1, "resume_window_s": 0}
-    async with process_site(entries=1, **options) as site:
-        with socket.socket() as silent:
-            silent.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            silent.connect((site.host("entry-0"), 8080))
+    async with open_deployment(entries=1, **options) as deployment:
+        with socket.socket() as caller:
+            caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            caller.connect((deployment.host("entry-0"), 8080))
             body = b'{"model": "story", "input": "tokens:30000", "stream": true}'
             head = (
                 f"POST /v1/responses HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n"
-                f"Authorization: {site.headers()['Authorization']}\r\n\r\n"
+                f"Authorization: {deployment.headers()['Authorization']}\r\n\r\n"
             )
-            silent.sendall(head.encode() + body)
-            while "session_abandoned" not in site.log("entry-0"):
+            caller.sendall(head.encode() + body)
+            while "session_abandoned" not in deployment.log("entry-0"):
                 await trio.sleep(0.2)
-        while "vllm:num_requests_running 0" not in await _report(site):
+        while "vllm:num_requests_running 0" not in await engine_report(deployment):
             await trio.sleep(0.2)
-        async with site.stream(5) as events:
+        async with deployment.stream(5) as events:
             check.assertEqual(numbers(await read(events)), list(range(7)))
 
 
-async def _report(site):
-    return (await site.client.get(f"{site.url('engine-0')}/metrics")).text
+async def engine_report(deployment):
+    return (await deployment.client.get(f"{deployment.url('engine-0')}/metrics")).text
 
 
 @on_real_clock
 async def test_the_openai_client_creates_streams_resumes_and_cancels():
-    async with process_site(entries=2) as site:
-        one, two = (_client(site, name) for name in ("entry-0", "entry-1"))
-        async with one, two:
-            whole = await one.responses.create(model=MODEL, input="a story tokens:20")
+    async with open_deployment(entries=2) as deployment:
+        first_client, second_client = (_client(deployment, name) for name in ("entry-0", "entry-1"))
+        async with first_client, second_client:
+            whole = await first_client.responses.create(model=MODEL, input="a story tokens:20")
             check.assertEqual(whole.status, "completed")
             check.assertEqual(len(whole.output_text.split()), 20)
 
-            stream = await one.responses.create(
+            stream = await first_client.responses.create(
                 model=MODEL, input="a story tokens:80", stream=True, max_output_tokens=60
             )
-            first = [event async for event in _taken(stream, 15)]
+            first = [event async for event in first_events(stream, 15)]
             await stream.close()
             session_id = first[0].response.id
             after = first[-1].sequence_number
-            resumed = await two.responses.retrieve(session_id, stream=True, starting_after=after)
+            resumed = await second_client.responses.retrieve(
+                session_id, stream=True, starting_after=after
+            )
             rest = [event async for event in resumed]
             check.assertEqual([e.sequence_number for e in first + rest], list(range(62)))
             check.assertEqual(rest[-1].type, "response.completed")
 
-            stream = await one.responses.create(
+            stream = await first_client.responses.create(
                 model=MODEL, input="a story tokens:5000", stream=True
             )
-            first = [event async for event in _taken(stream, 5)]
-            status = await two.responses.retrieve(first[0].response.id)
+            first = [event async for event in first_events(stream, 5)]
+            status = await second_client.responses.retrieve(first[0].response.id)
             check.assertEqual(status.status, "in_progress")
-            cancelled = await two.responses.cancel(first[0].response.id)
+            cancelled = await second_client.responses.cancel(first[0].response.id)
             check.assertEqual(cancelled.status, "cancelled")
             rest = [event async for event in stream]
             check.assertEqual(rest[-1].type, "response.failed")
@@ -176,13 +180,16 @@
 
 @on_real_clock
 async def test_the_openai_client_gets_errors_of_the_listed_kinds():
-    async with process_site(entries=1) as site:
-        async with _client(site, "entry-0") as client:
+    async with open_deployment(entries=1) as deployment:
+        async with _client(deployment, "entry-0") as client:
             with check.assertRaises(openai.NotFoundError) as caught:
                 await client.responses.create(model="no-such", input="x")
             check.assertEqual(caught.exception.code, "unknown-model")
         wrong = openai.AsyncOpenAI(
-            api_key="wrong", base_url=f"{site.url()}/v1", max_retries=0, http_client=_plain_http()
+            api_key="wrong",
+            base_url=f"{deployment.url()}/v1",
+            max_retries=0,
+            http_client=_plain_http(),
         )
         async with wrong:
             with check.assertRaises(openai.AuthenticationError) as caught:
@@ -190,10 +197,10 @@
             check.assertEqual(caught.exception.code, "unauthenticated")
 
 
-def _client(site, entry):
+def _client(deployment, entry):
     return openai.AsyncOpenAI(
-        api_key=site.key_by_account[ACCOUNT],
-        base_url=f"{site.url(entry)}/v1",
+        api_key=deployment.key_by_account[ACCOUNT],
+        base_url=f"{deployment.url(entry)}/v1",
         max_retries=0,
         http_client=_plain_http(),
     )
@@ -203,10 +210,10 @@
     return httpx.AsyncClient(trust_env=False, timeout=60)
 
 
-async def _taken(stream, most):
-    taken = 0
+async def first_events(stream, limit):
+    received = 0
     async for event in stream:
         yield event
-        taken += 1
-        if taken == most:
+        received += 1
+        if received == limit:
             return
