--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,11 +1,11 @@
-"""Plays many seeds by hand and prints what broke."""
+"""Command that runs many seeds and prints the broken promises."""
 
 import random
 from pathlib import Path
 
 from cyclopts import App
 
-from tests.soak.play import play_seed
+from tests.soak.scenario import run_seed
 
 app = App(help="Play seeds of the fault soak.")
 
@@ -26,17 +26,17 @@
         Folder for the logs.
     """
     start = random.SystemRandom().randrange(10**6) if first is None else first
-    bad = 0
+    failed_count = 0
     for seed in range(start, start + seeds):
-        outcome = play_seed(seed, seconds)
+        outcome = run_seed(seed, seconds)
         print(f"seed {seed}: {outcome.checked} requests, {len(outcome.broken)} broken", flush=True)
         if outcome.broken:
-            bad += 1
+            failed_count += 1
             keep.mkdir(parents=True, exist_ok=True)
             text = "\n".join((*outcome.broken, *outcome.logs))
             (keep / f"seed-{seed}.log").write_text(text)
             print("\n".join(outcome.broken[:5]), flush=True)
-    print(f"{seeds - bad} passed, {bad} failed")
+    print(f"{seeds - failed_count} passed, {failed_count} failed")
 
 
 app()
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the soak, and the promises that they and the runners check."""
+"""Clients of the soak test, and the checks of what they and the runners observed."""
 
 import json
 import random
@@ -18,27 +18,27 @@
 )
 from standins.platform import GENERATION, EngineStandIn, PlainStandIn, client_request
 
-PROMISES_NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 TIMEOUT_S = 6.0
-MAX_ANSWER = 1_000_000
+MAX_ANSWER_BYTES = 1_000_000
 
 
 class Kind(Enum):
-    """What a client asks for; the values are the routes."""
+    """Kind of a client's request; the values are the routes."""
 
     NOTES = "notes"
     HOLDS = "holds"
     PLANS = "plans"
 
 
-ENDING = b"ends its runner"
-"""Body of the requests under which every runner ends."""
-REFUSED_TYPE = "crashes-runners"
+FATAL_BODY = b"ends its runner"
+"""Body of the requests that end every runner that runs them."""
+CRASHES_RUNNERS_TYPE = "crashes-runners"
 
 
 @dataclass
 class Record:
-    """What came of one attempt, as its client saw it."""
+    """Result of one attempt, as its client saw it."""
 
     attempt: str
     kind: Kind
@@ -48,52 +48,52 @@
     target: str = ""
     ids: list[int] = field(default_factory=list)
     is_ending: bool = False
-    """Whether each runner that runs it ends."""
+    """Whether it ends each runner that runs it."""
     refused_as: str = ""
-    """Type of the problem that it was answered with."""
+    """Type of the problem document in the answer."""
 
 
 def _request(record: Record, key: str) -> tuple[RequestHead, bytes]:
     method = b"GET" if record.kind is Kind.NOTES and not record.is_ending else b"POST"
     headers = GENERATION if record.kind is Kind.PLANS else ()
-    name, body = ("ending", ENDING) if record.is_ending else (record.attempt, b"")
+    name, body = ("ending", FATAL_BODY) if record.is_ending else (record.attempt, b"")
     path = f"/{record.kind.value}/{name}"
     return client_request(path, record.attempt, method=method, key=key, headers=headers, body=body)
 
 
 async def attempt(
-    record: Record, front: str, key: str, rng: random.Random, kept: ConnectionPool | None = None
+    record: Record, front: str, key: str, rng: random.Random, pool: ConnectionPool | None = None
 ) -> None:
-    """Make one request and fill its record; what breaks leaves it as far as it got.
+    """Make one request and fill its record; after a broken connection the record stays incomplete.
 
-    A client that keeps connections uses them until they are closed on it.
+    With a pool, the client reuses a connection until the server closes it.
     """
     head, body = _request(record, key)
-    patience_s = rng.choice((TIMEOUT_S, TIMEOUT_S, rng.uniform(0.02, 1.0)))
+    timeout_s = rng.choice((TIMEOUT_S, TIMEOUT_S, rng.uniform(0.02, 1.0)))
     try:
-        if kept is None:
+        if pool is None:
             connection = await connect_upstream(front, 1.0)
         else:
-            connection = await kept.acquire(front, 1.0)
+            connection = await pool.acquire(front, 1.0)
     except ConnectFailed:
         return
     try:
-        with trio.move_on_after(patience_s):
-            await _ask(connection, head, body, record)
+        with trio.move_on_after(timeout_s):
+            await _exchange(connection, head, body, record)
     except UpstreamBroken:
         return
     finally:
-        if kept is not None and record.whole:
-            kept.release(connection)
+        if pool is not None and record.whole:
+            pool.release(connection)
         else:
             connection.close()
 
 
-async def _ask(connection, head: RequestHead, body: bytes, record: Record) -> None:
+async def _exchange(connection, head: RequestHead, body: bytes, record: Record) -> None:
     if record.kind is Kind.PLANS:
         await _read_stream(connection, head, body, record)
         return
-    answer, data = await exchange(connection, head, body, MAX_ANSWER)
+    answer, data = await exchange(connection, head, body, MAX_ANSWER_BYTES)
     record.status, record.whole = answer.status, True
     if answer.status == 200 and first_value(answer.headers, b"runner-seal"):
         record.target = json.loads(data)["target"]
@@ -118,8 +118,8 @@
     record.whole = True
 
 
-class Promises:
-    """Checks records against what the runners did."""
+class PromiseChecker:
+    """Checks the records against what the runners ran."""
 
     def __init__(self, plain: list[PlainStandIn], engines: list[EngineStandIn]) -> None:
         self._plain = plain
@@ -128,14 +128,16 @@
         self.checked = 0
 
     def check(self, record: Record) -> None:
-        """Check one attempt that is over for its client."""
+        """Check one attempt that its client has finished."""
         self.checked += 1
-        if record.refused_as == REFUSED_TYPE and not record.is_ending:
+        if record.refused_as == CRASHES_RUNNERS_TYPE and not record.is_ending:
             self._break(record, "was refused for another request's doing")
-        runs = sum(one.runs_by_attempt[record.attempt] for one in (*self._plain, *self._engines))
+        runs = sum(
+            runner.runs_by_attempt[record.attempt] for runner in (*self._plain, *self._engines)
+        )
         if record.kind is not Kind.NOTES and runs > 1:
             self._break(record, f"ran {runs} times")
-        if record.kind is not Kind.NOTES and record.status in PROMISES_NOT_RUN and runs:
+        if record.kind is not Kind.NOTES and record.status in NOT_RUN_STATUSES and runs:
             self._break(record, f"answered {record.status} and ran")
         expected = _request(record, "")[0].target.decode()
         if record.target not in ("", expected):
@@ -148,9 +150,9 @@
     def _check_stream(self, record: Record) -> None:
         if record.ids != list(range(1, len(record.ids) + 1)):
             self._break(record, f"events out of order: {record.ids}")
-        complete = {one.events for one in self._engines}
+        complete = {engine.events for engine in self._engines}
         if record.whole and record.status == 200 and len(record.ids) not in complete:
             self._break(record, f"looked complete after {len(record.ids)} events")
 
-    def _break(self, record: Record, what: str) -> None:
-        self.broken.append(f"{record.kind.value} {record.attempt} at {record.entry}: {what}")
+    def _break(self, record: Record, detail: str) -> None:
+        self.broken.append(f"{record.kind.value} {record.attempt} at {record.entry}: {detail}")
--- a/tests/soak/entries.py
+++ b/tests/soak/entries.py
@@ -1,4 +1,4 @@
-"""Entries as real processes, ended only by the ids that were started here."""
+"""Entries as real processes; each is ended only by the id it was started with."""
 
 import signal
 import subprocess
@@ -32,7 +32,7 @@
 
 @dataclass
 class EntryProcess:
-    """One instance; its process may be started many times."""
+    """An entry's instance, whose process may be started many times."""
 
     name: str
     ip: str
@@ -40,26 +40,26 @@
     seeds: str
     folder: Path
     process: subprocess.Popen | None = None
-    stopped: bool = False
+    is_paused: bool = False
     starts: int = 0
 
     @property
     def front(self) -> str:
-        """Where clients connect."""
+        """Address to which clients connect."""
         return f"{self.ip}:8740"
 
     @property
     def directory(self) -> str:
-        """Where clients ask which entries to use."""
+        """Address at which clients query the entries that they may use."""
         return f"{self.ip}:8746"
 
     @property
     def log(self) -> Path:
-        """What all its processes wrote."""
+        """Log file of all its processes."""
         return self.folder / f"{self.name}.log"
 
     def start(self) -> None:
-        """Start a process, unless one runs."""
+        """Start the process, unless it runs."""
         if self.process is not None and self.process.poll() is None:
             return
         settings = self.folder / f"{self.name}.conf"
@@ -77,16 +77,16 @@
                 stdout=log,
                 stderr=log,
             )
-        self.stopped = False
+        self.is_paused = False
 
-    def send(self, which: signal.Signals) -> None:
+    def send(self, signal_number: signal.Signals) -> None:
         """Send a signal to the process, if it runs."""
         if self.process is not None and self.process.poll() is None:
-            self.process.send_signal(which)
-            self.stopped = which is signal.SIGSTOP
+            self.process.send_signal(signal_number)
+            self.is_paused = signal_number is signal.SIGSTOP
 
     def end(self) -> None:
-        """End the process at once, frozen or not."""
+        """Kill the process, paused or not."""
         if self.process is None:
             return
         if self.process.poll() is None:
