--- a/tests/matrix/callers.py
+++ b/tests/matrix/callers.py
@@ -1,4 +1,4 @@
-"""Callers and operators of a cell; each records what it asked and what it was told."""
+"""Callers of a cell; each records its requests and the answers that it got."""
 
 import json
 from dataclasses import dataclass, field
@@ -9,68 +9,68 @@
 from standins.http_link import ConnectionBroken, HttpResponse
 from standins.world import PORTS, World
 from tests.matrix.history import (
-    Asked,
-    Broken,
-    Delivered,
+    ConnectRefused,
+    Disconnected,
     Finished,
-    GaveUp,
     History,
-    NotListening,
     Path,
     Refused,
+    RequestSent,
+    TimedOut,
+    TokenDelivered,
 )
 
 KEY = "acme-key"
-PATIENCE_S = 90.0
-"""How long a caller tries before it counts as left without an answer."""
+CALLER_TIMEOUT_S = 90.0
+"""Time that a caller retries before it counts as having got no answer."""
 READ_TIMEOUT_S = 12.0
-"""Silence, heartbeats included, after which a caller takes its connection for dead."""
+"""Time without data, heartbeats included, after which a caller considers its connection dead."""
 RETRY_DELAY_S = 0.5
-CALL_REPEATS = 24
+MAX_CALL_ATTEMPTS = 24
 HEADERS = {"authorization": f"Bearer {KEY}", "content-type": "application/json"}
 _FINAL_KINDS = frozenset({ErrorKind.GENERATION_LOST, ErrorKind.GENERATION_CANCELLED})
 
 
-class _Ended(Exception):
-    """The caller has its final answer."""
+class _FinalAnswer(Exception):
+    """The caller has got its final answer."""
 
 
 @dataclass
 class Caller:
-    """What every caller has: the world, the history, its name, and the entries it may use."""
+    """A caller with its name and the entries that it may use; it records to the history."""
 
     world: World
     history: History
     name: str
     entries: list[str]
-    turn: int = 0
+    attempt_index: int = 0
 
     @property
     def entry(self) -> str:
-        """Give the entry to use now."""
-        return self.entries[self.turn % len(self.entries)]
+        """Return the entry for the next attempt."""
+        return self.entries[self.attempt_index % len(self.entries)]
 
     async def run(self) -> None:
-        """Try until there is a final answer, or give up."""
-        with trio.move_on_after(PATIENCE_S) as patience:
+        """Retry until there is a final answer, or time out."""
+        with trio.move_on_after(CALLER_TIMEOUT_S) as timeout:
             try:
                 while True:
                     await self._attempt()
-            except _Ended:
+            except _FinalAnswer:
                 return
-        if patience.cancelled_caught:
-            self.history.add(GaveUp, self.name)
+        if timeout.cancelled_caught:
+            self.history.add(TimedOut, self.name)
 
     async def _attempt(self) -> None:
         entry = self.entry
         try:
             await self._exchange(entry)
         except ConnectionRefusedError:
-            self.history.add(NotListening, self.name, entry)
+            self.history.add(ConnectRefused, self.name, entry)
         except (ConnectionBroken, trio.TooSlowError) as error:
             if isinstance(error, ConnectionBroken):
-                self.history.add(Broken, self.name, entry)
-        self.turn += 1
+                self.history.add(Disconnected, self.name, entry)
+        self.attempt_index += 1
         await trio.sleep(RETRY_DELAY_S)
 
     async def _exchange(self, entry: str) -> None:
@@ -81,14 +81,14 @@
         host = self.world.listed_host(entry)
         return self.world.http.request(host, PORTS["caller"], method, target, headers, body)
 
-    async def refuse(self, response: HttpResponse) -> Refused:
-        """Read a problem document and record what it says."""
+    async def read_refusal(self, response: HttpResponse) -> Refused:
+        """Read a problem document and record it."""
         with trio.fail_after(READ_TIMEOUT_S):
             document = json.loads(await response.read())
-        return self.told(document["error"]["code"], document)
+        return self.record_refusal(document["error"]["code"], document)
 
-    def told(self, code: str, document: dict) -> Refused:
-        """Record a final answer other than the one asked for."""
+    def record_refusal(self, code: str, document: dict) -> Refused:
+        """Record a final answer other than the requested one."""
         kind = ErrorKind(code)
         run = RunState(document.get("run", ANSWERS[kind].run.value))
         refused = Refused(
@@ -99,22 +99,23 @@
             document.get("retry_after_s"),
             document.get("delivered_tokens"),
         )
-        self.history.happenings.append(refused)
+        self.history.events.append(refused)
         return refused
 
 
 @dataclass
 class SessionCaller(Caller):
-    """Asks for a streamed generation, and comes back with the last number it saw.
+    """Requests a streamed generation, and after a disconnect resumes it after its last event.
 
-    `on_token` is called after each token with how many were received. `leaves_at` makes the
-    caller drop its connection once, after that many tokens.
+    The callbacks `on_token` get the number of received tokens after each token. With
+    `disconnect_after`, the caller drops its connection once after that many tokens, and calls
+    `before_reconnect`.
     """
 
     length: int = 60
-    leaves_at: int = 0
+    disconnect_after: int = 0
     on_token: list = field(default_factory=list)
-    before_return: list = field(default_factory=list)
+    before_reconnect: list = field(default_factory=list)
     session_id: str = ""
     received: int = 0
 
@@ -123,7 +124,7 @@
             target = f"/v1/responses/{self.session_id}?stream=true&starting_after={self.received}"
             opened = self.request(entry, "GET", target, HEADERS, b"")
         else:
-            self.history.add(Asked, self.name, Path.SESSION, entry, self.length)
+            self.history.add(RequestSent, self.name, Path.SESSION, entry, self.length)
             body = {
                 "model": "story",
                 "input": f"r:{self.name} tokens:{self.length}",
@@ -142,71 +143,73 @@
 
     async def _read(self, response: HttpResponse, wait: trio.CancelScope) -> None:
         if response.status != 200:
-            await self._refused(response)
+            await self._on_refusal(response)
             return
-        rest = b""
+        remainder = b""
         async for chunk in response.chunks():
             wait.deadline = trio.current_time() + READ_TIMEOUT_S
-            *blocks, rest = (rest + chunk).split(b"\n\n")
+            *blocks, remainder = (remainder + chunk).split(b"\n\n")
             for block in blocks:
-                self._take(block)
-                if self.leaves_at and self.received >= self.leaves_at:
-                    self.leaves_at = 0
-                    for callback in self.before_return:
+                self._on_event(block)
+                if self.disconnect_after and self.received >= self.disconnect_after:
+                    self.disconnect_after = 0
+                    for callback in self.before_reconnect:
                         callback()
                     return
 
-    async def _refused(self, response: HttpResponse) -> None:
+    async def _on_refusal(self, response: HttpResponse) -> None:
         if self.session_id:
-            # A refusal of a return says nothing of the generation unless it names its end.
+            # A refusal to resume says nothing about the generation unless it reports its end.
             with trio.fail_after(READ_TIMEOUT_S):
                 document = json.loads(await response.read())
             kind = ErrorKind(document["error"]["code"])
             if kind in _FINAL_KINDS or not ANSWERS[kind].retry:
-                self.told(kind.value, document)
-                raise _Ended
+                self.record_refusal(kind.value, document)
+                raise _FinalAnswer
             return
-        await self.refuse(response)
-        raise _Ended
+        await self.read_refusal(response)
+        raise _FinalAnswer
 
-    def _take(self, block: bytes) -> None:
+    def _on_event(self, block: bytes) -> None:
         data = [line[6:] for line in block.split(b"\n") if line.startswith(b"data: ")]
         if not data:
             return
         event = json.loads(data[0])
         if event["type"] == "response.output_text.delta":
-            self._token(event)
+            self._on_token(event)
         elif event["type"] == "response.created":
             self.session_id = event["response"]["id"]
         elif event["type"] == "response.completed":
             tokens = event["response"]["usage"]["output_tokens"]
             self.history.add(Finished, self.name, self.name, tokens)
-            raise _Ended
+            raise _FinalAnswer
         elif event["type"] == "response.failed":
-            self.told(event["response"]["error"]["code"], event["response"]["problem"])
-            raise _Ended
+            self.record_refusal(event["response"]["error"]["code"], event["response"]["problem"])
+            raise _FinalAnswer
 
-    def _token(self, event: dict) -> None:
+    def _on_token(self, event: dict) -> None:
         generation, _, number = event["delta"].strip().partition(":")
         self.received += 1
-        self.history.add(Delivered, self.name, generation, int(number), event["sequence_number"])
+        self.history.add(
+            TokenDelivered, self.name, generation, int(number), event["sequence_number"]
+        )
         for callback in self.on_token:
             callback(self.received)
 
 
 @dataclass
 class CallCaller(Caller):
-    """Makes one non-idempotent call, and repeats it with its key while told to come back."""
+    """Makes one non-idempotent call, and repeats it with its key while the answer asks to retry."""
 
-    before_ask: list = field(default_factory=list)
-    asked: int = 0
+    before_send: list = field(default_factory=list)
+    sent: int = 0
 
     async def _exchange(self, entry: str) -> None:
-        self.asked += 1
-        if self.asked > CALL_REPEATS:
-            raise _Ended
-        self.history.add(Asked, self.name, Path.CALL, entry)
-        for callback in self.before_ask:
+        self.sent += 1
+        if self.sent > MAX_CALL_ATTEMPTS:
+            raise _FinalAnswer
+        self.history.add(RequestSent, self.name, Path.CALL, entry)
+        for callback in self.before_send:
             callback()
         headers = HEADERS | {"idempotency-key": self.name}
         target = f"/services/holds/hold/{self.name}"
@@ -215,8 +218,8 @@
                 if response.status == 201:
                     marker = json.loads(await response.read())["path"].removeprefix("/hold/")
                     self.history.add(Finished, self.name, marker)
-                    raise _Ended
-                refused = await self.refuse(response)
+                    raise _FinalAnswer
+                refused = await self.read_refusal(response)
         if not ANSWERS[refused.kind].retry:
-            raise _Ended
+            raise _FinalAnswer
         await trio.sleep(refused.retry_after_s or RETRY_DELAY_S)
--- a/tests/matrix/site.py
+++ b/tests/matrix/deployment.py
@@ -1,6 +1,6 @@
-"""The site of a cell: three instances with entry and steward, engines and plain runners.
+"""The deployment of a cell: three instances with entry and steward, engines and plain runners.
 
-Everything that upstreams, the store and the programs do is recorded in the cell's history.
+What upstreams, the store and the programs do is recorded in the cell's history.
 """
 
 import hashlib
@@ -27,43 +27,43 @@
 from tests.matrix.history import (
     CallRan,
     ChangeAnswer,
-    ChangeTold,
-    Frozen,
+    ChangeAnswered,
     HeadWritten,
     History,
     InForce,
     Killed,
     LeavingBegan,
-    OrderTaken,
+    OrderAccepted,
+    Paused,
+    RequestAssigned,
+    Resumed,
     StopBegan,
     Stopped,
-    Thawed,
     UpstreamDied,
-    WorkGiven,
 )
 
-ANSWER_LIFE_S = 5
+ANSWER_TTL_S = 5
 STEP_S = 0.1
 CALL_S = 0.3
-SAMPLE_S = 0.1
+SAMPLE_INTERVAL_S = 0.1
 LIST_LAG_S = 2.0
 ENTRIES = ("entry-0", "entry-1", "entry-2")
 ENGINES = ("engine-0", "engine-1", "engine-2")
-PLAIN = ("holds-0", "holds-1")
+PLAIN_RUNNERS = ("holds-0", "holds-1")
 CONTRACT = {
     "contract": {"account": "acme", "key_sha256": hashlib.sha256(KEY.encode()).hexdigest()},
     "limits": {"requests_per_s": "100", "burst": "1000", "concurrency": "1000"},
 }
 CONTRACT_PART = "contract.acme"
 ENGINE_PART = "service.llm"
-MORE_MODELS = ("story", "poem")
+CHANGED_MODELS = ("story", "poem")
 ENGINE_SERVICE = {"service": {"name": "llm", "kind": "engine"}, "engine": {"models": "story"}}
 PLAIN_SERVICE = {"service": {"name": "holds", "kind": "plain"}}
-SETTINGS = {"caller": {"answer_life_s": str(ANSWER_LIFE_S), "heartbeat_s": "3"}}
+SETTINGS = {"caller": {"answer_life_s": str(ANSWER_TTL_S), "heartbeat_s": "3"}}
 
 
-class _RecordedRuns(Counter):
-    """Counts the runs of each key and records them."""
+class _RecordedRunCounts(Counter):
+    """Counts the runs of each key and records each run in the history."""
 
     def __init__(self, history: History) -> None:
         super().__init__()
@@ -75,30 +75,30 @@
 
 
 def _digests(spec: dict) -> dict[str, str]:
-    """Give each part's version at a head; the few parts of a cell are all in the head itself."""
+    """Return each part's version at a head, which itself holds the few parts of a cell."""
     return {part: digest for part, digest in spec["since"].items() if digest is not None}
 
 
-def _marker(prompt: str) -> str:
+def _request_name(prompt: str) -> str:
     return prompt.partition("r:")[2].partition(" ")[0]
 
 
 @dataclass
-class Site:
-    """The world of a cell, its processes by name, and the history."""
+class Deployment:
+    """The simulated deployment of a cell, its processes by name, and the history."""
 
     world: World
     history: History
     process_by_name: dict[str, Process] = field(default_factory=dict)
-    book: Book = field(default_factory=Book)
+    plain_state: Book = field(default_factory=Book)
     changes: int = 0
 
     def session(self, name: str, entries: tuple[str, ...] = ENTRIES, **more) -> SessionCaller:
-        """Make a caller of a session."""
+        """Return a caller of a session."""
         return SessionCaller(self.world, self.history, name, list(entries), **more)
 
     def call(self, name: str, entries: tuple[str, ...] = ENTRIES, **more) -> CallCaller:
-        """Make a caller of a non-idempotent call."""
+        """Return a caller of a non-idempotent call."""
         return CallCaller(self.world, self.history, name, list(entries), **more)
 
     def kill(self, name: str) -> None:
@@ -106,18 +106,18 @@
         self.history.add(Killed, name)
         self.process_by_name[name].kill()
 
-    def freeze(self, name: str) -> None:
-        """Freeze a process."""
-        self.history.add(Frozen, name)
+    def pause(self, name: str) -> None:
+        """Pause a process."""
+        self.history.add(Paused, name)
         self.process_by_name[name].freeze()
 
-    def thaw(self, name: str) -> None:
-        """Thaw a process."""
-        self.history.add(Thawed, name)
+    def resume(self, name: str) -> None:
+        """Resume a paused process."""
+        self.history.add(Resumed, name)
         self.process_by_name[name].thaw()
 
-    def die(self, upstream: str) -> None:
-        """Let an upstream die."""
+    def kill_upstream(self, upstream: str) -> None:
+        """Kill an upstream."""
         self.history.add(UpstreamDied, upstream)
         engine = self.world.engine_by_id.get(upstream)
         if engine is None:
@@ -126,15 +126,15 @@
         engine.faults.dead = True
         engine.faults.wake()
 
-    def leave(self, upstream: str) -> None:
-        """Let the list say that an upstream is leaving."""
+    def announce_leaving(self, upstream: str) -> None:
+        """Mark an upstream as leaving in the instance list."""
         self.history.add(LeavingBegan, upstream)
         self.world.set_state(upstream, MemberState.LEAVING)
 
     async def stop(self, entry: str) -> None:
         """Stop an entry as planned, and wait until its process has ended."""
         process = self.process_by_name[entry]
-        self.history.add(StopBegan, entry, float(ANSWER_LIFE_S))
+        self.history.add(StopBegan, entry, float(ANSWER_TTL_S))
         process.kernel.begin_drain()
         with trio.move_on_after(LIST_LAG_S):
             await process.stopped.wait()
@@ -144,13 +144,13 @@
         self.world.listed.by_id.pop(entry, None)
 
     async def change(self, operator: str = "operator", base: str | None = None) -> None:
-        """Change the contract as an operator who starts from version `base` or the present."""
+        """Change the contract as an operator who starts from version `base` or the current one."""
         limits = CONTRACT["limits"] | {"burst": str(1001 + self.changes)}
         await self.apply(CONTRACT_PART, CONTRACT | {"limits": limits}, operator, base)
 
     async def add_model(self) -> None:
-        """Change what the engines have to serve."""
-        sections = ENGINE_SERVICE | {"engine": {"models": ",".join(MORE_MODELS)}}
+        """Add a model to those that the engines have to serve."""
+        sections = ENGINE_SERVICE | {"engine": {"models": ",".join(CHANGED_MODELS)}}
         await self.apply(ENGINE_PART, sections)
 
     async def apply(
@@ -160,14 +160,14 @@
         operator: str = "operator",
         base: str | None = None,
     ) -> None:
-        """Change a part and record what the operator is told."""
+        """Change a part and record the answer that the operator gets."""
         self.changes += 1
         change_id = ChangeId(f"{operator}-{self.changes}")
         api = GatedObjectApi(
             InProcessObjectApi(self.world.store), Gate(operator, self.world.observers)
         )
         store = ConfigurationStore(api)
-        answer, revision = ChangeAnswer.AWAY, 0
+        answer, revision = ChangeAnswer.UNAVAILABLE, 0
         try:
             if base is None:
                 base = (await store.head()).digest_by_part[part]
@@ -179,24 +179,24 @@
         except ApplyUnknown:
             answer = ChangeAnswer.UNKNOWN
         except PlatformAway:
-            answer = ChangeAnswer.AWAY
-        self.history.add(ChangeTold, str(change_id), part, answer, revision, base or "")
+            answer = ChangeAnswer.UNAVAILABLE
+        self.history.add(ChangeAnswered, str(change_id), part, answer, revision, base or "")
 
     def contract_digest(self) -> str:
-        """Give the version of the contract in the store now."""
+        """Return the current version of the contract in the store."""
         head = self.world.store.by_place[ObjectKind.CONFIG_HEAD, "head"]
         return _digests(head.spec)[CONTRACT_PART]
 
     def entry_names(self) -> tuple[str, ...]:
-        """Give the entries whose processes run."""
+        """Return the entries whose processes run."""
         return tuple(name for name in ENTRIES if not self.process_by_name[name].stopped.is_set())
 
-    def unconverged(self) -> list[str]:
-        """Give the live engines that do not serve what the configuration in the store says."""
+    def unconverged_engines(self) -> list[str]:
+        """Return the live engines whose models differ from the configuration in the store."""
         heads = self.world.store.by_place[ObjectKind.CONFIG_HEAD, "head"].spec
         digest = _digests(heads)[ENGINE_PART]
         place = (ObjectKind.CONFIG_PART, f"{ENGINE_PART}.{digest}")
-        wanted = set(
+        expected = set(
             self.world.store.by_place[place].spec["sections"]["engine"]["models"].split(",")
         )
         return [
@@ -205,91 +205,97 @@
             if name in self.world.listed.by_id
             and not engine.faults.dead
             and self.world.listed.by_id[name].state is MemberState.LIVE
-            and set(engine.live.models) != wanted
+            and set(engine.live.models) != expected
         ]
 
-    def upstream_of(self, request: str) -> str | None:
-        """Give the upstream that was given a request last."""
-        given = [one for one in self.history.of(WorkGiven) if one.request == request]
+    def last_upstream_of(self, request: str) -> str | None:
+        """Return the upstream to which a request was sent last."""
+        given = [one for one in self.history.of(RequestAssigned) if one.request == request]
         return given[-1].upstream if given else None
 
     async def watch(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Record heads and what is in force, for ever."""
+        """Keep recording new heads, and the revisions that processes have in force."""
         task_status.started()
-        seen = 0
+        seen_version = 0
         revision_by_process: dict[str, int] = {}
         while True:
-            seen = self._note_heads(seen)
+            seen_version = self._record_heads(seen_version)
             for name, process in self.process_by_name.items():
                 if process.stopped.is_set() or process.access.gate.frozen:
                     continue
-                self._note_revision(name, process, revision_by_process)
-            await trio.sleep(SAMPLE_S)
+                self._record_revision(name, process, revision_by_process)
+            await trio.sleep(SAMPLE_INTERVAL_S)
 
-    def _note_heads(self, seen: int) -> int:
-        for version, change in self.world.store.since(ObjectKind.CONFIG_HEAD, seen):
+    def _record_heads(self, seen_version: int) -> int:
+        for version, change in self.world.store.since(ObjectKind.CONFIG_HEAD, seen_version):
             spec = change.object.spec
             self.history.add(HeadWritten, spec["revision"], spec["change_id"], _digests(spec))
-            seen = version
-        return seen
+            seen_version = version
+        return seen_version
 
-    def _note_revision(self, name: str, process: Process, known: dict[str, int]) -> None:
+    def _record_revision(
+        self, name: str, process: Process, known_revisions: dict[str, int]
+    ) -> None:
         snapshot = process.kernel.get(Configuration).state.snapshot
-        if snapshot is not None and known.get(name) != snapshot.head.revision:
-            known[name] = snapshot.head.revision
+        if snapshot is not None and known_revisions.get(name) != snapshot.head.revision:
+            known_revisions[name] = snapshot.head.revision
             digests = dict(snapshot.head.digest_by_part)
             self.history.add(InForce, name, snapshot.head.revision, digests)
 
 
-def _record_upstreams(site: Site) -> None:
+def _record_upstreams(deployment: Deployment) -> None:
     for name in ENGINES:
-        engine = site.world.add_engine(
+        engine = deployment.world.add_engine(
             name, "llm", ("story",), EngineParameters(step_base_s=STEP_S, prefill_tokens_per_s=20)
         )
 
-        def note(generation: Generation, name: str = name) -> None:
-            site.history.add(WorkGiven, name, _marker(generation.prompt), generation.id)
+        def record(generation: Generation, name: str = name) -> None:
+            deployment.history.add(
+                RequestAssigned, name, _request_name(generation.prompt), generation.id
+            )
 
-        engine.live.on_start = note
-        engine.live.order = _noting_order(site, name, engine.live.order)
+        engine.live.on_start = record
+        engine.live.order = _record_orders(deployment, name, engine.live.order)
         engine.faults.untidy = True
         engine.live.text = lambda one: f"{one.id}:{len(one.events)} "
-    site.book = Book(delay_s=CALL_S, runs_by_key=_RecordedRuns(site.history))
-    for name in PLAIN:
-        runner = site.world.add_plain(name, "holds", site.book)
-        runner.call = _noting(site, name, runner.call)
+    deployment.plain_state = Book(
+        delay_s=CALL_S, runs_by_key=_RecordedRunCounts(deployment.history)
+    )
+    for name in PLAIN_RUNNERS:
+        runner = deployment.world.add_plain(name, "holds", deployment.plain_state)
+        runner.call = _record_calls(deployment, name, runner.call)
 
 
-def _noting_order(site: Site, name: str, take):
-    def noted(order: Order) -> None:
-        take(order)
-        site.history.add(OrderTaken, name, order.id, order.fencing, True)
+def _record_orders(deployment: Deployment, name: str, accept):
+    def recorded(order: Order) -> None:
+        accept(order)
+        deployment.history.add(OrderAccepted, name, order.id, order.fencing, True)
 
-    return noted
+    return recorded
 
 
-def _noting(site: Site, name: str, call):
-    async def noted(request, check=None):
+def _record_calls(deployment: Deployment, name: str, call):
+    async def recorded(request, check=None):
         if request.method == "POST":
-            site.history.add(WorkGiven, name, request.path.removeprefix("/hold/"))
+            deployment.history.add(RequestAssigned, name, request.path.removeprefix("/hold/"))
         return await call(request, check)
 
-    return noted
+    return recorded
 
 
 @asynccontextmanager
-async def open_site(history: History) -> AsyncIterator[Site]:
-    """Give a site that is up and configured."""
+async def open_deployment(history: History) -> AsyncIterator[Deployment]:
+    """Run a configured deployment within the block."""
     async with open_world() as world:
-        site = Site(world, history)
+        deployment = Deployment(world, history)
         world.settings = {Program.ENTRY: SETTINGS, Program.STEWARD: {}}
         await world.configure(
             contract__acme=CONTRACT, service__llm=ENGINE_SERVICE, service__holds=PLAIN_SERVICE
         )
-        _record_upstreams(site)
+        _record_upstreams(deployment)
         for name in ENTRIES:
-            site.process_by_name[f"{name}.steward"] = await world.start(name, Program.STEWARD)
-            site.process_by_name[name] = await world.start(name, Program.ENTRY)
-        await world.nursery.start(site.watch)
+            deployment.process_by_name[f"{name}.steward"] = await world.start(name, Program.STEWARD)
+            deployment.process_by_name[name] = await world.start(name, Program.ENTRY)
+        await world.nursery.start(deployment.watch)
         await trio.sleep(2)
-        yield site
+        yield deployment
--- a/tests/matrix/faults.py
+++ b/tests/matrix/faults.py
@@ -1,4 +1,4 @@
-"""The rows of the matrix: each fault strikes at once, and heals by itself where it can."""
+"""The rows of the matrix: the faults; each takes effect at once, and most end by themselves."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -6,21 +6,21 @@
 import trio
 
 from standins.world import PORTS
-from tests.matrix.history import Path, StoreAway, StoreBack
-from tests.matrix.site import Site
+from tests.matrix.deployment import Deployment
+from tests.matrix.history import Path, StoreAvailable, StoreUnavailable
 
 RECLAIM_NOTICE_S = 6.0
 STALL_S = 8.0
-STORE_AWAY_S = 20.0
+UNAVAILABLE_S = 20.0
 STORE_DELAY_S = 1.0
-FROZEN_S = 6.0
-LAPSED_S = 40.0
-LIST_FORGETS_S = 10.0
+PAUSED_S = 6.0
+LEASE_LAPSE_S = 40.0
+LIST_REMOVAL_DELAY_S = 10.0
 
 
 @dataclass(frozen=True)
 class Target:
-    """What a fault strikes: the path, the instance that serves it, the upstream that works."""
+    """Target of a fault: the path, the instance that serves it, and the upstream that runs it."""
 
     path: Path
     entry: str
@@ -28,7 +28,7 @@
 
     @property
     def processes(self) -> tuple[str, ...]:
-        """Give the processes whose death or pause matters for the path."""
+        """Return the processes that a kill or pause has to hit for the path."""
         if self.path is Path.CHANGE:
             return (self.entry, f"{self.entry}.steward")
         if self.path is Path.ORDER:
@@ -37,201 +37,201 @@
 
 
 class Fault(ABC):
-    """One fault."""
+    """A fault that cells inject."""
 
     @abstractmethod
-    def strike(self, site: Site, target: Target) -> None:
-        """Take effect at once."""
+    def inject(self, deployment: Deployment, target: Target) -> None:
+        """Start the fault."""
 
-    async def heal(self, site: Site, target: Target) -> None:
-        """Wait, and end the fault where it ends."""
+    async def heal(self, deployment: Deployment, target: Target) -> None:
+        """Wait, and end the fault if it is one that ends."""
         await trio.lowlevel.checkpoint()
 
 
 class EngineDies(Fault):
     """The upstream's process dies."""
 
-    def strike(self, site: Site, target: Target) -> None:
+    def inject(self, deployment: Deployment, target: Target) -> None:
         """Refuse connections and break the open ones."""
-        site.die(target.upstream)
+        deployment.kill_upstream(target.upstream)
 
 
 class EngineReclaimed(Fault):
-    """The upstream is said to be leaving, and dies soon after."""
+    """The upstream is announced as leaving, and dies soon after."""
 
-    def strike(self, site: Site, target: Target) -> None:
-        """Give the notice."""
-        site.leave(target.upstream)
+    def inject(self, deployment: Deployment, target: Target) -> None:
+        """Announce that the upstream leaves."""
+        deployment.announce_leaving(target.upstream)
 
-    async def heal(self, site: Site, target: Target) -> None:
-        """Die, and leave the list."""
+    async def heal(self, deployment: Deployment, target: Target) -> None:
+        """Kill the upstream and remove it from the list."""
         await trio.sleep(RECLAIM_NOTICE_S)
-        site.die(target.upstream)
-        site.world.listed.by_id.pop(target.upstream, None)
+        deployment.kill_upstream(target.upstream)
+        deployment.world.listed.by_id.pop(target.upstream, None)
 
 
 class LinkStalls(Fault):
-    """Nothing moves on the links to the upstream, or between instances, for a while."""
+    """Links to the upstream, or between instances, carry no data for some time."""
 
-    def strike(self, site: Site, target: Target) -> None:
-        """Stall."""
+    def inject(self, deployment: Deployment, target: Target) -> None:
+        """Stall the links."""
         if target.path is Path.CHANGE:
-            own = site.world.listed_host(target.entry)
-            for name in site.process_by_name:
+            own = deployment.world.listed_host(target.entry)
+            for name in deployment.process_by_name:
                 if "." not in name and name != target.entry:
-                    site.world.network.cut(own, site.world.listed_host(name))
+                    deployment.world.network.cut(own, deployment.world.listed_host(name))
             return
-        _set_stalled(site, target, True)
+        _set_stalled(deployment, target, True)
 
-    async def heal(self, site: Site, target: Target) -> None:
-        """Go on."""
+    async def heal(self, deployment: Deployment, target: Target) -> None:
+        """Let the links carry data again."""
         await trio.sleep(STALL_S)
-        site.world.network.mend()
+        deployment.world.network.mend()
         if target.path is not Path.CHANGE:
-            _set_stalled(site, target, False)
+            _set_stalled(deployment, target, False)
 
 
 class ConnectionSilent(Fault):
-    """Open connections to the upstream, or between instances, are silent for good."""
+    """Open connections to the upstream, or between instances, never carry data again."""
 
-    def strike(self, site: Site, target: Target) -> None:
-        """Lose all that open connections carry from now on."""
+    def inject(self, deployment: Deployment, target: Target) -> None:
+        """Drop everything that open connections carry from now on."""
         now_s = trio.current_time()
         if target.path is Path.CHANGE:
-            site.world.network.silence_open_streams()
-            site.world.store.faults.silent_watches = True
-        elif target.upstream in site.world.engine_by_id:
-            faults = site.world.engine_by_id[target.upstream].faults
+            deployment.world.network.silence_open_streams()
+            deployment.world.store.faults.silent_watches = True
+        elif target.upstream in deployment.world.engine_by_id:
+            faults = deployment.world.engine_by_id[target.upstream].faults
             # A stream opened at this very moment counts as open.
             faults.silent_before = now_s + 0.001
             faults.wake()
         else:
-            site.world.plain_faults_by_id[target.upstream].silent = True
+            deployment.world.plain_faults_by_id[target.upstream].silent = True
 
-    async def heal(self, site: Site, target: Target) -> None:
+    async def heal(self, deployment: Deployment, target: Target) -> None:
         """Let new connections work."""
         await trio.sleep(STALL_S)
-        site.world.store.faults.silent_watches = False
-        if target.upstream in site.world.plain_faults_by_id:
-            site.world.plain_faults_by_id[target.upstream].silent = False
+        deployment.world.store.faults.silent_watches = False
+        if target.upstream in deployment.world.plain_faults_by_id:
+            deployment.world.plain_faults_by_id[target.upstream].silent = False
 
 
 class CallerConnectionSilent(Fault):
-    """Open connections between callers and the entry are silent for good."""
+    """Open connections between callers and the entry never carry data again."""
 
-    def strike(self, site: Site, target: Target) -> None:
-        """Lose all that they carry from now on."""
-        host = site.world.listed_host(target.entry)
-        site.world.http.silence(host, PORTS["caller"])
+    def inject(self, deployment: Deployment, target: Target) -> None:
+        """Drop everything that they carry from now on."""
+        host = deployment.world.listed_host(target.entry)
+        deployment.world.http.silence(host, PORTS["caller"])
 
 
 class StoreDown(Fault):
     """The object API does not answer."""
 
-    def strike(self, site: Site, target: Target) -> None:
-        """Go away."""
-        site.history.add(StoreAway)
-        site.world.store.faults.down = True
-        site.world.store._wake()
+    def inject(self, deployment: Deployment, target: Target) -> None:
+        """Make it unavailable."""
+        deployment.history.add(StoreUnavailable)
+        deployment.world.store.faults.down = True
+        deployment.world.store._wake()
 
-    async def heal(self, site: Site, target: Target) -> None:
-        """Come back."""
-        await trio.sleep(STORE_AWAY_S)
-        site.world.store.faults.down = False
-        site.history.add(StoreBack)
+    async def heal(self, deployment: Deployment, target: Target) -> None:
+        """Make it available again."""
+        await trio.sleep(UNAVAILABLE_S)
+        deployment.world.store.faults.down = False
+        deployment.history.add(StoreAvailable)
 
 
 class StoreSlow(Fault):
     """Each call to the object API takes a second."""
 
-    def strike(self, site: Site, target: Target) -> None:
-        """Slow down."""
-        site.history.add(StoreAway)
-        site.world.store.faults.delay_s = STORE_DELAY_S
+    def inject(self, deployment: Deployment, target: Target) -> None:
+        """Delay every call."""
+        deployment.history.add(StoreUnavailable)
+        deployment.world.store.faults.delay_s = STORE_DELAY_S
 
-    async def heal(self, site: Site, target: Target) -> None:
-        """Be quick again."""
-        await trio.sleep(STORE_AWAY_S)
-        site.world.store.faults.delay_s = 0.0
-        site.history.add(StoreBack)
+    async def heal(self, deployment: Deployment, target: Target) -> None:
+        """End the delay."""
+        await trio.sleep(UNAVAILABLE_S)
+        deployment.world.store.faults.delay_s = 0.0
+        deployment.history.add(StoreAvailable)
 
 
 class ListDown(Fault):
     """The instance list does not answer."""
 
-    def strike(self, site: Site, target: Target) -> None:
-        """Go away."""
-        site.world.listed.down = True
+    def inject(self, deployment: Deployment, target: Target) -> None:
+        """Make it unavailable."""
+        deployment.world.listed.down = True
 
-    async def heal(self, site: Site, target: Target) -> None:
-        """Come back."""
-        await trio.sleep(STORE_AWAY_S)
-        site.world.listed.down = False
+    async def heal(self, deployment: Deployment, target: Target) -> None:
+        """Make it available again."""
+        await trio.sleep(UNAVAILABLE_S)
+        deployment.world.listed.down = False
 
 
 class AnswerLost(Fault):
     """The next write takes effect and its answer is lost."""
 
-    def strike(self, site: Site, target: Target) -> None:
-        """Lose one answer."""
-        site.world.store.faults.lose_answers = 1
+    def inject(self, deployment: Deployment, target: Target) -> None:
+        """Drop the answer of the next write."""
+        deployment.world.store.faults.lose_answers = 1
 
-    async def heal(self, site: Site, target: Target) -> None:
-        """Forget it where nothing was written."""
+    async def heal(self, deployment: Deployment, target: Target) -> None:
+        """End the fault, also if nothing was written."""
         await trio.sleep(STALL_S)
-        site.world.store.faults.lose_answers = 0
+        deployment.world.store.faults.lose_answers = 0
 
 
 class EntryFrozen(Fault):
-    """The process is stopped for less than its peers' and callers' timeouts, and goes on."""
+    """The process is paused for less than its peers' and callers' timeouts, and resumes."""
 
-    pause_s = FROZEN_S
+    pause_s = PAUSED_S
 
-    def strike(self, site: Site, target: Target) -> None:
-        """Freeze."""
+    def inject(self, deployment: Deployment, target: Target) -> None:
+        """Pause the processes."""
         for name in target.processes:
-            site.freeze(name)
+            deployment.pause(name)
 
-    async def heal(self, site: Site, target: Target) -> None:
-        """Thaw."""
+    async def heal(self, deployment: Deployment, target: Target) -> None:
+        """Resume the processes."""
         await trio.sleep(self.pause_s)
         for name in target.processes:
-            site.thaw(name)
+            deployment.resume(name)
 
 
 class LeaseLapsed(EntryFrozen):
-    """The process is stopped past every lease and timeout; others take over; it goes on."""
+    """The process is paused longer than every lease and timeout; others take over; it resumes."""
 
-    pause_s = LAPSED_S
+    pause_s = LEASE_LAPSE_S
 
 
 class OperatorsRace(Fault):
-    """Two operators change the same contract from the same version at once."""
+    """Two operators change the same version of a contract at the same time."""
 
-    def strike(self, site: Site, target: Target) -> None:
-        """Start both."""
-        base = site.contract_digest()
+    def inject(self, deployment: Deployment, target: Target) -> None:
+        """Start both changes."""
+        base = deployment.contract_digest()
         for operator in ("racer-a", "racer-b"):
-            site.world.nursery.start_soon(site.change, operator, base)
+            deployment.world.nursery.start_soon(deployment.change, operator, base)
 
-    async def heal(self, site: Site, target: Target) -> None:
-        """Wait until both were told."""
+    async def heal(self, deployment: Deployment, target: Target) -> None:
+        """Wait until both have their answers."""
         await trio.sleep(STALL_S)
 
 
 class EntryKilled(Fault):
-    """The process is killed; the list goes on naming its instance for a while."""
+    """The process is killed; its instance stays in the list for some time."""
 
-    def strike(self, site: Site, target: Target) -> None:
-        """Kill."""
+    def inject(self, deployment: Deployment, target: Target) -> None:
+        """Kill the processes."""
         for name in target.processes:
-            site.kill(name)
+            deployment.kill(name)
 
-    async def heal(self, site: Site, target: Target) -> None:
-        """Leave the list."""
-        await trio.sleep(LIST_FORGETS_S)
+    async def heal(self, deployment: Deployment, target: Target) -> None:
+        """Remove the instance from the list."""
+        await trio.sleep(LIST_REMOVAL_DELAY_S)
         if target.path is not Path.ORDER:
-            site.world.listed.by_id.pop(target.entry, None)
+            deployment.world.listed.by_id.pop(target.entry, None)
 
 
 FAULT_BY_NAME: dict[str, Fault] = {
@@ -251,10 +251,10 @@
 }
 
 
-def _set_stalled(site: Site, target: Target, stalled: bool) -> None:
-    engine = site.world.engine_by_id.get(target.upstream)
+def _set_stalled(deployment: Deployment, target: Target, stalled: bool) -> None:
+    engine = deployment.world.engine_by_id.get(target.upstream)
     if engine is None:
-        site.world.plain_faults_by_id[target.upstream].stalled = stalled
+        deployment.world.plain_faults_by_id[target.upstream].stalled = stalled
         return
     engine.faults.stalled = stalled
     engine.faults.wake()
--- a/tests/matrix/history.py
+++ b/tests/matrix/history.py
@@ -1,4 +1,4 @@
-"""What happened in one cell: typed events, in order of time."""
+"""The history of one cell: typed events in chronological order."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,16 +8,16 @@
 
 from egretstack.errors import ErrorKind, RunState
 
-MOST_HAPPENINGS = 5_000
-"""Far above what a cell records: a program that spins without time going on is stopped here."""
+MAX_EVENTS = 5_000
+"""Far above what a cell records; it stops a program that loops without the mock clock advancing."""
 
 
 class EndlessHistory(Exception):
-    """A cell recorded more than any cell that comes to its end."""
+    """A cell recorded more events than any cell that completes."""
 
 
 class Path(Enum):
-    """A path through the system; the columns of the matrix are its steps."""
+    """A path through the system; the columns of the matrix are the steps of the paths."""
 
     SESSION = "session"
     CALL = "call"
@@ -27,14 +27,14 @@
 
 
 @dataclass(frozen=True)
-class Happening:
-    """Something happened at `at_s`, seconds on the clock of the runtime."""
+class HistoryEvent:
+    """An event at `at_s`, in seconds on trio's clock."""
 
     at_s: float
 
 
 @dataclass(frozen=True)
-class Asked(Happening):
+class RequestSent(HistoryEvent):
     """A caller sent a request, or repeated a call with its key.
 
     `length` is the number of tokens that the whole answer of a session has.
@@ -47,8 +47,8 @@
 
 
 @dataclass(frozen=True)
-class Delivered(Happening):
-    """A caller received a token; its text says which generation made it and its number."""
+class TokenDelivered(HistoryEvent):
+    """A caller received a token; its text holds the generation and its number in it."""
 
     request: str
     generation: str
@@ -57,8 +57,8 @@
 
 
 @dataclass(frozen=True)
-class Finished(Happening):
-    """A caller was told that its answer is whole; `marker` is the request the answer names."""
+class Finished(HistoryEvent):
+    """A caller was told that its answer is complete; `marker` is the request that it names."""
 
     request: str
     marker: str
@@ -66,8 +66,8 @@
 
 
 @dataclass(frozen=True)
-class Refused(Happening):
-    """A caller got a final answer other than the one it asked for."""
+class Refused(HistoryEvent):
+    """A caller got a final answer other than the requested one."""
 
     request: str
     kind: ErrorKind
@@ -77,14 +77,14 @@
 
 
 @dataclass(frozen=True)
-class GaveUp(Happening):
-    """A caller got no final answer within its patience."""
+class TimedOut(HistoryEvent):
+    """A caller got no final answer in time."""
 
     request: str
 
 
 @dataclass(frozen=True)
-class Broken(Happening):
+class Disconnected(HistoryEvent):
     """A caller's connection broke before its answer ended."""
 
     request: str
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True)
-class NotListening(Happening):
+class ConnectRefused(HistoryEvent):
     """An entry refused a caller's connection."""
 
     request: str
@@ -100,8 +100,8 @@
 
 
 @dataclass(frozen=True)
-class WorkGiven(Happening):
-    """An upstream was given new work. `generation` is empty for a call."""
+class RequestAssigned(HistoryEvent):
+    """A request was sent to an upstream; `generation` is empty for a call."""
 
     upstream: str
     request: str
@@ -109,84 +109,84 @@
 
 
 @dataclass(frozen=True)
-class CallRan(Happening):
-    """A plain service carried a non-idempotent call out."""
+class CallRan(HistoryEvent):
+    """A plain service ran a non-idempotent call."""
 
     request: str
 
 
 @dataclass(frozen=True)
-class LeavingBegan(Happening):
-    """An upstream was first said to be leaving."""
+class LeavingBegan(HistoryEvent):
+    """An upstream was announced as leaving for the first time."""
 
     upstream: str
 
 
 @dataclass(frozen=True)
-class StopBegan(Happening):
-    """A planned stop of an entry began; callers keep answers for `answer_life_s`."""
+class StopBegan(HistoryEvent):
+    """A planned stop of an entry began; callers use an entry list for `answer_ttl_s`."""
 
     entry: str
-    answer_life_s: float
+    answer_ttl_s: float
 
 
 @dataclass(frozen=True)
-class Stopped(Happening):
+class Stopped(HistoryEvent):
     """An entry's process ended."""
 
     entry: str
 
 
 @dataclass(frozen=True)
-class Killed(Happening):
+class Killed(HistoryEvent):
     """A process was killed."""
 
     process: str
 
 
 @dataclass(frozen=True)
-class UpstreamDied(Happening):
-    """An upstream's process died, and with it what it ran."""
+class UpstreamDied(HistoryEvent):
+    """An upstream's process died, and with it everything it ran."""
 
     upstream: str
 
 
 @dataclass(frozen=True)
-class Frozen(Happening):
-    """A process was frozen."""
+class Paused(HistoryEvent):
+    """A process was paused."""
 
     process: str
 
 
 @dataclass(frozen=True)
-class Thawed(Happening):
-    """A process went on."""
+class Resumed(HistoryEvent):
+    """A process was resumed."""
 
     process: str
 
 
 @dataclass(frozen=True)
-class StoreAway(Happening):
+class StoreUnavailable(HistoryEvent):
     """The object API stopped answering, or answers slowly."""
 
 
 @dataclass(frozen=True)
-class StoreBack(Happening):
-    """The object API answers as usual again."""
+class StoreAvailable(HistoryEvent):
+    """The object API answers normally again."""
 
 
 class ChangeAnswer(Enum):
-    """What an operator was told of a change."""
+    """The answer to an operator's change."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
     UNKNOWN = "unknown"
-    AWAY = "away"
+    UNAVAILABLE = "away"
 
 
 @dataclass(frozen=True)
-class ChangeTold(Happening):
-    """An operator was told what became of a change of one part; it started from `base`."""
+class ChangeAnswered(HistoryEvent):
+    """An operator got the answer to a change of one part that started from version `base`."""
 
     change: str
     part: str
@@ -196,8 +196,8 @@
 
 
 @dataclass(frozen=True)
-class HeadWritten(Happening):
-    """The store took a new head: its revision, its change, and each part's version."""
+class HeadWritten(HistoryEvent):
+    """The store accepted a new head: its revision, its change, and each part's version."""
 
     revision: int
     change: str
@@ -205,8 +205,8 @@
 
 
 @dataclass(frozen=True)
-class InForce(Happening):
-    """A process has a revision in force from now on."""
+class InForce(HistoryEvent):
+    """A process has put a revision in force."""
 
     process: str
     revision: int
@@ -214,8 +214,8 @@
 
 
 @dataclass(frozen=True)
-class OrderTaken(Happening):
-    """An engine carried out an order; `checks` tells whether it checks fencing numbers."""
+class OrderAccepted(HistoryEvent):
+    """An engine executed an order; `checks` is whether the engine checks fencing numbers."""
 
     engine: str
     order: str
@@ -223,25 +223,25 @@
     checks: bool
 
 
-H = TypeVar("H", bound=Happening)
+H = TypeVar("H", bound=HistoryEvent)
 
 
 class History:
-    """The happenings of one cell."""
+    """The events of one cell."""
 
-    def __init__(self, happenings: list[Happening] | None = None) -> None:
-        self.happenings: list[Happening] = list(happenings or ())
+    def __init__(self, events: list[HistoryEvent] | None = None) -> None:
+        self.events: list[HistoryEvent] = list(events or ())
 
     def add(self, kind: type[H], *fields: object) -> None:
-        """Record a happening now; a history without end is an error."""
-        if len(self.happenings) >= MOST_HAPPENINGS:
+        """Record an event now; raise EndlessHistory after MAX_EVENTS."""
+        if len(self.events) >= MAX_EVENTS:
             raise EndlessHistory
-        self.happenings.append(kind(trio.current_time(), *fields))
+        self.events.append(kind(trio.current_time(), *fields))
 
     def of(self, kind: type[H]) -> list[H]:
-        """Give the happenings of a kind, in order."""
-        return [one for one in self.happenings if isinstance(one, kind)]
+        """Return the events of one type, in order."""
+        return [one for one in self.events if isinstance(one, kind)]
 
     def end_s(self) -> float:
-        """Give the time of the last happening."""
-        return max((one.at_s for one in self.happenings), default=0.0)
+        """Return the time of the last event."""
+        return max((one.at_s for one in self.events), default=0.0)
--- a/tests/matrix/paths.py
+++ b/tests/matrix/paths.py
@@ -1,4 +1,4 @@
-"""The columns of the matrix: the steps of each path, and how a cell walks the path to one."""
+"""The columns of the matrix: the steps of each path, and the scenario that reaches each step."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -10,164 +10,173 @@
 from egretstack.objectapi import ObjectKind
 from egretstack.services.duties import Duties, orders_of
 from standins.gate import Gate, Seam, Write
+from tests.matrix.deployment import ANSWER_TTL_S, ENGINES, ENTRIES, PLAIN_RUNNERS, Deployment
 from tests.matrix.faults import Fault, Target
 from tests.matrix.history import CallRan, Path
-from tests.matrix.site import ANSWER_LIFE_S, ENGINES, ENTRIES, PLAIN, Site
 
-FOCUS = "focus"
+FOCUS_REQUEST = "focus"
 FOCUS_ENTRY = ENTRIES[0]
 SESSION_TOKENS = 40
-MIDDLE = 15
+MIDDLE_TOKEN = 15
 TAKEOVER_S = 3 * LEASE_LIFE_S
-LONG_TOKENS = 130
+LONG_SESSION_TOKENS = 130
+"""At ten tokens a second, a session that outlasts the entry lists that callers hold."""
 ENGINES_DUTY = orders_of(ServiceName("llm"))
-"""A session that outlives the answers that callers keep, at ten tokens a second."""
 
 
-class Striker:
-    """Lets the faults of a cell strike once, when the step is reached."""
+class FaultInjector:
+    """Injects the faults of a cell once, when the step is reached."""
 
-    def __init__(self, site: Site, path: Path, faults: tuple[Fault, ...]) -> None:
-        self._site = site
+    def __init__(self, deployment: Deployment, path: Path, faults: tuple[Fault, ...]) -> None:
+        self._deployment = deployment
         self._path = path
         self._faults = faults
         self.entry = FOCUS_ENTRY
-        self.struck = False
+        self.injected = False
         self.healed = trio.Event()
 
-    def strike(self, upstream: str | None = None) -> None:
-        """Strike now; `upstream` is the one at work, by default the one given the request."""
-        if self.struck:
+    def inject(self, upstream: str | None = None) -> None:
+        """Inject the faults now, into `upstream` or by default the one that got the request."""
+        if self.injected:
             return
-        self.struck = True
-        found = upstream or self._site.upstream_of(FOCUS)
-        default = PLAIN[0] if self._path is Path.CALL else ENGINES[0]
+        self.injected = True
+        found = upstream or self._deployment.last_upstream_of(FOCUS_REQUEST)
+        default = PLAIN_RUNNERS[0] if self._path is Path.CALL else ENGINES[0]
         target = Target(self._path, self.entry, found or default)
         for fault in self._faults:
-            fault.strike(self._site, target)
-        self._site.world.nursery.start_soon(self._heal, target)
+            fault.inject(self._deployment, target)
+        self._deployment.world.nursery.start_soon(self._heal, target)
 
     async def _heal(self, target: Target) -> None:
         async with trio.open_nursery() as nursery:
             for fault in self._faults:
-                nursery.start_soon(fault.heal, self._site, target)
+                nursery.start_soon(fault.heal, self._deployment, target)
         self.healed.set()
 
-    def at(self, process: str, seam: Seam, matches: Callable[[object], bool]) -> None:
-        """Strike when a process reaches a seam with a subject that matches."""
+    def inject_at(self, process: str, seam: Seam, matches: Callable[[object], bool]) -> None:
+        """Inject the faults when a process reaches a seam with a subject that matches."""
 
         def observe(gate: Gate, reached: Seam, subject: object) -> None:
             if gate.process == process and reached is seam and matches(subject):
-                self.strike()
+                self.inject()
 
-        self._site.world.observers.append(observe)
+        self._deployment.world.observers.append(observe)
 
-    def at_steward(
-        self, seam: Seam, matches: Callable[[object], bool], but: tuple[str, ...] = ()
+    def inject_at_steward(
+        self, seam: Seam, matches: Callable[[object], bool], excluded: tuple[str, ...] = ()
     ) -> None:
-        """Strike the instance whose steward reaches a seam with a subject that matches."""
+        """Inject the faults when a steward reaches a seam with a subject that matches; they hit its
+        instance."""
 
         def observe(gate: Gate, reached: Seam, subject: object) -> None:
             instance, _, program = gate.process.partition(".")
-            if program and instance not in but and reached is seam and matches(subject):
+            if program and instance not in excluded and reached is seam and matches(subject):
                 self.entry = instance
-                self.strike()
+                self.inject()
 
-        self._site.world.observers.append(observe)
+        self._deployment.world.observers.append(observe)
 
 
-Walk = Callable[[Site, Striker], Awaitable[None]]
+Scenario = Callable[[Deployment, FaultInjector], Awaitable[None]]
 
 
 @dataclass(frozen=True)
 class Step:
-    """One step of a path: its name, and the walk that strikes at it."""
+    """One step of a path: its name, and the scenario that injects faults at it."""
 
     path: Path
     name: str
-    walk: Walk
+    scenario: Scenario
 
 
-async def _placing(site: Site, striker: Striker) -> None:
-    striker.at(FOCUS_ENTRY, Seam.ENGINE_ASKED, lambda prompt: f"r:{FOCUS} " in prompt)
-    await site.session(FOCUS, length=SESSION_TOKENS).run()
+async def _placing(deployment: Deployment, injector: FaultInjector) -> None:
+    injector.inject_at(
+        FOCUS_ENTRY, Seam.ENGINE_ASKED, lambda prompt: f"r:{FOCUS_REQUEST} " in prompt
+    )
+    await deployment.session(FOCUS_REQUEST, length=SESSION_TOKENS).run()
 
 
-async def _before_first_token(site: Site, striker: Striker) -> None:
-    striker.at(FOCUS_ENTRY, Seam.ENGINE_ACCEPTED, lambda prompt: f"r:{FOCUS} " in prompt)
-    await site.session(FOCUS, length=SESSION_TOKENS).run()
+async def _before_first_token(deployment: Deployment, injector: FaultInjector) -> None:
+    injector.inject_at(
+        FOCUS_ENTRY, Seam.ENGINE_ACCEPTED, lambda prompt: f"r:{FOCUS_REQUEST} " in prompt
+    )
+    await deployment.session(FOCUS_REQUEST, length=SESSION_TOKENS).run()
 
 
-def _at_token(number: int) -> Walk:
-    async def walk(site: Site, striker: Striker) -> None:
-        caller = site.session(FOCUS, length=SESSION_TOKENS)
-        caller.on_token.append(lambda count: striker.strike() if count == number else None)
+def _at_token(number: int) -> Scenario:
+    async def scenario(deployment: Deployment, injector: FaultInjector) -> None:
+        caller = deployment.session(FOCUS_REQUEST, length=SESSION_TOKENS)
+        caller.on_token.append(lambda count: injector.inject() if count == number else None)
         await caller.run()
 
-    return walk
+    return scenario
 
 
-async def _reconnect(site: Site, striker: Striker) -> None:
-    caller = site.session(FOCUS, length=SESSION_TOKENS, leaves_at=MIDDLE)
-    caller.before_return.append(striker.strike)
+async def _reconnect(deployment: Deployment, injector: FaultInjector) -> None:
+    caller = deployment.session(FOCUS_REQUEST, length=SESSION_TOKENS, disconnect_after=MIDDLE_TOKEN)
+    caller.before_reconnect.append(injector.inject)
     await caller.run()
 
 
-async def _before_intent(site: Site, striker: Striker) -> None:
-    await site.call(FOCUS, before_ask=[striker.strike]).run()
+async def _before_intent(deployment: Deployment, injector: FaultInjector) -> None:
+    await deployment.call(FOCUS_REQUEST, before_send=[injector.inject]).run()
 
 
-async def _intent_written(site: Site, striker: Striker) -> None:
-    striker.at(FOCUS_ENTRY, Seam.STORE_WRITE, lambda write: write.kind is ObjectKind.LEDGER)
-    await site.call(FOCUS).run()
+async def _intent_written(deployment: Deployment, injector: FaultInjector) -> None:
+    injector.inject_at(FOCUS_ENTRY, Seam.STORE_WRITE, lambda write: write.kind is ObjectKind.LEDGER)
+    await deployment.call(FOCUS_REQUEST).run()
 
 
-async def _dispatch(site: Site, striker: Striker) -> None:
-    striker.at(FOCUS_ENTRY, Seam.CALL_SENT, lambda call: call.method == "POST")
-    await site.call(FOCUS).run()
+async def _dispatch(deployment: Deployment, injector: FaultInjector) -> None:
+    injector.inject_at(FOCUS_ENTRY, Seam.CALL_SENT, lambda call: call.method == "POST")
+    await deployment.call(FOCUS_REQUEST).run()
 
 
-async def _answer(site: Site, striker: Striker) -> None:
-    striker.at(FOCUS_ENTRY, Seam.CALL_RAN, lambda call: call.method == "POST")
-    await site.call(FOCUS).run()
+async def _answer(deployment: Deployment, injector: FaultInjector) -> None:
+    injector.inject_at(FOCUS_ENTRY, Seam.CALL_RAN, lambda call: call.method == "POST")
+    await deployment.call(FOCUS_REQUEST).run()
 
 
-async def _outcome_written(site: Site, striker: Striker) -> None:
+async def _outcome_written(deployment: Deployment, injector: FaultInjector) -> None:
     def ran(write: Write) -> bool:
         return write.kind is ObjectKind.LEDGER and any(
-            one.request == FOCUS for one in site.history.of(CallRan)
+            one.request == FOCUS_REQUEST for one in deployment.history.of(CallRan)
         )
 
-    striker.at(FOCUS_ENTRY, Seam.STORE_WRITE, ran)
-    await site.call(FOCUS).run()
+    injector.inject_at(FOCUS_ENTRY, Seam.STORE_WRITE, ran)
+    await deployment.call(FOCUS_REQUEST).run()
 
 
-async def _repeat(site: Site, striker: Striker) -> None:
-    await site.call(FOCUS).run()
+async def _repeat(deployment: Deployment, injector: FaultInjector) -> None:
+    await deployment.call(FOCUS_REQUEST).run()
     others = (ENTRIES[1], ENTRIES[0], ENTRIES[2])
-    await site.call(FOCUS, others, before_ask=[striker.strike]).run()
+    await deployment.call(FOCUS_REQUEST, others, before_send=[injector.inject]).run()
 
 
-async def _parts_written(site: Site, striker: Striker) -> None:
-    striker.at("operator", Seam.STORE_WRITE, lambda write: write.kind is ObjectKind.CONFIG_PART)
-    await site.change()
+async def _parts_written(deployment: Deployment, injector: FaultInjector) -> None:
+    injector.inject_at(
+        "operator", Seam.STORE_WRITE, lambda write: write.kind is ObjectKind.CONFIG_PART
+    )
+    await deployment.change()
 
 
-async def _head_update(site: Site, striker: Striker) -> None:
-    striker.at("operator", Seam.STORE_WRITE, lambda write: write.kind is ObjectKind.CONFIG_HEAD)
-    await site.change()
+async def _head_update(deployment: Deployment, injector: FaultInjector) -> None:
+    injector.inject_at(
+        "operator", Seam.STORE_WRITE, lambda write: write.kind is ObjectKind.CONFIG_HEAD
+    )
+    await deployment.change()
 
 
-async def _fan_out(site: Site, striker: Striker) -> None:
-    await site.change()
-    striker.strike()
+async def _fan_out(deployment: Deployment, injector: FaultInjector) -> None:
+    await deployment.change()
+    injector.inject()
     await trio.sleep(3)
 
 
-def _holder(site: Site) -> str:
-    """Give the instance whose steward holds the duty of the engines."""
+def _find_holder(deployment: Deployment) -> str:
+    """Return the instance whose steward holds the duty of the engines."""
     for name in ENTRIES:
-        held = site.process_by_name[f"{name}.steward"].kernel.get(Duties).held()
+        held = deployment.process_by_name[f"{name}.steward"].kernel.get(Duties).held()
         if ENGINES_DUTY in held:
             return name
     raise AssertionError("no steward holds the duty of the engines")
@@ -177,74 +186,76 @@
     return write.kind is ObjectKind.LEASE and write.name == ENGINES_DUTY
 
 
-async def _lease_taken(site: Site, striker: Striker) -> None:
-    holder = _holder(site)
-    striker.at_steward(Seam.STORE_WRITTEN, _is_lease, but=(holder,))
-    site.kill(f"{holder}.steward")
-    await site.add_model()
+async def _lease_taken(deployment: Deployment, injector: FaultInjector) -> None:
+    holder = _find_holder(deployment)
+    injector.inject_at_steward(Seam.STORE_WRITTEN, _is_lease, excluded=(holder,))
+    deployment.kill(f"{holder}.steward")
+    await deployment.add_model()
     await trio.sleep(TAKEOVER_S)
 
 
-async def _order_sent(site: Site, striker: Striker) -> None:
-    striker.at_steward(Seam.ORDER_SENT, lambda order: True)
-    await site.add_model()
+async def _order_sent(deployment: Deployment, injector: FaultInjector) -> None:
+    injector.inject_at_steward(Seam.ORDER_SENT, lambda order: True)
+    await deployment.add_model()
     await trio.sleep(TAKEOVER_S)
 
 
-async def _holder_change(site: Site, striker: Striker) -> None:
-    """Freeze the holder as its order is about to leave; the next one gives orders; thaw."""
-    holder = _holder(site)
+async def _holder_change(deployment: Deployment, injector: FaultInjector) -> None:
+    """Pause the holder just before it sends its order; resume it after the next has sent orders."""
+    holder = _find_holder(deployment)
     steward = f"{holder}.steward"
-    striker.at_steward(Seam.ORDER_SENT, lambda order: True, but=(holder,))
+    injector.inject_at_steward(Seam.ORDER_SENT, lambda order: True, excluded=(holder,))
 
-    def freeze(gate: Gate, seam: Seam, subject: object) -> None:
+    def pause_holder(gate: Gate, seam: Seam, subject: object) -> None:
         if gate.process == steward and seam is Seam.ORDER_SENT and not gate.frozen:
-            site.freeze(steward)
+            deployment.pause(steward)
 
-    site.world.observers.append(freeze)
-    await site.add_model()
+    deployment.world.observers.append(pause_holder)
+    await deployment.add_model()
     await trio.sleep(TAKEOVER_S)
-    site.world.observers.remove(freeze)
-    site.thaw(steward)
+    deployment.world.observers.remove(pause_holder)
+    deployment.resume(steward)
     await trio.sleep(TAKEOVER_S)
 
 
-async def _drained(site: Site, strikes: Callable[[trio.Nursery], None]) -> None:
-    """Stop the focus entry while a long session and calls are in progress on it."""
+async def _drain_with(
+    deployment: Deployment, start_injection: Callable[[trio.Nursery], None]
+) -> None:
+    """Stop the focus entry while a long session and a call are in progress on it."""
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(site.session(FOCUS, length=LONG_TOKENS).run)
-        nursery.start_soon(site.call("focus-call").run)
+        nursery.start_soon(deployment.session(FOCUS_REQUEST, length=LONG_SESSION_TOKENS).run)
+        nursery.start_soon(deployment.call("focus-call").run)
         await trio.sleep(0.2)
-        strikes(nursery)
-        await site.stop(FOCUS_ENTRY)
+        start_injection(nursery)
+        await deployment.stop(FOCUS_ENTRY)
 
 
-def _drain_after(delay_s: float) -> Walk:
-    async def walk(site: Site, striker: Striker) -> None:
-        async def strike_later() -> None:
+def _drain_after(delay_s: float) -> Scenario:
+    async def scenario(deployment: Deployment, injector: FaultInjector) -> None:
+        async def inject_later() -> None:
             await trio.sleep(delay_s)
-            striker.strike()
+            injector.inject()
 
-        await _drained(site, lambda nursery: nursery.start_soon(strike_later))
+        await _drain_with(deployment, lambda nursery: nursery.start_soon(inject_later))
 
-    return walk
+    return scenario
 
 
-async def _drain_stop(site: Site, striker: Striker) -> None:
-    async def strike_at_end() -> None:
-        caller = site.session("last", length=LONG_TOKENS + 20)
+async def _drain_stop(deployment: Deployment, injector: FaultInjector) -> None:
+    async def inject_at_end() -> None:
+        caller = deployment.session("last", length=LONG_SESSION_TOKENS + 20)
         caller.on_token.append(
-            lambda count: striker.strike("engine-1") if count == caller.length else None
+            lambda count: injector.inject("engine-1") if count == caller.length else None
         )
         await caller.run()
 
-    await _drained(site, lambda nursery: nursery.start_soon(strike_at_end))
+    await _drain_with(deployment, lambda nursery: nursery.start_soon(inject_at_end))
 
 
 STEPS: tuple[Step, ...] = (
     Step(Path.SESSION, "placing", _placing),
     Step(Path.SESSION, "before_first_token", _before_first_token),
-    Step(Path.SESSION, "mid_stream", _at_token(MIDDLE)),
+    Step(Path.SESSION, "mid_stream", _at_token(MIDDLE_TOKEN)),
     Step(Path.SESSION, "reconnect", _reconnect),
     Step(Path.SESSION, "last_token", _at_token(SESSION_TOKENS)),
     Step(Path.CALL, "before_intent", _before_intent),
@@ -260,7 +271,7 @@
     Step(Path.ORDER, "order_sent", _order_sent),
     Step(Path.ORDER, "holder_change", _holder_change),
     Step(Path.DRAIN, "begun", _drain_after(0)),
-    Step(Path.DRAIN, "answers_life", _drain_after(ANSWER_LIFE_S / 2)),
-    Step(Path.DRAIN, "in_progress", _drain_after(ANSWER_LIFE_S + 3)),
+    Step(Path.DRAIN, "answers_life", _drain_after(ANSWER_TTL_S / 2)),
+    Step(Path.DRAIN, "in_progress", _drain_after(ANSWER_TTL_S + 3)),
     Step(Path.DRAIN, "stop", _drain_stop),
 )
--- a/tests/matrix/points.py
+++ b/tests/matrix/points.py
@@ -1,40 +1,40 @@
-"""The seven points that must always hold, each with the check of a history and its evidence."""
+"""The seven points that must always hold: their checks, and the events needed as evidence."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
 
 from egretstack.errors import ErrorKind, RunState
-from tests.matrix.configuration_check import broken_configuration
+from tests.matrix.configuration_check import check_configuration_history
 from tests.matrix.history import (
-    Asked,
-    Broken,
     CallRan,
-    Delivered,
+    ConnectRefused,
+    Disconnected,
     Finished,
-    GaveUp,
     History,
     InForce,
     Killed,
     LeavingBegan,
-    NotListening,
-    OrderTaken,
+    OrderAccepted,
     Refused,
+    RequestAssigned,
+    RequestSent,
     StopBegan,
     Stopped,
+    TimedOut,
+    TokenDelivered,
     UpstreamDied,
-    WorkGiven,
 )
 
 LEAVING_LIMIT_S = 5.0
-"""Longest time in which a leaving upstream may still be given new work."""
+"""Maximum time in which a leaving upstream may still get new requests."""
 
-CUT_SEEN_S = 1.0
-"""A connection that breaks this soon after a process ended was cut by its end."""
+DISCONNECT_DETECTION_S = 1.0
+"""A connection that breaks within this time after the end of a process was cut by that end."""
 
 
 class Point(Enum):
-    """What must always hold."""
+    """An invariant of the system."""
 
     TOKENS_ONCE = "tokens once, in order, from one generation"
     OWN_WHOLE_ANSWER = "the whole answer to the own request"
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """One way in which a history breaks a point."""
+    """A violation of a point in a history."""
 
     point: Point
     detail: str
@@ -55,42 +55,42 @@
 
 def _tokens_once(history: History) -> list[str]:
     broken = []
-    by_request: dict[str, list[Delivered]] = {}
-    for token in history.of(Delivered):
+    by_request: dict[str, list[TokenDelivered]] = {}
+    for token in history.of(TokenDelivered):
         by_request.setdefault(token.request, []).append(token)
     for request, tokens in by_request.items():
         if len({one.generation for one in tokens}) > 1:
             broken.append(f"{request}: tokens of two generations")
         numbers = [one.number for one in tokens]
         if numbers != list(range(1, len(numbers) + 1)):
-            broken.append(f"{request}: token numbers {_short(numbers)}")
+            broken.append(f"{request}: token numbers {_abbreviate(numbers)}")
         if any(one.sequence != one.number for one in tokens):
             broken.append(f"{request}: sequence numbers that are not the tokens' own")
     return broken
 
 
 def _own_whole_answer(history: History) -> list[str]:
-    broken = [f"{one.request}: no final answer" for one in history.of(GaveUp)]
-    owner = {one.generation: one.request for one in history.of(WorkGiven) if one.generation}
+    broken = [f"{one.request}: no final answer" for one in history.of(TimedOut)]
+    owner = {one.generation: one.request for one in history.of(RequestAssigned) if one.generation}
     received: dict[str, int] = {}
-    for token in history.of(Delivered):
+    for token in history.of(TokenDelivered):
         received[token.request] = received.get(token.request, 0) + 1
         if owner.get(token.generation) != token.request:
             broken.append(f"{token.request}: a token of {owner.get(token.generation)}")
-    length = {one.request: one.length for one in history.of(Asked)}
+    length = {one.request: one.length for one in history.of(RequestSent)}
     for done in history.of(Finished):
         if done.marker != done.request:
             broken.append(f"{done.request}: got the answer to {done.marker}")
-        wanted = length.get(done.request, 0)
-        if wanted and not wanted == done.tokens == received.get(done.request, 0):
+        expected = length.get(done.request, 0)
+        if expected and not expected == done.tokens == received.get(done.request, 0):
             broken.append(
                 f"{done.request}: told {done.tokens} and received "
-                f"{received.get(done.request, 0)} of {wanted} tokens"
+                f"{received.get(done.request, 0)} of {expected} tokens"
             )
-    return broken + _untrue_ends(history, received)
+    return broken + _wrong_ends(history, received)
 
 
-def _untrue_ends(history: History, received: dict[str, int]) -> list[str]:
+def _wrong_ends(history: History, received: dict[str, int]) -> list[str]:
     broken = []
     for end in history.of(Refused):
         got = received.get(end.request, 0)
@@ -100,19 +100,19 @@
             broken.append(f"{end.request}: told {end.delivered} tokens, received {got}")
         if end.kind is ErrorKind.INTERNAL:
             broken.append(f"{end.request}: an internal error")
-    broken += _untrue_losses(history)
-    ended = {one.request for kind in (Finished, Refused, GaveUp) for one in history.of(kind)}
-    for asked in history.of(Asked):
-        if asked.request not in ended:
-            broken.append(f"{asked.request}: never ended")
+    broken += _wrong_losses(history)
+    ended = {one.request for kind in (Finished, Refused, TimedOut) for one in history.of(kind)}
+    for sent_at in history.of(RequestSent):
+        if sent_at.request not in ended:
+            broken.append(f"{sent_at.request}: never ended")
     return broken
 
 
-def _untrue_losses(history: History) -> list[str]:
-    """Find generations said to be lost at engines that had them, and calls that never settle."""
+def _wrong_losses(history: History) -> list[str]:
+    """Find generations reported lost while their engine lives, and calls that stay in progress."""
     died = {one.upstream: one.at_s for one in reversed(history.of(UpstreamDied))}
-    upstream = {one.request: one.upstream for one in history.of(WorkGiven)}
-    ends = [one for one in history.happenings if isinstance(one, (Finished, Refused))]
+    upstream = {one.request: one.upstream for one in history.of(RequestAssigned)}
+    ends = [one for one in history.events if isinstance(one, (Finished, Refused))]
     last = {one.request: one for one in ends}
     broken = []
     for end in history.of(Refused):
@@ -126,25 +126,27 @@
 
 def _not_run_is_true(history: History) -> list[str]:
     broken = []
-    for told in history.of(Refused):
-        asked = [one.at_s for one in history.of(Asked) if one.request == told.request]
-        # What ran in the time of a later attempt may be an earlier one's doing.
-        first = sum(at_s <= told.at_s for at_s in asked) == 1
-        says_not_run = told.run is RunState.NOT_RUN or (
-            told.run is RunState.ATTEMPT_NOT_RUN and first
+    for refusal in history.of(Refused):
+        sent_at = [one.at_s for one in history.of(RequestSent) if one.request == refusal.request]
+        # What ran during a later attempt may have been started by an earlier one.
+        first = sum(at_s <= refusal.at_s for at_s in sent_at) == 1
+        claims_not_run = refusal.run is RunState.NOT_RUN or (
+            refusal.run is RunState.ATTEMPT_NOT_RUN and first
         )
-        if not says_not_run:
+        if not claims_not_run:
             continue
-        ran = [one.at_s for one in history.of(CallRan) if one.request == told.request]
+        ran = [one.at_s for one in history.of(CallRan) if one.request == refusal.request]
         ran += [
             one.at_s
-            for one in history.of(WorkGiven)
-            if one.request == told.request and one.generation
+            for one in history.of(RequestAssigned)
+            if one.request == refusal.request and one.generation
         ]
         for at_s in ran:
-            again = any(told.at_s <= one <= at_s for one in asked)
-            if at_s <= told.at_s or not again:
-                broken.append(f"{told.request}: told not run at {told.at_s:.2f}, ran {at_s:.2f}")
+            repeated = any(refusal.at_s <= one <= at_s for one in sent_at)
+            if at_s <= refusal.at_s or not repeated:
+                broken.append(
+                    f"{refusal.request}: told not run at {refusal.at_s:.2f}, ran {at_s:.2f}"
+                )
     return broken
 
 
@@ -159,7 +161,7 @@
     broken = []
     for leaving in history.of(LeavingBegan):
         limit_s = leaving.at_s + LEAVING_LIMIT_S
-        for given in history.of(WorkGiven):
+        for given in history.of(RequestAssigned):
             if given.upstream == leaving.upstream and given.at_s > limit_s:
                 late_s = given.at_s - leaving.at_s
                 broken.append(f"{given.upstream}: {given.request} {late_s:.1f} s after the notice")
@@ -172,12 +174,12 @@
     stopped = {one.entry: one.at_s for one in history.of(Stopped)}
     for stop in history.of(StopBegan):
         killed_s = killed.get(stop.entry, float("inf"))
-        ended_s = min(killed_s, stopped.get(stop.entry, float("inf")) + CUT_SEEN_S)
-        for cut in history.of(Broken):
+        ended_s = min(killed_s, stopped.get(stop.entry, float("inf")) + DISCONNECT_DETECTION_S)
+        for cut in history.of(Disconnected):
             if cut.entry == stop.entry and stop.at_s <= cut.at_s < ended_s:
                 broken.append(f"{cut.request}: cut by the stop of {stop.entry}")
-        life_end_s = min(stop.at_s + stop.answer_life_s, killed_s)
-        for refused in history.of(NotListening):
+        life_end_s = min(stop.at_s + stop.answer_ttl_s, killed_s)
+        for refused in history.of(ConnectRefused):
             if refused.entry == stop.entry and stop.at_s <= refused.at_s < life_end_s:
                 broken.append(f"{refused.request}: {stop.entry} did not listen")
     return broken
@@ -191,21 +193,21 @@
     Point.AT_MOST_ONCE: _at_most_once,
     Point.LEAVING_GETS_NO_WORK: _leaving_gets_no_work,
     Point.STOP_CUTS_NOTHING: _stop_cuts_nothing,
-    Point.CONFIGURATION_HOLDS: broken_configuration,
+    Point.CONFIGURATION_HOLDS: check_configuration_history,
 }
 
 _EVIDENCE_BY_POINT: dict[Point, tuple[type, ...]] = {
-    Point.TOKENS_ONCE: (Delivered,),
+    Point.TOKENS_ONCE: (TokenDelivered,),
     Point.OWN_WHOLE_ANSWER: (Finished,),
     Point.NOT_RUN_IS_TRUE: (CallRan,),
     Point.AT_MOST_ONCE: (CallRan,),
-    Point.LEAVING_GETS_NO_WORK: (LeavingBegan, WorkGiven),
+    Point.LEAVING_GETS_NO_WORK: (LeavingBegan, RequestAssigned),
     Point.STOP_CUTS_NOTHING: (StopBegan, Stopped),
     Point.CONFIGURATION_HOLDS: (InForce,),
 }
 
 
-def violations(history: History) -> list[Violation]:
+def find_violations(history: History) -> list[Violation]:
     """Check a history against every point."""
     found = []
     for point, check in CHECK_BY_POINT.items():
@@ -213,8 +215,8 @@
     return found
 
 
-def unproved(history: History) -> list[Point]:
-    """Give the points of which the history holds no evidence: their checks prove nothing."""
+def points_without_evidence(history: History) -> list[Point]:
+    """Return the points without evidence in the history, whose checks therefore prove nothing."""
     return [
         point
         for point, kinds in _EVIDENCE_BY_POINT.items()
@@ -222,18 +224,18 @@
     ]
 
 
-def stale_orders(history: History) -> list[str]:
-    """Give the orders that engines which check fencing carried out after a newer one."""
+def find_stale_orders(history: History) -> list[str]:
+    """Return the orders that engines with fencing checks executed after a newer one."""
     broken = []
     newest: dict[str, int] = {}
-    for order in history.of(OrderTaken):
+    for order in history.of(OrderAccepted):
         if order.checks and order.fencing < newest.get(order.engine, 0):
             broken.append(f"{order.engine}: order {order.order} with an old number")
         newest[order.engine] = max(newest.get(order.engine, 0), order.fencing)
     return broken
 
 
-def _short(numbers: list[int]) -> str:
+def _abbreviate(numbers: list[int]) -> str:
     if len(numbers) <= 12:
         return str(numbers)
     return f"{numbers[:5]} ... {numbers[-5:]} ({len(numbers)})"
--- a/tests/matrix/results.py
+++ b/tests/matrix/results.py
@@ -1,4 +1,4 @@
-"""Runs many cells in a few worker processes, each cell by itself and from one seed."""
+"""Runs many cells in a few worker processes, each cell independently and with the same seed."""
 
 from collections.abc import Callable
 from concurrent.futures import Future, ProcessPoolExecutor
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """What a cell showed, without its history."""
+    """The result of a cell without its history."""
 
     broken: tuple[Violation, ...] = ()
     other: tuple[str, ...] = ()
 
     @property
     def passed(self) -> bool:
-        """Tell whether the cell came to its end and broke nothing."""
+        """Return whether the cell completed and broke no point."""
         return not self.broken and not self.other
 
     def __str__(self) -> str:
@@ -31,8 +31,8 @@
         return "; ".join([*lines, *self.other])
 
 
-def judge(name: str, seed: int = SEED) -> Verdict:
-    """Run a cell of the table; an error that ends it is part of the verdict."""
+def evaluate_cell(name: str, seed: int = SEED) -> Verdict:
+    """Run a cell of the table; an exception that ends it becomes part of the verdict."""
     logger.remove()
     try:
         result = run_cell(CELLS[name], seed)
@@ -43,28 +43,30 @@
 
 @dataclass
 class Results:
-    """Verdicts by name of cell; the first one asked for starts them all."""
+    """Verdicts by name of cell; the first request for one starts all cells."""
 
     names: list[str]
     _pool: ProcessPoolExecutor | None = None
     _future_by_name: dict[str, Future[Verdict]] = field(default_factory=dict)
 
     def of(self, cell: Cell) -> Verdict:
-        """Wait for the verdict of a cell."""
+        """Wait for the verdict of a cell and return it."""
         if self._pool is None:
             self._pool = ProcessPoolExecutor(WORKERS)
-            self._future_by_name = {name: self._pool.submit(judge, name) for name in self.names}
+            self._future_by_name = {
+                name: self._pool.submit(evaluate_cell, name) for name in self.names
+            }
             self._pool.shutdown(wait=False)
         return self._future_by_name[cell.name].result()
 
 
-def named_tests(cells: dict[str, Cell]) -> dict[str, Callable[[], None]]:
-    """Make a test of each cell; they share the workers."""
+def make_tests(cells: dict[str, Cell]) -> dict[str, Callable[[], None]]:
+    """Return a test for each cell; they share the workers."""
     results = Results(list(cells))
-    return {name: _test_of(cell, results) for name, cell in cells.items()}
+    return {name: _make_test(cell, results) for name, cell in cells.items()}
 
 
-def _test_of(cell: Cell, results: Results) -> Callable[[], None]:
+def _make_test(cell: Cell, results: Results) -> Callable[[], None]:
     def test() -> None:
         verdict = results.of(cell)
         check.assertTrue(verdict.passed, str(verdict))
--- a/tests/matrix/table.py
+++ b/tests/matrix/table.py
@@ -1,4 +1,4 @@
-"""The table of cells: every fault at every step, the pairs, and the cells that cannot occur."""
+"""The table of cells: every fault at every step, pairs of faults, and cells that cannot occur."""
 
 from itertools import combinations
 
@@ -7,23 +7,23 @@
 from tests.matrix.history import Path
 from tests.matrix.paths import STEPS
 
-TELLING_STEPS = (
+DEFAULT_RUN_STEPS = (
     (Path.SESSION, "mid_stream"),
     (Path.CALL, "dispatch"),
     (Path.CHANGE, "head_update"),
     (Path.ORDER, "order_sent"),
     (Path.DRAIN, "in_progress"),
 )
-"""One step of each path, which the ordinary test run takes every fault to."""
+"""One step of each path, at which the default test run injects every fault."""
 
 PAIR_STEPS = ((Path.SESSION, "mid_stream"), (Path.CALL, "dispatch"))
-"""The steps at which every two faults strike together."""
+"""The steps at which every two faults are injected together."""
 
 CANNOT_OCCUR: dict[str, str] = {}
-"""By name of cell: why the fault cannot strike at that step."""
+"""By name of cell: why the fault cannot occur at that step."""
 
 NOT_PROVED: dict[str, str] = {}
-"""By name of cell: why it is not run though it can occur."""
+"""By name of cell: why the cell is not run although it can occur."""
 
 
 def _single() -> list[Cell]:
