--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,8 +1,8 @@
-"""Runs every test and ends with `N passed, N failed`.
+"""Runs every test and prints `N passed, N failed` at the end.
 
-Modules run side by side in a few processes; what they report is printed in the order of their
-names. Tests named in KNOWN-RED.txt may fail; each that does is printed with its cause. With
-arguments, runs only the modules named, such as `tests.test_delivery`.
+Modules run in parallel in a few processes; their reports are printed in the order of their names.
+Tests named in KNOWN-RED.txt may fail; each that does is printed with its cause. With arguments,
+runs only the named modules, such as `tests.test_delivery`.
 """
 
 import os
@@ -21,39 +21,39 @@
 
 
 def main() -> int:
-    """Run and give the exit code."""
+    """Run the tests and return the exit code."""
     ran = 0
-    bad: set[str] = set()
+    failed_ids: set[str] = set()
     for report in _reports(sys.argv[1:] or _all_modules()):
         _print_report(report)
         ran += report.ran
-        bad |= {failed.id for failed in report.failed}
-    known = _known_red()
-    for name in sorted(bad & known.keys()):
-        print(f"known red: {known[name]}")
-    for name in sorted(known.keys() - bad):
+        failed_ids |= {failed.id for failed in report.failed}
+    known_failures = _read_known_red()
+    for name in sorted(failed_ids & known_failures.keys()):
+        print(f"known red: {known_failures[name]}")
+    for name in sorted(known_failures.keys() - failed_ids):
         print(f"listed as known red, but passed: {name}")
-    failed = len(bad - known.keys())
-    print(f"{ran - len(bad)} passed, {failed} failed")
+    failed = len(failed_ids - known_failures.keys())
+    print(f"{ran - len(failed_ids)} passed, {failed} failed")
     return 1 if failed or ran == 0 else 0
 
 
 def _reports(modules: list[str]) -> Iterator[ModuleReport]:
-    """Run the modules; a process that dies raises BrokenProcessPool here."""
+    """Run the modules; raise BrokenProcessPool if a process dies."""
     jobs = _jobs(modules)
     processes = min(MAX_PROCESSES, os.cpu_count() or 1, len(jobs))
-    # A fresh interpreter for each process: nothing that one module left behind, such as a socket
-    # or a cached key, reaches a module of another process.
+    # Each process starts a new interpreter, so that nothing that one module left behind, such as a
+    # socket or a cached key, reaches a module of another process.
     with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
         for reports in pool.map(run_modules, jobs):
             yield from reports
 
 
 def _jobs(modules: list[str]) -> list[tuple[str, ...]]:
-    """Group what has to run in a row: modules of one package below this one.
+    """Group the modules that have to run one after another: those of one package below this one.
 
-    They start programs on loopback addresses that they found free a moment before. Side by side
-    two could find the same ones, and would do so with twice the processes.
+    They start programs on loopback addresses that they found free just before. In parallel, two of
+    them could find the same addresses, and there would be twice as many processes.
     """
     names_by_job: dict[str, list[str]] = {}
     for name in modules:
@@ -64,7 +64,7 @@
 
 def _all_modules() -> list[str]:
     found = walk_packages([str(TESTS)], f"{TESTS.name}.")
-    names = [one.name for one in found if not one.ispkg]
+    names = [module.name for module in found if not module.ispkg]
     return sorted(name for name in names if name.rpartition(".")[2].startswith("test"))
 
 
@@ -74,7 +74,7 @@
         print(f"\nFAIL: {failed.id}\n{failed.traceback}", flush=True)
 
 
-def _known_red() -> dict[str, str]:
+def _read_known_red() -> dict[str, str]:
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
--- a/tests/running.py
+++ b/tests/running.py
@@ -1,4 +1,4 @@
-"""Runs the tests of modules; imported by each process that runs tests."""
+"""Runs the tests of modules; each worker process imports it."""
 
 import unittest
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True)
-class Failed:
+class FailedTest:
     """A test that failed, with its traceback."""
 
     id: str
@@ -16,15 +16,15 @@
 
 @dataclass(frozen=True)
 class ModuleReport:
-    """What one module's tests did; passed between processes."""
+    """Results of one module's tests; passed between processes."""
 
     module: str
     ran: int
-    failed: tuple[Failed, ...]
+    failed: tuple[FailedTest, ...]
 
 
 def run_modules(modules: tuple[str, ...]) -> list[ModuleReport]:
-    """Run the tests of modules in this process, one module after another."""
+    """Run the tests of the modules in this process, one module after another."""
     logger.remove()
     return [_run_module(module) for module in modules]
 
@@ -32,5 +32,5 @@
 def _run_module(module: str) -> ModuleReport:
     result = unittest.TestResult()
     unittest.defaultTestLoader.loadTestsFromName(module).run(result)
-    failed = [Failed(case.id(), text) for case, text in result.failures + result.errors]
+    failed = [FailedTest(case.id(), text) for case, text in result.failures + result.errors]
     return ModuleReport(module, result.testsRun, tuple(failed))
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Turns a module's test functions into unittest cases.
+"""Turns the test functions of a module into unittest cases.
 
 A test module calls `load_tests = tests_of(globals())`. Functions named `test_*` become cases;
 asynchronous ones run under trio's mock clock, which jumps ahead whenever all tasks wait.
@@ -16,7 +16,7 @@
 
 
 def tests_of(namespace: dict[str, object]) -> Loader:
-    """Give the `load_tests` function of a module."""
+    """Return the `load_tests` function of a module."""
 
     def load_tests(
         loader: unittest.TestLoader, tests: unittest.TestSuite, pattern: str | None
@@ -24,7 +24,7 @@
         suite = unittest.TestSuite()
         for name, value in namespace.items():
             if name.startswith("test_") and callable(value):
-                suite.addTest(FunctionCase(_runnable(value), namespace["__name__"], name))
+                suite.addTest(FunctionCase(_as_sync(value), namespace["__name__"], name))
         return suite
 
     return load_tests
@@ -38,7 +38,7 @@
         self._name = f"{module}.{name}"
 
     def id(self) -> str:
-        """Give the name by which results and KNOWN-RED.txt refer to the test."""
+        """Return the name of the test in reports and in KNOWN-RED.txt."""
         return self._name
 
     def __str__(self) -> str:
@@ -46,7 +46,7 @@
 
 
 def on_mock_clock(function: Callable) -> Callable[[], None]:
-    """Run an asynchronous test under a clock that jumps ahead when every task waits."""
+    """Return a test that runs `function` on a clock that jumps ahead when every task waits."""
 
     @wraps(function)
     def run() -> None:
@@ -56,27 +56,30 @@
 
 
 def on_real_clock(function: Callable) -> Callable[[], None]:
-    """Run an asynchronous test that uses real sockets, which a mock clock cannot jump past."""
+    """Return a test that runs `function` on the real clock.
+
+    Tests with real sockets need it, because a mock clock cannot skip the wait for a socket.
+    """
 
     @wraps(function)
     def run() -> None:
-        trio.run(partial(_bounded, function))
+        trio.run(partial(_run_with_limit, function))
 
     return run
 
 
-REAL_TEST_LIMIT_S = 120
+REAL_CLOCK_TIMEOUT_S = 120
 
 
-async def _bounded(function: Callable) -> None:
-    with trio.fail_after(REAL_TEST_LIMIT_S):
+async def _run_with_limit(function: Callable) -> None:
+    with trio.fail_after(REAL_CLOCK_TIMEOUT_S):
         await function()
 
 
-def _runnable(function: Callable) -> Callable[[], None]:
+def _as_sync(function: Callable) -> Callable[[], None]:
     return on_mock_clock(function) if inspect.iscoroutinefunction(function) else function
 
 
 check = unittest.TestCase()
-"""The assertion methods of unittest, for test functions."""
+"""Provides unittest's assertion methods to test functions."""
 check.maxDiff = None
