--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -60,7 +60,7 @@
 
 
 def is_complete(words):
-    """Return whether a command is more than the beginning of one, such as `egretctl contract ...`."""
+    """Return whether a command is more than the start of one, such as `egretctl contract ...`."""
     return not any("..." in word or "…" in word for word in words)
 
 
