--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -78,9 +78,9 @@
     everyone = [known_instance(number) for number in range(COUNT)]
     home = make_views()[0].home(0.1)
     view = Fleet(known_instance(99), 0.0)
-    for one in everyone:
+    for other in everyone:
         view.record_report(
-            0.0, known_instance(one.incarnation, reads_store=one.instance.id != home)
+            0.0, known_instance(other.incarnation, reads_store=other.instance.id != home)
         )
     check.assertNotEqual(view.home(0.1), home)
 
@@ -316,8 +316,8 @@
     # instances would query the store at once.
     everyone = [known_instance(number) for number in range(40)]
     home = Fleet(known_instance(0), 0.0)
-    for one in everyone[1:]:
-        home.record_report(0.0, one)
+    for other in everyone[1:]:
+        home.record_report(0.0, other)
     first = home.home(0.1)
     watchers = 0
     for own in everyone:
--- a/tests/test_fleet_news.py
+++ b/tests/test_fleet_news.py
@@ -207,7 +207,7 @@
 
 @on_real_clock
 async def test_rows_are_never_sent_with_a_later_revision_than_theirs():
-    # A home has read that a runner is gone and has not sent it yet, when a report shows that its
+    # A home has read that a runner is missing and has not sent it yet, when a report shows that its
     # sender lacks something. That sender gets the rows as they were sent last: with the new
     # revision they would count as the new list, and a home that has just started would send that
     # all runners are missing.
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -99,7 +99,7 @@
 
 
 async def test_an_engine_lost_during_an_answer_counts_as_a_bad_outcome():
-    # An engine dies for good in the middle of an answer. The caller is told immediately that the
+    # An engine dies permanently in the middle of an answer. The caller is told immediately that the
     # generation was partly lost; although that is true, it counts against the outcome objective.
     async with open_world() as world:
         await world.configure(contract__acme=CONTRACT, service__llm=ENGINES)
--- a/tests/test_membership_services.py
+++ b/tests/test_membership_services.py
@@ -1,4 +1,4 @@
-"""Membership inside whole programs: answers to callers, leaving, runners, links that go silent."""
+"""Membership inside whole programs: answers to callers, leaving, runners, unresponsive links."""
 
 from collections import Counter
 from contextlib import asynccontextmanager
--- a/tests/test_membership_state.py
+++ b/tests/test_membership_state.py
@@ -125,7 +125,7 @@
 
 
 def test_a_paused_instance_comes_back_and_suspects_nobody():
-    # An instance is paused for a minute. Meanwhile the others take it for gone. When it resumes,
+    # An instance is paused for a minute. Meanwhile the others consider it gone. When it resumes,
     # every answer it waited for is long overdue; it must not suspect them for that.
     fleet, _ = fleet_of(20)
     fleet.run(5)
@@ -264,8 +264,8 @@
 
 
 def test_both_halves_of_a_partition_go_on_and_find_each_other_again():
-    # Regions lose their connection. Each half takes the other for gone and serves on; when the cut
-    # ends, the halves exchange no heartbeats any more, and must still find each other.
+    # Regions lose their connection. Each half considers the other gone and continues to serve. When
+    # the cut ends, the halves exchange no heartbeats any more, and must still find each other.
     fleet, _ = fleet_of(16)
     fleet.run(5)
     one, other = set(range(8)), set(range(8, 16))
--- a/tests/test_membership_twins.py
+++ b/tests/test_membership_twins.py
@@ -44,8 +44,8 @@
 
 
 def test_a_duplicate_that_ended_leaves_the_other_live():
-    # Of two processes with one id one ends and says so. The other had given up refuting; it must go
-    # above that row, or it would stay gone for callers though it is live.
+    # One of two processes with the same id ends and reports it. The other had stopped refuting; its
+    # row must exceed that one, or it would stay gone for callers although it is live.
     (one, other), _ = run_duplicates(60)
     other.stop()
     sent_rows = replace(other._row, incarnation=one._table.get(other._row.key).incarnation)
--- a/tests/test_membership_work.py
+++ b/tests/test_membership_work.py
@@ -52,15 +52,15 @@
         watched = rings.watched()
         check.assertNotIn(name, watched)
         check.assertEqual(len(watched), min(RINGS, size - 1))
-        for one in watched:
-            watchers[one] += 1
+        for name in watched:
+            watchers[name] += 1
     check.assertTrue(all(1 <= count <= 2 * RINGS for count in watchers.values()))
 
 
 def test_rows_confirmed_by_an_earlier_run_leave_no_gap():
-    # A neighbour counts on rows that the earlier run of this process had confirmed and sends only
-    # what came after. If that counted as complete, the rows before would be missing here for good,
-    # and callers would be sent to an instance that everyone else knows to be gone.
+    # A neighbour relies on rows that the earlier run of this process had confirmed, and sends only
+    # later ones. If that counted as complete, the earlier rows would stay missing here, and callers
+    # would be sent to an instance that all others know to be gone.
     sender = Exchange(1000, Table())
     for number in range(3):
         sender.table.put(InstanceRow(instance(number), 1000, InstanceState.GONE))
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -167,7 +167,7 @@
     permits = MovePermits()
     source = RunnerId("a")
     permits.request(0.0, source, "first", 1.0)
-    permits.request(0.0, source, "gone", 0.0)
+    permits.request(0.0, source, "ended", 0.0)
     permits.release(source, "first")
     check.assertTrue(permits.request(0.6, source, "here", 9.0))
 
@@ -352,10 +352,10 @@
     placer, _ = make_placer("a")
     full = [Run(generation_request(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(10)]
     placer.registry.record_report(OWN, full)
-    placer.enqueue(0.0, generation_request("gone", rank=0), ENGINE)
+    placer.enqueue(0.0, generation_request("ended", rank=0), ENGINE)
     placer.enqueue(0.0, generation_request("silent", rank=1), ENGINE)
     placer.enqueue(0.7, generation_request("here", rank=5), ENGINE)
-    placer.remove("gone")
+    placer.remove("ended")
     placer.registry.record_report(OWN, full[:8])
     check.assertEqual([placed.attempt for placed in placer.place_waiting(0.9)], ["here"])
 
--- a/tests/test_planned_stops.py
+++ b/tests/test_planned_stops.py
@@ -12,14 +12,14 @@
 
 
 @on_real_clock
-async def test_calls_on_connections_that_clients_use_until_the_process_is_gone_are_answered():
+async def test_calls_on_connections_that_clients_use_until_the_process_has_ended_are_answered():
     # Guards against calls that are aborted when a leaving instance ends.
     async with platform_site(plain=2) as site:
         for runner in site.plain:
             runner.delay_s = 0.3
         unanswered = []
 
-        async def call_until_gone(client):
+        async def call_until_refused(client):
             for number in count():
                 attempt = f"c-{client}-{number}"
                 try:
@@ -31,7 +31,7 @@
 
         async with trio.open_nursery() as nursery:
             for client in range(4):
-                nursery.start_soon(call_until_gone, client)
+                nursery.start_soon(call_until_refused, client)
             await trio.sleep(0.1)
             site.kernels[0].begin_drain()
         ran = [
--- a/tests/test_platform_restarts.py
+++ b/tests/test_platform_restarts.py
@@ -131,7 +131,7 @@
     steps = {
         "first part": lambda source: ("s-1", False) in source.moves,
         "last part": lambda source: ("s-1", True) in source.moves,
-        "gone on": lambda source: not source._report()["running"],
+        "continued": lambda source: not source._report()["running"],
     }
     for name, when in steps.items():
         async with platform_site(plain=0, engines=2) as site:
--- a/tests/test_promises_properties.py
+++ b/tests/test_promises_properties.py
@@ -51,7 +51,9 @@
     strength=st.integers(0, 2),
 )
 _fleet_step = st.tuples(
-    st.sampled_from(("heard", "record_referral", "told", "add_listed", "own")),
+    st.sampled_from(
+        ("record_report", "record_referral", "record_live_instances", "add_listed", "own")
+    ),
     _other,
     st.sampled_from((0.0, 0.0, 0.06, 0.3, 1.2, 4.0)),
 )
@@ -66,11 +68,11 @@
     for kind, other, passed_s in steps:
         now_s += passed_s
         for view in (cached, uncached):
-            if kind == "heard":
+            if kind == "record_report":
                 view.record_report(now_s, other)
             elif kind == "own":
                 view.own = replace(view.own, store=other.store, state=other.state)
-            elif kind == "told":
+            elif kind == "record_live_instances":
                 view.record_live_instances(now_s, other.instance.id, [other])
             else:
                 getattr(view, kind)(now_s, [other])
--- a/tests/test_runner_entries.py
+++ b/tests/test_runner_entries.py
@@ -168,9 +168,9 @@
     check.assertTrue(names.isdisjoint({one.name for one in known.bad()}))
     if "i-good" not in dict(entries):
         check.assertIn("i-good", names)
-    for one in known.runners():
-        check.assertGreaterEqual(one.slots, 1)
-        check.assertTrue(one.incarnation.name.isprintable() and one.service)
+    for runner in known.runners():
+        check.assertGreaterEqual(runner.slots, 1)
+        check.assertTrue(runner.incarnation.name.isprintable() and runner.service)
     check.assertLessEqual(len(bad), len(entries))
     RunnerTable().apply_reading(0.0, known.runners(), 1, 0.0)
 
--- a/tests/test_runner_incarnations.py
+++ b/tests/test_runner_incarnations.py
@@ -85,9 +85,9 @@
 
 
 def test_a_missing_runner_that_is_back_gets_requests_once_it_answers():
-    # The runner was cut off from the store for some seconds, its entry lapsed, and it went on
-    # serving. Without readmission a third of a service would be lost for good. Its entry alone does
-    # not readmit it.
+    # The runner was cut off from the store for some seconds, its entry expired, and it continued to
+    # serve. Without readmission a third of a service would be lost permanently. Its entry alone
+    # does not readmit it.
     home, peer = RunnerTable(), RunnerTable()
     for table in (home, peer):
         table.apply_reading(0.0, [runner("a"), runner("b")], 10, 0.0)
@@ -108,8 +108,8 @@
 
 
 def test_a_late_heartbeat_of_a_runner_that_was_replaced():
-    # By a heartbeat long in flight the store lists a runner again that is gone, and another one has
-    # its address. That one must not be sent health requests in the former one's name.
+    # Because of a delayed heartbeat the store lists a runner again that has ended, and another one
+    # has its address. That one must not get health requests addressed to the former runner.
     table = RunnerTable()
     table.apply_reading(0.0, [runner("a", address="10.2.0.9:80")], 10, 0.0)
     table.apply_reading(1.0, [], 11, 1.0)
--- a/tests/test_runner_leaving.py
+++ b/tests/test_runner_leaving.py
@@ -102,8 +102,8 @@
     # Guards against a home that places on an engine which has stated that it is leaving.
     async with platform_site(entries=2, plain=0, engines=2) as site:
         leaving = site.engines[0]
-        for one in site.engines:
-            one.events = 2
+        for engine in site.engines:
+            engine.events = 2
         site.store.fault = StoreFault.SILENT
         leaving.says_leaving = True
         more = {"method": b"POST", "headers": SMALL_GENERATION}
@@ -114,12 +114,12 @@
 
 @on_real_clock
 async def test_an_instance_places_no_generation_where_it_alone_received_a_notice():
-    # Guards against the home's answer naming an engine that has told this instance that it is
+    # Guards against the home's answer naming an engine that has notified this instance that it is
     # leaving.
     async with platform_site(entries=2, plain=0, engines=2) as site:
         leaving = site.engines[0]
-        for one in site.engines:
-            one.events = 2
+        for engine in site.engines:
+            engine.events = 2
         ports = [kernel.get(FleetPort) for kernel in site.kernels]
         await site.until(lambda: sum(port.is_home() for port in ports) == 1)
         entry = 1 if ports[0].is_home() else 0
@@ -136,8 +136,8 @@
     # Guards against streams that are lost with an engine whose notice did not reach the store.
     async with platform_site(entries=2, plain=0, engines=2) as site:
         leaving, other = site.engines
-        for one in site.engines:
-            one.events = 200
+        for engine in site.engines:
+            engine.events = 200
         readers = [
             await start_reader(site, f"s-{n}", 1, entry=n % 2, deadline_ms=60_000) for n in range(6)
         ]
