--- a/tests/test_membership_work.py
+++ b/tests/test_membership_work.py
@@ -52,8 +52,8 @@
         watched = rings.watched()
         check.assertNotIn(name, watched)
         check.assertEqual(len(watched), min(RINGS, size - 1))
-        for name in watched:
-            watchers[name] += 1
+        for neighbour in watched:
+            watchers[neighbour] += 1
     check.assertTrue(all(1 <= count <= 2 * RINGS for count in watchers.values()))
 
 
