--- a/tests/process/test_drain.py
+++ b/tests/process/test_drain.py
@@ -1,4 +1,4 @@
-"""A planned stop of an entry, as a real process with open work."""
+"""A planned stop of an entry, as a real process with requests in progress."""
 
 import json
 import signal
