--- a/egretstack/contracts/_contract.py
+++ b/egretstack/contracts/_contract.py
@@ -1,4 +1,4 @@
-"""One client account's contract as typed values."""
+"""The contract of one client account as typed values."""
 
 from dataclasses import dataclass
 from typing import Self
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True)
 class Contract:
-    """What one client account may do and what it was promised.
+    """The limits, deadlines and service-level targets of one client account.
 
-    Times are in seconds, rates in requests a second over the whole fleet.
+    Times are in seconds, rates in requests per second over the whole fleet.
     """
 
     account: AccountId
@@ -35,17 +35,17 @@
 
     @classmethod
     def from_document(cls, document: Document) -> Self:
-        """Build the contract from a checked document."""
+        """Build the contract from a validated document."""
         return cls(
             account=AccountId(document.text("contract", "account")),
             key_digests=document.names("contract", "key_sha256"),
-            value=document.whole("contract", "value"),
+            value=document.integer("contract", "value"),
             services=tuple(ServiceName(n) for n in document.names("contract", "services")),
             requests_per_s=document.number("limits", "requests_per_s"),
-            burst=document.whole("limits", "burst"),
-            concurrency=document.whole("limits", "concurrency"),
-            max_prompt_tokens=document.whole("limits", "max_prompt_tokens"),
-            max_output_tokens=document.whole("limits", "max_output_tokens"),
+            burst=document.integer("limits", "burst"),
+            concurrency=document.integer("limits", "concurrency"),
+            max_prompt_tokens=document.integer("limits", "max_prompt_tokens"),
+            max_output_tokens=document.integer("limits", "max_output_tokens"),
             start_deadline_s=document.number("deadlines", "start_s"),
             call_deadline_s=document.number("deadlines", "call_s"),
             stall_weight=document.number("weights", "stall"),
@@ -57,10 +57,10 @@
         )
 
     def allows(self, service: ServiceName) -> bool:
-        """Tell whether the account may use a service."""
+        """Return whether the account may use a service."""
         return not self.services or service in self.services
 
 
 def read_contract(where: str, sections: dict[str, dict[str, str]]) -> Contract:
-    """Check the sections of a contract; raise UserError that names `where` in each fault."""
+    """Validate the sections of a contract; raise UserError that names `where` in each error."""
     return Contract.from_document(CONTRACT_SCHEMA.check(where, sections))
--- a/egretstack/contracts/_contract_schema.py
+++ b/egretstack/contracts/_contract_schema.py
@@ -1,4 +1,4 @@
-"""The schema of a contract: every limit of a client account follows from it."""
+"""The schema of a contract, which defines all limits of a client account."""
 
 from egretstack.schema import Digests, Key, Name, Names, Number, Schema, reference_rows
 
@@ -11,7 +11,7 @@
         Key(
             "contract",
             "value",
-            Number(1, 1000, "relative to other accounts", whole=True),
+            Number(1, 1000, "relative to other accounts", integer=True),
             "Worth of one finished request; the highest comes first when engines are full.",
             "100",
         ),
@@ -26,28 +26,28 @@
         Key(
             "limits",
             "burst",
-            Number(1, 100_000, "requests", whole=True),
+            Number(1, 100_000, "requests", integer=True),
             "Requests allowed at once above the rate.",
             "20",
         ),
         Key(
             "limits",
             "concurrency",
-            Number(1, 100_000, "requests", whole=True),
+            Number(1, 100_000, "requests", integer=True),
             "Open requests over the whole fleet.",
             "50",
         ),
         Key(
             "limits",
             "max_prompt_tokens",
-            Number(1, 1_000_000, "tokens", whole=True),
+            Number(1, 1_000_000, "tokens", integer=True),
             "Longest prompt.",
             "32000",
         ),
         Key(
             "limits",
             "max_output_tokens",
-            Number(1, 200_000, "tokens", whole=True),
+            Number(1, 200_000, "tokens", integer=True),
             "Longest answer.",
             "32000",
         ),
@@ -121,5 +121,5 @@
 
 
 def contract_page() -> str:
-    """Give the text of `docs/contracts.md`."""
+    """Return the text of `docs/contracts.md`."""
     return _PAGE_HEAD + reference_rows(CONTRACT_SCHEMA.keys)
--- a/egretstack/contracts/_service.py
+++ b/egretstack/contracts/_service.py
@@ -1,4 +1,4 @@
-"""One service's description as typed values."""
+"""The description of one service as typed values."""
 
 from dataclasses import dataclass
 from typing import Self
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class ServiceSpec:
-    """What stands behind a service and which of its calls may be repeated."""
+    """The upstreams of a service and which of its calls may be repeated."""
 
     name: ServiceName
     kind: ServiceKind
@@ -26,14 +26,14 @@
 
     @classmethod
     def from_document(cls, document: Document) -> Self:
-        """Build the description from a checked document."""
+        """Build the description from a validated document."""
         return cls(
             name=ServiceName(document.text("service", "name")),
             kind=document.get("service", "kind", ServiceKind),
             fencing=document.get("service", "fencing", Fencing),
             models=tuple(ModelName(name) for name in document.names("engine", "models")),
-            kv_capacity_tokens=document.whole("engine", "kv_capacity_tokens"),
-            max_batch=document.whole("engine", "max_batch"),
+            kv_capacity_tokens=document.integer("engine", "kv_capacity_tokens"),
+            max_batch=document.integer("engine", "max_batch"),
             repeatable=document.names("calls", "repeatable"),
             lookup=document.text("calls", "lookup"),
             retention_s=document.number("calls", "retention_s"),
@@ -41,5 +41,5 @@
 
 
 def read_service(where: str, sections: dict[str, dict[str, str]]) -> ServiceSpec:
-    """Check the sections of a description; raise UserError that names `where` in each fault."""
+    """Validate the sections of a description; raise UserError that names `where` in each error."""
     return ServiceSpec.from_document(SERVICE_SCHEMA.check(where, sections))
--- a/egretstack/contracts/_service_schema.py
+++ b/egretstack/contracts/_service_schema.py
@@ -4,26 +4,26 @@
 
 from egretstack.schema import (
     Choice,
+    Choices,
     Key,
     Name,
     Names,
     Number,
     Schema,
     UrlPath,
-    Words,
     reference_rows,
 )
 
 
 class ServiceKind(Enum):
-    """What stands behind a service."""
+    """The kind of a service's upstreams."""
 
     ENGINE = "engine"
     PLAIN = "plain"
 
 
 class Fencing(Enum):
-    """What the upstreams of a service do with an old fencing number."""
+    """Whether the upstreams of a service refuse an old fencing number."""
 
     CHECKED = "checked"
     IGNORED = "ignored"
@@ -46,21 +46,21 @@
         Key(
             "engine",
             "kv_capacity_tokens",
-            Number(1, 100_000_000, "tokens", whole=True),
+            Number(1, 100_000_000, "tokens", integer=True),
             "Memory of one engine, taken until its first load report.",
             "60000",
         ),
         Key(
             "engine",
             "max_batch",
-            Number(1, 4096, "sequences", whole=True),
+            Number(1, 4096, "sequences", integer=True),
             "Most sequences one engine decodes together.",
             "64",
         ),
         Key(
             "calls",
             "repeatable",
-            Words(_METHODS),
+            Choices(_METHODS),
             "Methods that may be repeated; every other call runs at most once.",
             "GET,HEAD,OPTIONS",
         ),
@@ -92,5 +92,5 @@
 
 
 def service_page() -> str:
-    """Give the text of `docs/services.md`."""
+    """Return the text of `docs/services.md`."""
     return _PAGE_HEAD + reference_rows(SERVICE_SCHEMA.keys)
--- a/egretstack/ledger/_lookup.py
+++ b/egretstack/ledger/_lookup.py
@@ -1,4 +1,4 @@
-"""The look-up of a call's outcome at a service that offers one."""
+"""Look-up of a call's outcome at a service that offers look-ups."""
 
 import json
 from enum import Enum
@@ -15,18 +15,21 @@
 _HTTP_OK = 200
 
 
-class LookUp(Enum):
-    """What a look-up told."""
+class LookupResult(Enum):
+    """The result of a look-up."""
 
     RAN = "ran"
     NOT_RAN = "not-ran"
     NO_ANSWER = "no-answer"
 
 
-def lookup_request(
+def make_lookup_request(
     spec: ServiceSpec, account: AccountId, key: IdempotencyKey, fence: int
 ) -> CallRequest:
-    """Build the look-up; at a service that checks fencing numbers it also fences older ones off."""
+    """Build the look-up request.
+
+    At a service that checks fencing numbers it also makes the service refuse older numbers.
+    """
     headers = [(KEY_HEADER, key), (ACCOUNT_HEADER, account)]
     if spec.fencing is Fencing.CHECKED:
         headers.append((FENCING_HEADER, str(fence)))
@@ -34,14 +37,14 @@
     return CallRequest("GET", path, "", tuple(headers), b"", LOOKUP_TIMEOUT_S)
 
 
-def read_lookup(answer: CallResponse) -> LookUp:
-    """Read the answer: status 200 and a JSON object whose member `ran` is true or false."""
+def parse_lookup(answer: CallResponse) -> LookupResult:
+    """Parse the answer: status 200 and a JSON object whose member `ran` is true or false."""
     if answer.status != _HTTP_OK:
-        return LookUp.NO_ANSWER
+        return LookupResult.NO_ANSWER
     try:
         ran = json.loads(answer.body)["ran"]
     except (ValueError, KeyError, TypeError):
-        return LookUp.NO_ANSWER
+        return LookupResult.NO_ANSWER
     if not isinstance(ran, bool):
-        return LookUp.NO_ANSWER
-    return LookUp.RAN if ran else LookUp.NOT_RAN
+        return LookupResult.NO_ANSWER
+    return LookupResult.RAN if ran else LookupResult.NOT_RAN
--- a/egretstack/objectapi/__init__.py
+++ b/egretstack/objectapi/__init__.py
@@ -1,4 +1,4 @@
-"""The object API, the instance list and the weight store, each behind one class."""
+"""Clients of the platform: the object API, the instance list and the weight store."""
 
 from egretstack.objectapi._breaker import Breaker, BreakerState
 from egretstack.objectapi._budget import CallBudget, CallClass, TokenBucket
@@ -12,7 +12,7 @@
     MemberState,
 )
 from egretstack.objectapi._object_api import (
-    WATCH_LIFE_S,
+    DEFAULT_WATCH_DURATION_S,
     Conflict,
     ObjectApi,
     ObjectKind,
@@ -29,7 +29,7 @@
 
 __all__ = [
     "ENTRY_SERVICE",
-    "WATCH_LIFE_S",
+    "DEFAULT_WATCH_DURATION_S",
     "Breaker",
     "BreakerState",
     "BudgetedObjectApi",
--- a/egretstack/peers/__init__.py
+++ b/egretstack/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Links between the system's own processes: typed messages in msgpack over TCP."""
+"""Links between the system's own processes: typed messages, encoded as msgpack, over TCP."""
 
 from egretstack.messages import (
     Message,
@@ -12,8 +12,8 @@
     PeerKeys,
     PeerLink,
     PeerRefused,
+    accept_peer,
     connect_peer,
-    greet_peer,
 )
 
 __all__ = [
@@ -27,5 +27,5 @@
     "connect_peer",
     "decode",
     "encode",
-    "greet_peer",
+    "accept_peer",
 ]
--- a/egretstack/placing/_run.py
+++ b/egretstack/placing/_run.py
@@ -16,7 +16,7 @@
     max_output_tokens: int
     length_hint: int | None
     rank: int
-    """0 is the max_output urgent."""
+    """0 is the most urgent."""
     first_token_budget_s: float
     """Time left until the first token is late for the caller."""
     max_wait_s: float
@@ -75,7 +75,7 @@
 def request_from_row(row: object) -> GenerationRequest:
     """Parse the row of a request. Raises MessageError."""
     try:
-        attempt, service, prompt, max_output, hint, rank, patience_ms, wait_ms, *rest = row
+        attempt, service, prompt, max_output, hint, rank, budget_ms, wait_ms, *rest = row
         prompt_id, excluded, account, zones = rest
         return GenerationRequest(
             str(attempt),
@@ -84,7 +84,7 @@
             int(max_output),
             None if hint is None else int(hint),
             int(rank),
-            int(patience_ms) / 1000,
+            int(budget_ms) / 1000,
             int(wait_ms) / 1000,
             str(prompt_id),
             tuple(RunnerId(str(one)) for one in excluded),
--- a/egretstack/programs/_running.py
+++ b/egretstack/programs/_running.py
@@ -1,4 +1,4 @@
-"""Runs a daemon and maps errors to exit codes."""
+"""Runs daemons, and maps errors to exit codes."""
 
 import gc
 import signal
@@ -11,18 +11,18 @@
 import trio
 
 from egretstack.errors import UserError
-from egretstack.events import Level, LogForm, set_up_logs
+from egretstack.events import Level, LogFormat, set_up_logs
 from egretstack.kernel import Kernel, ServiceFailed, load_services
 from egretstack.settings import Program, Settings, read_settings
 
 Result = TypeVar("Result")
 
-COLLECT_EVERY_OBJECTS = 20_000
-"""Objects made and not yet freed before the youngest are searched for cycles; 700 by default."""
+GC_THRESHOLD_OBJECTS = 20_000
+"""Net allocations that trigger a collection of the youngest generation; Python's default is 700."""
 
 
 class ExitCode(IntEnum):
-    """How a program ended."""
+    """Exit codes of the programs."""
 
     OK = 0
     FAILED = 1
@@ -30,10 +30,10 @@
     USER_ERROR = 2
     """The settings, the arguments or a file are wrong."""
     CONFLICT = 3
-    """Another operator's change came first."""
+    """Another operator's change was accepted first."""
     UNKNOWN = 4
     """It is not known whether the change was accepted."""
-    AWAY = 5
+    UNAVAILABLE = 5
     """The platform or an instance does not answer; nothing was changed."""
 
 
@@ -42,7 +42,7 @@
 
     def start() -> Settings:
         settings = read_settings(path, program)
-        form = settings.get("logs", "form", LogForm)
+        form = settings.get("logs", "form", LogFormat)
         set_up_logs(form, settings.get("logs", "level", Level))
         return settings
 
@@ -50,24 +50,27 @@
 
 
 def run_services(start: Callable[[], object], services: tuple[str, ...]) -> None:
-    """Run services with the settings that `start` gives, once it has set up the logs too."""
+    """Run services with the settings that `start` returns; `start` also sets up logging."""
 
     async def main() -> None:
         kernel = Kernel(start())
         load_services(kernel, services)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_drain_on_signal, kernel)
-            _spare_collections()
+            _tune_garbage_collection()
             await kernel.run()
             nursery.cancel_scope.cancel()
 
-    exit_with(lambda: trio.run(main))
+    run_or_exit(lambda: trio.run(main))
 
 
-def exit_with(run: Callable[[], Result]) -> Result:
-    """Run, or exit: user errors in plain words, failed services by name, bugs as tracebacks."""
+def run_or_exit(function: Callable[[], Result]) -> Result:
+    """Call `function`; on a user error or a failed service, print the error and exit.
+
+    Any other exception is a bug and propagates with its traceback.
+    """
     try:
-        return run()
+        return function()
     except* UserError as group:
         for error in _leaves(group):
             print(error, file=sys.stderr)
@@ -78,16 +81,16 @@
         sys.exit(ExitCode.FAILED)
 
 
-def _spare_collections() -> None:
-    """Keep what start-up made out of later collections, and collect less often.
+def _tune_garbage_collection() -> None:
+    """Exclude the objects made at start-up from garbage collection, and collect less often.
 
-    Each token makes a few short-lived objects for each of many streams. At the default threshold
-    the collector runs hundreds of times a second, and each full run walks every loaded module
-    while no stream moves. What has no cycles is freed at once all the same.
+    Each token of each stream allocates a few short-lived objects. At the default threshold the
+    collector runs hundreds of times a second, and each full collection traverses every loaded
+    module while all streams are blocked. Objects without cycles are still freed immediately.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_EVERY_OBJECTS)
+    gc.set_threshold(GC_THRESHOLD_OBJECTS)
 
 
 async def _drain_on_signal(kernel: Kernel) -> None:
--- a/egretstack/programs/ctl.py
+++ b/egretstack/programs/ctl.py
@@ -1,4 +1,4 @@
-"""`egretctl`: what operators do from a shell."""
+"""`egretctl`: the command-line tool for operators."""
 
 import json
 import sys
@@ -15,8 +15,8 @@
 from egretstack.events import catalogue_page
 from egretstack.operators import (
     drain_instance,
+    find_instance,
     fleet_status,
-    listed_instance,
     new_account_key,
     new_session_key,
     snapshot_in_force,
@@ -26,7 +26,7 @@
 from egretstack.programs._ctl_parts import add_part_commands
 from egretstack.programs._explain import add_explain_command
 from egretstack.programs._replay import add_replay_command
-from egretstack.programs._running import ExitCode, exit_with
+from egretstack.programs._running import ExitCode, run_or_exit
 from egretstack.settings import Program, read_settings, settings_page
 
 _PAGES = {
@@ -56,7 +56,7 @@
     program
         The program that will read it.
     """
-    exit_with(lambda: read_settings(file, program))
+    run_or_exit(lambda: read_settings(file, program))
     print(f"{file}: good settings for {program.value}")
 
 
@@ -71,7 +71,7 @@
     file
         The settings file.
     """
-    exit_with(lambda: read_node_settings(file))
+    run_or_exit(lambda: read_node_settings(file))
     print(f"{file}: good settings for an instance of the platform")
 
 
@@ -90,18 +90,18 @@
     json_output
         Print what it holds as JSON.
     """
-    found = exit_with(lambda: read_configuration(file))
+    configuration = run_or_exit(lambda: read_configuration(file))
     counts = {
-        "version": found.version,
-        "routes": len(found.routes),
-        "services": len(found.service_by_name),
-        "accounts": len({one.name for one in found.account_by_key_digest.values()}),
+        "version": configuration.version,
+        "routes": len(configuration.routes),
+        "services": len(configuration.service_by_name),
+        "accounts": len({one.name for one in configuration.account_by_key_digest.values()}),
     }
     if json_output:
         print(json.dumps(counts))
         return
-    listed = ", ".join(f"{name} {count}" for name, count in counts.items())
-    print(f"{file}: good configuration: {listed}")
+    summary = ", ".join(f"{name} {count}" for name, count in counts.items())
+    print(f"{file}: good configuration: {summary}")
 
 
 @app.command
@@ -125,11 +125,11 @@
 def reference(page: str) -> None:
     """Print a reference page: contracts, events, services or settings."""
     if page not in _PAGES:
-        exit_with(lambda: _no_page(page))
+        run_or_exit(lambda: _raise_unknown_page(page))
     print(_PAGES[page](), end="")
 
 
-def _no_page(page: str) -> None:
+def _raise_unknown_page(page: str) -> None:
     raise UserError(f"no page named {page}; known: {', '.join(sorted(_PAGES))}")
 
 
@@ -142,38 +142,38 @@
 ) -> None:
     """Show the revision in force on every instance, and the lowest of them."""
 
-    async def work() -> None:
+    async def command() -> None:
         async with open_platform(platform, namespace) as (client, _, listed):
             rows = await fleet_status(client, listed)
         answered = [row.revision for row in rows if row.revision is not None]
         lowest = min(answered, default=None)
-        silent = len(rows) - len(answered)
+        unanswered = len(rows) - len(answered)
         if json_output:
-            rows_out = [asdict(row) for row in rows]
-            print(json.dumps({"lowest": lowest, "silent": silent, "instances": rows_out}))
+            instance_rows = [asdict(row) for row in rows]
+            print(json.dumps({"lowest": lowest, "silent": unanswered, "instances": instance_rows}))
             return
         for row in rows:
             state = "draining" if row.draining else "serving"
             revision = "no answer" if row.revision is None else f"revision {row.revision}"
             print(f"{row.instance:20} {row.port:18} {revision:16} {state}")
-        print(f"lowest revision in force: {lowest}; without an answer: {silent}")
+        print(f"lowest revision in force: {lowest}; without an answer: {unanswered}")
 
-    run_command(work)
+    run_command(command)
 
 
 @app.command
 def settle(change_id: str, *, platform: PlatformUrl, namespace: Namespace = "egretstack") -> None:
     """Tell whether a change whose outcome was unknown is among the latest accepted."""
 
-    async def work() -> None:
+    async def command() -> None:
         async with open_platform(platform, namespace) as (_, api, _listed):
-            accepted = await ConfigurationStore(api).settle(change_id)
+            accepted = await ConfigurationStore(api).find_accepted(change_id)
         if accepted is None:
             print(f"change {change_id} is not among the latest changes accepted")
             sys.exit(ExitCode.UNKNOWN)
         print(f"change {change_id} was accepted as revision {accepted.revision}")
 
-    run_command(work)
+    run_command(command)
 
 
 @app.command
@@ -183,27 +183,27 @@
     Changes that the store accepted since the restore, and no instance took, are given up.
     """
 
-    async def work() -> None:
+    async def command() -> None:
         async with open_platform(platform, namespace) as (client, api, listed):
-            snapshot = await snapshot_in_force(client, await listed_instance(listed, instance))
-            given_up = await ConfigurationStore(api).put_back(snapshot)
+            snapshot = await snapshot_in_force(client, await find_instance(listed, instance))
+            given_up = await ConfigurationStore(api).recover(snapshot)
         head = snapshot.head
         print(f"revision {head.revision}, change {head.change_id}, is back in the store")
         print(f"changes given up: {', '.join(given_up) or 'none'}")
 
-    run_command(work)
+    run_command(command)
 
 
 @app.command
 def drain(instance: str, *, platform: PlatformUrl, namespace: Namespace = "egretstack") -> None:
     """Ask the entry of an instance to shut down gracefully."""
 
-    async def work() -> None:
+    async def command() -> None:
         async with open_platform(platform, namespace) as (client, _, listed):
-            await drain_instance(client, await listed_instance(listed, instance))
+            await drain_instance(client, await find_instance(listed, instance))
         print(f"{instance} is draining")
 
-    run_command(work)
+    run_command(command)
 
 
 add_part_commands(contract, PartKind.CONTRACT)
--- a/egretstack/replay/_run.py
+++ b/egretstack/replay/_run.py
@@ -1,20 +1,20 @@
-"""Replays a trace under one policy after the other."""
+"""Replays a trace under one policy."""
 
 import random
 from collections.abc import Iterable
 
 from egretstack.ids import RequestId
 from egretstack.policy import ORACLE, POLICIES, Feature, Policy, make_oracle, make_policy
+from egretstack.replay._deployment import Deployment
 from egretstack.replay._figures import Figures
 from egretstack.replay._loop import ReplayLoop
-from egretstack.replay._site import Site
 from egretstack.replay._trace import TraceLine
 
 ALL_POLICIES = "all"
 
 
-def policies_named(name: str) -> list[str]:
-    """Give the policies that a name stands for, the oracle last."""
+def resolve_policy_names(name: str) -> list[str]:
+    """Return the policies that a name refers to, the oracle last."""
     if name == ALL_POLICIES:
         return [*POLICIES, ORACLE]
     return [name]
@@ -22,25 +22,25 @@
 
 def replay(
     lines: list[TraceLine],
-    site: Site,
+    deployment: Deployment,
     policy: str,
     *,
     entries: int,
     seed: int,
-    left_out: Iterable[Feature] = (),
+    disabled_features: Iterable[Feature] = (),
 ) -> Figures:
     """Replay a trace under one policy; the same arguments give the same figures.
 
-    Each entry has its own instance of the policy. The oracle is one instance that sees every
-    request and its length. `left_out` are parts of the default policy that are taken out.
+    Each entry has its own instance of the policy. The oracle is a single instance that sees every
+    request and its length. `disabled_features` are switched off in the default policy.
     """
     if policy == ORACLE:
         lengths = {RequestId(str(n)): line.output_tokens for n, line in enumerate(lines)}
-        made: list[Policy] = [make_oracle(random.Random(f"oracle-{seed}"), lengths)]
+        instances: list[Policy] = [make_oracle(random.Random(f"oracle-{seed}"), lengths)]
     else:
-        parts = frozenset(left_out)
-        made = [
-            make_policy(policy, random.Random(f"entry-{number}-{seed}"), parts)
+        features = frozenset(disabled_features)
+        instances = [
+            make_policy(policy, random.Random(f"entry-{number}-{seed}"), features)
             for number in range(entries)
         ]
-    return ReplayLoop(lines, site, made, entries, seed).run().figures(policy)
+    return ReplayLoop(lines, deployment, instances, entries, seed).run().make_figures(policy)
--- a/egretstack/schema/__init__.py
+++ b/egretstack/schema/__init__.py
@@ -1,4 +1,4 @@
-"""Checked documents: sections of keys with allowed values, as INI files or stored objects."""
+"""Validated documents: sections of keys with typed values, from INI files or stored objects."""
 
 from egretstack.schema._document import Document, Schema
 from egretstack.schema._ini import read_ini
@@ -6,6 +6,7 @@
 from egretstack.schema._values import (
     Address,
     Choice,
+    Choices,
     Digests,
     Flag,
     Name,
@@ -15,7 +16,6 @@
     Url,
     UrlPath,
     ValueKind,
-    Words,
 )
 
 __all__ = [
@@ -33,7 +33,7 @@
     "Url",
     "UrlPath",
     "ValueKind",
-    "Words",
+    "Choices",
     "read_ini",
     "reference_rows",
 ]
--- a/egretstack/services/evacuation_list.py
+++ b/egretstack/services/evacuation_list.py
@@ -50,14 +50,14 @@
         return self._port.evacuations.age_s(trio.current_time()) < max_age_s
 
     def _may_read(self) -> bool:
-        """Return whether the store is reachable; the list of runners finds out when it is again.
+        """Return whether the store is reachable; the list of runners finds out when it is back.
 
         An instance that is not the home tries only while it reads that list itself. If all tried,
         each of those that the store answers first would become the home for a moment.
         """
-        sight = self._port.fleet.own.store
-        return sight is StoreReachability.REACHABLE or (
-            self._port.is_home() and sight is StoreReachability.UNKNOWN
+        reachability = self._port.fleet.own.store
+        return reachability is StoreReachability.REACHABLE or (
+            self._port.is_home() and reachability is StoreReachability.UNKNOWN
         )
 
     async def _read(self) -> None:
@@ -72,7 +72,7 @@
                 ObjectKind.EVACUATION, self._revision, min(MAX_WATCH_S, watch_s)
             )
             changes, revision = watched.changes, watched.revision
-        for bad in self._entries.take(changes)[:MAX_BAD_LOGGED]:
+        for bad in self._entries.apply(changes)[:MAX_BAD_LOGGED]:
             log(Event.EVACUATION_UNREADABLE, zone=bad.name[:MAX_NAME_LOGGED], error=bad.error)
         self._revision = revision
         self._port.apply_evacuations(self._entries.zones(), revision, trio.current_time())
--- a/egretstack/upstreams/_http_engine.py
+++ b/egretstack/upstreams/_http_engine.py
@@ -1,6 +1,7 @@
-"""A model engine over HTTP: a subset of the OpenAI Responses API, and Prometheus load reports.
+"""A client for a model engine over HTTP.
 
-Load reports use the metric names that vLLM publishes. Orders are a PUT of the desired models.
+It uses a subset of the OpenAI Responses API, and load reports in the Prometheus text format with
+the metric names that vLLM publishes. Orders are a PUT of the desired models.
 """
 
 import json
@@ -23,7 +24,7 @@
     EngineRefused,
     EngineSilent,
     EngineUnreachable,
-    GenerationGone,
+    GenerationNotFound,
     GenerationRequest,
     GenerationState,
     LoadReport,
@@ -33,29 +34,29 @@
 
 _HTTP_NOT_FOUND = 404
 _HTTP_CONFLICT = 409
-_BUSY = frozenset({429, 503})
+_BUSY_STATUSES = frozenset({429, 503})
 _KIND_BY_NAME = {kind.value: kind for kind in EngineEventKind}
 MAX_MODELS = 1000
 MAX_CACHE_EVENTS = 10_000
 
 
 class HttpEngine(EngineClient):
-    """One engine at a base URL. `silence_s` is the longest wait for the next bytes, in seconds.
+    """A client of the engine at a base URL. `silence_s` is the read timeout of streams, in seconds.
 
-    `fresh` keeps no idle connections. What asks after a generation whose stream failed goes
-    through it: an idle connection may have gone silent in the same way as the stream.
+    `unpooled_client` keeps no idle connections. Requests about a generation whose stream failed
+    use it, because an idle connection may have stopped responding just as the stream did.
     """
 
     def __init__(
         self,
         client: httpx.AsyncClient,
-        fresh: httpx.AsyncClient,
+        unpooled_client: httpx.AsyncClient,
         base_url: str,
         silence_s: float,
     ) -> None:
         self._client = client
-        self._fresh = fresh
-        self._base = base_url
+        self._unpooled_client = unpooled_client
+        self._base_url = base_url
         self._stream_timeout = httpx.Timeout(client.timeout.connect, read=silence_s)
 
     @asynccontextmanager
@@ -71,7 +72,7 @@
         }
         opened = self._client.stream(
             "POST",
-            f"{self._base}/v1/responses",
+            f"{self._base_url}/v1/responses",
             content=json.dumps(body),
             timeout=self._stream_timeout,
         )
@@ -80,13 +81,13 @@
 
     @asynccontextmanager
     async def resume(self, generation: GenerationId, after: int) -> AsyncIterator[AsyncIterator]:
-        """Follow a generation from the event after sequence number `after`."""
+        """Resume a generation's stream with the event after sequence number `after`."""
         params = {"stream": "true"}
         if after >= 0:
             params["starting_after"] = str(after)
-        opened = self._fresh.stream(
+        opened = self._unpooled_client.stream(
             "GET",
-            f"{self._base}/v1/responses/{generation}",
+            f"{self._base_url}/v1/responses/{generation}",
             params=params,
             timeout=self._stream_timeout,
         )
@@ -94,32 +95,37 @@
             yield events
 
     async def cancel(self, generation: GenerationId) -> None:
-        """End a generation; one that is gone is no error. Raises EngineError."""
-        response = await self._ask("POST", f"/v1/responses/{generation}/cancel")
+        """Cancel a generation; a missing one is no error. Raises EngineError."""
+        response = await self._request("POST", f"/v1/responses/{generation}/cancel")
         if response.is_error and response.status_code != _HTTP_NOT_FOUND:
             raise EngineBroken(f"status {response.status_code}")
 
     async def state(self, generation: GenerationId) -> GenerationState:
-        """Ask after a generation over a new connection. Raises EngineError, GenerationGone."""
-        response = await self._ask("GET", f"/v1/responses/{generation}", client=self._fresh)
+        """Query a generation's state over a new connection.
+
+        Raises EngineError, GenerationNotFound.
+        """
+        response = await self._request(
+            "GET", f"/v1/responses/{generation}", client=self._unpooled_client
+        )
         if response.status_code == _HTTP_NOT_FOUND:
-            raise GenerationGone(generation)
+            raise GenerationNotFound(generation)
         try:
             return GenerationState(response.json()["status"])
         except (ValueError, KeyError, TypeError) as error:
             raise EngineBroken("an answer that cannot be read") from error
 
     async def load(self) -> LoadReport:
-        """Read the latest load report. Raises EngineError."""
-        response = await self._ask("GET", "/metrics")
+        """Fetch the latest load report. Raises EngineError."""
+        response = await self._request("GET", "/metrics")
         try:
             return _load_report(response.text)
         except (ValueError, KeyError) as error:
             raise EngineBroken("a load report that cannot be read") from error
 
     async def cache_events(self, after: int) -> list[CacheEvent]:
-        """Read cache events numbered above `after`; numbers may be missing."""
-        response = await self._ask("GET", "/cache-events", params={"after": str(after)})
+        """Fetch the cache events numbered above `after`; numbers may be missing."""
+        response = await self._request("GET", "/cache-events", params={"after": str(after)})
         try:
             rows = response.json()["events"][:MAX_CACHE_EVENTS]
             return [CacheEvent(int(r["number"]), r["prefix"], bool(r["stored"])) for r in rows]
@@ -127,8 +133,8 @@
             raise EngineBroken("cache events that cannot be read") from error
 
     async def models(self) -> tuple[ModelName, ...]:
-        """Read which models the engine serves now. Raises EngineError."""
-        response = await self._ask("GET", "/v1/models")
+        """Fetch the models that the engine serves now. Raises EngineError."""
+        response = await self._request("GET", "/v1/models")
         try:
             rows = response.json()["data"][:MAX_MODELS]
             return tuple(ModelName(str(row["id"])) for row in rows)
@@ -136,15 +142,15 @@
             raise EngineBroken("models that cannot be read") from error
 
     async def order(self, order: Order) -> None:
-        """Give an order. Raises OrderRefused, EngineError."""
+        """Send an order. Raises OrderRefused, EngineError."""
         body = {"id": order.id, "fencing": order.fencing, "models": list(order.models)}
-        response = await self._ask("PUT", "/orders", content=json.dumps(body))
+        response = await self._request("PUT", "/orders", content=json.dumps(body))
         if response.status_code == _HTTP_CONFLICT:
             raise OrderRefused(order.id)
         if response.is_error:
             raise EngineBroken(f"status {response.status_code}")
 
-    async def _ask(
+    async def _request(
         self,
         method: str,
         path: str,
@@ -153,7 +159,7 @@
         **options: object,
     ) -> httpx.Response:
         try:
-            return await (client or self._client).request(method, self._base + path, **options)
+            return await (client or self._client).request(method, self._base_url + path, **options)
         except (httpx.ConnectTimeout, httpx.PoolTimeout) as error:
             raise EngineNoAnswer(repr(error)) from error
         except httpx.ConnectError as error:
@@ -183,12 +189,12 @@
 
 
 def _check_stream(response: httpx.Response, generation: GenerationId | None) -> None:
-    if response.status_code in _BUSY:
+    if response.status_code in _BUSY_STATUSES:
         raise EngineRefused(f"status {response.status_code}", _retry_after(response))
     if response.status_code == _HTTP_NOT_FOUND and generation is not None:
-        raise GenerationGone(generation)
+        raise GenerationNotFound(generation)
     if response.is_error and generation is not None:
-        # The generation may be there still: an answer such as 500 does not say that it is gone.
+        # The generation may still exist: an answer such as 500 does not say that it is missing.
         raise EngineBroken(f"status {response.status_code}")
     if response.is_error:
         raise EngineError(f"status {response.status_code}")
@@ -202,7 +208,7 @@
 async def _events(
     response: httpx.Response, generation: GenerationId | None
 ) -> AsyncIterator[EngineEvent]:
-    """Decode events; their generation is the stream's own until a created event names it."""
+    """Decode events; they belong to the stream's own generation until an event names another."""
     ended = False
     try:
         async for message in EventSource(response).aiter_sse():
@@ -210,9 +216,9 @@
             if kind is None:
                 continue
             data = json.loads(message.data)
-            generation = _generation_of(data, generation)
+            generation = _generation_id(data, generation)
             sequence = int(data["sequence_number"])
-            yield EngineEvent(generation, sequence, kind, _delta(data))
+            yield EngineEvent(generation, sequence, kind, _text_delta(data))
             ended = kind not in (EngineEventKind.CREATED, EngineEventKind.TOKEN)
     except httpx.TimeoutException as error:
         raise EngineSilent(repr(error)) from error
@@ -224,18 +230,19 @@
         raise EngineBroken("the stream ended before the generation did")
 
 
-def _delta(data: dict) -> str:
+def _text_delta(data: dict) -> str:
     delta = data.get("delta", "")
     if not isinstance(delta, str):
         raise TypeError("a delta that is not text")
     return delta
 
 
-def _generation_of(data: dict, known: GenerationId | None) -> GenerationId:
-    """Find the generation an event belongs to.
+def _generation_id(data: dict, known: GenerationId | None) -> GenerationId:
+    """Return the id of the generation that an event belongs to.
 
-    A token event carries its item's id, which the engine makes from the generation's; were the
-    stream's generation assumed instead, an event crossed in from another would pass unseen.
+    A token event carries its item's id, which the engine derives from the generation's. If the
+    stream's own generation were assumed instead, an event that came in from another generation's
+    stream would not be detected.
     """
     if "response" in data:
         return GenerationId(data["response"]["id"])
--- a/scripts/_sheet.py
+++ b/scripts/_sheet.py
@@ -1,4 +1,4 @@
-"""Lines of the capacity page: a measured slope carried to the target and held against a bound."""
+"""Lines of the capacity page: measured slopes extrapolated to the target, and their bounds."""
 
 import json
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 
 class Resource(Enum):
-    """What is spent, its unit, and its bound."""
+    """A resource: label, unit, and bound, or None if there is no bound."""
 
     CPU = ("processor time", "us/s", BOUNDS.cpu_us)
     MEMORY = ("memory", "bytes", BOUNDS.memory_bytes)
@@ -32,23 +32,23 @@
 
 @dataclass(frozen=True)
 class Line:
-    """One cost of one role. `sum_of` says in words how the value follows from the slopes."""
+    """One cost of one role. `basis` describes how the value follows from the slopes."""
 
-    what: str
+    cost: str
     resource: Resource
     slopes: tuple[str, ...]
-    sum_of: str
+    basis: str
     value: float
     carried_by: str
 
     @property
     def fits(self) -> bool:
-        """Tell whether this line alone stays within the bound."""
-        return within(self.value, self.resource.bound)
+        """Return whether this line on its own stays within the bound."""
+        return is_within(self.value, self.resource.bound)
 
 
 class Slopes:
-    """The kept slopes by name, such as `accounts.metrics_memory` of `slopes_accounts.py`."""
+    """The stored slopes by name, such as `accounts.metrics_memory` from `slopes_accounts.py`."""
 
     def __init__(self, path: Path = SLOPES_FILE) -> None:
         self.slope_by_name: dict[str, Slope] = {}
@@ -63,41 +63,41 @@
                 self.slope_by_name[f"{part}.{slope.name}"] = slope
 
     def fit_rows(
-        self, name: str, unit: str, size: tuple[str, str], value: str, **only: object
+        self, name: str, unit: str, size: tuple[str, str], value: str, **filters: object
     ) -> None:
-        """Fit the rows of a part that prints its runs and not slopes, such as `limits.traffic`.
+        """Fit a slope to the rows of a script that prints runs and not slopes (`limits.traffic`).
 
-        `size` is what a run's size counts and the field that holds it, `value` the field that
-        was measured; `only` picks runs by other fields.
+        `size` is the unit of a run's size and the field that holds the size; `value` is the field
+        with the measured value; `filters` select runs by other fields.
         """
-        part, _, short = name.partition(".")
+        part, _, short_name = name.partition(".")
         per, size_field = size
         rows = [
             row
             for row in self._rows_by_part.get(part, [])
-            if value in row and size_field in row and only.items() <= row.items()
+            if value in row and size_field in row and filters.items() <= row.items()
         ]
         value_by_size = {row[size_field]: row[value] for row in rows}
         if value_by_size:
-            self.slope_by_name[name] = fit(short, unit, per, value_by_size)
+            self.slope_by_name[name] = fit(short_name, unit, per, value_by_size)
 
-    def at(self, name: str, size: float) -> float:
-        """Give the value at a size by the fitted line.
+    def value_at(self, name: str, size: float) -> float:
+        """Return the value at a size on the fitted line.
 
-        Where the line falls, which only scatter makes it do, it gives the largest value measured.
+        A line falls only because of scatter; for such a line, return the largest measured value.
         """
         slope = self.slope_by_name[name]
         if slope.each <= 0:
             return max(slope.values)
         return max(0.0, slope.base + slope.each * size)
 
-    def each(self, name: str) -> float:
-        """Give what one more costs."""
+    def unit_cost(self, name: str) -> float:
+        """Return the cost of one more unit."""
         return self.slope_by_name[name].each
 
 
-def amount(value: float, unit: str) -> str:
-    """Write a value so that a person can read it."""
+def format_amount(value: float, unit: str) -> str:
+    """Format a value with its unit for people to read."""
     head, _, tail = unit.partition("/")
     rate = "/" + tail if tail else ""
     if head == "bytes" and value >= MEGABYTE:
@@ -109,8 +109,8 @@
     return f"{value:.3g} {unit}"
 
 
-def fitted(slope: Slope) -> str:
-    """Write a slope as a line with its unit."""
+def format_slope(slope: Slope) -> str:
+    """Format a slope as base and cost per unit."""
     if len(slope.sizes) == 1:
         return f"{slope.each:,.4g} {slope.unit} a {slope.per}"
     if slope.each <= 0:
@@ -118,48 +118,51 @@
     return f"{slope.base:,.4g} {slope.unit}, and {slope.each:,.4g} for each {slope.per}"
 
 
-def table(lines: Iterable[Line], slopes: Slopes) -> str:
-    """Write lines as a table, with the sum of each resource below."""
+def format_table(lines: Iterable[Line], slopes: Slopes) -> str:
+    """Format lines as a table, with the total of each resource below."""
     rows = [
         "| cost | carried by | measured | sum at the target | bound | |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
     total: dict[Resource, float] = {}
     for line in lines:
-        rows.append(_row(line, slopes))
+        rows.append(_format_row(line, slopes))
         total[line.resource] = total.get(line.resource, 0.0) + line.value
     for resource, value in total.items():
-        rows.append(_total_row(resource, value))
+        rows.append(_format_total_row(resource, value))
     return "\n".join(rows)
 
 
-def within(value: float, bound: float | None) -> bool:
-    """Tell whether a value stays within a bound, where there is one."""
+def is_within(value: float, bound: float | None) -> bool:
+    """Return whether a value is within a bound; None means no bound."""
     return bound is None or value <= bound
 
 
-def verdict(value: float, bound: float | None) -> str:
-    """Say whether a value stays within a bound."""
+def format_verdict(value: float, bound: float | None) -> str:
+    """Return the text that says whether a value is within a bound."""
     if bound is None:
         return ""
     return "fits" if value <= bound else "**does not fit**"
 
 
-def _row(line: Line, slopes: Slopes) -> str:
-    measured = "; ".join(f"`{name}`: {fitted(slopes.slope_by_name[name])}" for name in line.slopes)
+def _format_row(line: Line, slopes: Slopes) -> str:
+    measured = "; ".join(
+        f"`{name}`: {format_slope(slopes.slope_by_name[name])}" for name in line.slopes
+    )
     resource = line.resource
-    total = f"{line.sum_of}: {amount(line.value, resource.unit)}"
-    found = verdict(line.value, resource.bound)
+    total = f"{line.basis}: {format_amount(line.value, resource.unit)}"
+    verdict = format_verdict(line.value, resource.bound)
     return (
-        f"| {line.what} | {line.carried_by} | {measured} | {total} | {_bound(resource)} | {found} |"
+        f"| {line.cost} | {line.carried_by} | {measured} | {total} "
+        f"| {_format_bound(resource)} | {verdict} |"
     )
 
 
-def _total_row(resource: Resource, value: float) -> str:
-    total = f"**{amount(value, resource.unit)}**"
-    found = verdict(value, resource.bound)
-    return f"| all of it: {resource.label} | | | {total} | {_bound(resource)} | {found} |"
+def _format_total_row(resource: Resource, value: float) -> str:
+    total = f"**{format_amount(value, resource.unit)}**"
+    verdict = format_verdict(value, resource.bound)
+    return f"| all of it: {resource.label} | | | {total} | {_format_bound(resource)} | {verdict} |"
 
 
-def _bound(resource: Resource) -> str:
-    return "none given" if resource.bound is None else amount(resource.bound, resource.unit)
+def _format_bound(resource: Resource) -> str:
+    return "none given" if resource.bound is None else format_amount(resource.bound, resource.unit)
--- a/scripts/slopes_accounts.py
+++ b/scripts/slopes_accounts.py
@@ -1,4 +1,4 @@
-"""Measures what one more account costs: configuration held, told and changed, and metrics."""
+"""Measures the cost of an account: configuration in memory, on the wire and changed; metrics."""
 
 from collections.abc import Iterator
 from functools import partial
@@ -7,24 +7,31 @@
     ConfigurationState,
     Delta,
     Head,
-    Offer,
+    OfferResult,
     Snapshot,
+    delta_message,
     head_digest,
     part_digest,
-    piece,
-    tell,
+    snapshot_piece,
 )
 from egretstack.ids import ChangeId, Revision
 from egretstack.metrics import Metrics
 from egretstack.peers import encode
-from scripts._slope import OBJECT_SIZES, REPEATS, cpu_us, fit, held_bytes, show
+from scripts._slope import (
+    OBJECT_SIZES,
+    REPEATS,
+    fit,
+    measure_cpu_us,
+    measure_held_bytes,
+    print_slope,
+)
 
 ROUNDS = 10
 DELTAS = ROUNDS * REPEATS
 
 
-def snapshot(accounts: int, revision: int = 1) -> Snapshot:
-    """Make a configuration of that many contracts, of a usual length each."""
+def make_snapshot(accounts: int, revision: int = 1) -> Snapshot:
+    """Make a configuration with this many contracts of typical length."""
     sections_by_part = {
         f"contract.account-{number}": {
             "contract": {
@@ -43,40 +50,40 @@
     return Snapshot(head, sections_by_part)
 
 
-def configured(accounts: int) -> ConfigurationState:
-    """Put such a configuration in force."""
+def make_state(accounts: int) -> ConfigurationState:
+    """Make a state with such a configuration in force."""
     state = ConfigurationState()
-    state.offer(snapshot(accounts))
+    state.offer(make_snapshot(accounts))
     return state
 
 
-def apply(whole: Snapshot) -> None:
-    """Put a configuration in force on a process that has none."""
-    ConfigurationState().offer(whole)
+def apply_snapshot(snapshot: Snapshot) -> None:
+    """Apply a configuration to a process that has none."""
+    ConfigurationState().offer(snapshot)
 
 
 def snapshot_bytes(accounts: int) -> int:
-    """Give the length of all pieces in which a starting instance takes the configuration."""
-    whole = snapshot(accounts)
+    """Return the total size of the pieces that send the configuration to a starting instance."""
+    snapshot = make_snapshot(accounts)
     total = 0
     after = ""
     while True:
-        told = piece(whole, after)
-        total += len(encode(told))
-        if not told.more:
+        message = snapshot_piece(snapshot, after)
+        total += len(encode(message))
+        if not message.more:
             return total
-        after = max(told.sections_by_part)
+        after = max(message.sections_by_part)
 
 
-def change_of_one(accounts: int) -> Delta:
-    """Make the change of one contract in a configuration of that many."""
-    whole = snapshot(accounts)
+def make_delta(accounts: int) -> Delta:
+    """Make the delta that changes one contract in a configuration with this many."""
+    snapshot = make_snapshot(accounts)
     part = "contract.account-0"
-    sections = whole.sections_by_part[part] | {"limits": {"burst": "200"}}
-    digests = whole.head.digest_by_part | {part: part_digest(sections)}
+    sections = snapshot.sections_by_part[part] | {"limits": {"burst": "200"}}
+    digests = snapshot.head.digest_by_part | {part: part_digest(sections)}
     return Delta(
-        whole.head.revision,
-        whole.head.change_id,
+        snapshot.head.revision,
+        snapshot.head.change_id,
         (ChangeId("fedcba9876543210"),),
         head_digest(digests),
         {part: sections},
@@ -84,27 +91,29 @@
 
 
 def apply_delta(state: ConfigurationState, deltas: Iterator[Delta]) -> None:
-    """Put the next of several deltas in force."""
-    if state.offer_delta(next(deltas)) is not Offer.APPLIED:
+    """Apply the next of several deltas."""
+    if state.offer_delta(next(deltas)) is not OfferResult.APPLIED:
         raise RuntimeError("the delta was not applied")
 
 
-def deltas_of(accounts: int, count: int) -> Iterator[Delta]:
-    """Make deltas that follow each other."""
-    base = snapshot(accounts).head
+def make_deltas(accounts: int, count: int) -> Iterator[Delta]:
+    """Yield consecutive deltas, each based on the one before."""
+    base = make_snapshot(accounts).head
     digests = dict(base.digest_by_part)
     part = "contract.account-0"
     revision, change = base.revision, base.change_id
     for number in range(count):
-        sections = snapshot(1).sections_by_part[part] | {"limits": {"burst": str(200 + number)}}
+        sections = make_snapshot(1).sections_by_part[part] | {
+            "limits": {"burst": str(200 + number)}
+        }
         digests[part] = part_digest(sections)
-        following = ChangeId(f"{number:016x}")
-        yield Delta(revision, change, (following,), head_digest(digests), {part: sections})
-        revision, change = Revision(revision + 1), following
+        next_change = ChangeId(f"{number:016x}")
+        yield Delta(revision, change, (next_change,), head_digest(digests), {part: sections})
+        revision, change = Revision(revision + 1), next_change
 
 
-def measured_accounts(accounts: int) -> Metrics:
-    """Make the metrics of an entry that served that many accounts."""
+def make_metrics(accounts: int) -> Metrics:
+    """Make the metrics of an entry that has served this many accounts."""
     metrics = Metrics()
     for number in range(accounts):
         account = f"account-{number}"
@@ -115,25 +124,27 @@
     return metrics
 
 
-def show_accounts() -> None:
-    """Measure accounts."""
+def print_account_slopes() -> None:
+    """Measure and print the slopes per account."""
     sizes = OBJECT_SIZES
-    held = {size: held_bytes(lambda size=size: configured(size)) for size in sizes}
-    show(fit("configuration_memory", "bytes", "account", held))
+    held = {size: measure_held_bytes(lambda size=size: make_state(size)) for size in sizes}
+    print_slope(fit("configuration_memory", "bytes", "account", held))
     wire = {size: snapshot_bytes(size) for size in sizes}
-    show(fit("configuration_snapshot_wire", "bytes", "account", wire))
-    changed = {size: len(encode(tell(change_of_one(size)))) for size in sizes}
-    show(fit("configuration_change_wire", "bytes", "account", changed))
-    started = {size: cpu_us(partial(apply, snapshot(size))) for size in sizes}
-    show(fit("configuration_start_cpu", "us", "account", started))
+    print_slope(fit("configuration_snapshot_wire", "bytes", "account", wire))
+    changed = {size: len(encode(delta_message(make_delta(size)))) for size in sizes}
+    print_slope(fit("configuration_change_wire", "bytes", "account", changed))
+    started = {size: measure_cpu_us(partial(apply_snapshot, make_snapshot(size))) for size in sizes}
+    print_slope(fit("configuration_start_cpu", "us", "account", started))
     applied = {
-        size: cpu_us(partial(apply_delta, configured(size), deltas_of(size, DELTAS)), ROUNDS)
+        size: measure_cpu_us(
+            partial(apply_delta, make_state(size), make_deltas(size, DELTAS)), ROUNDS
+        )
         for size in sizes
     }
-    show(fit("configuration_change_cpu", "us", "account", applied))
-    metrics = {size: held_bytes(lambda size=size: measured_accounts(size)) for size in sizes}
-    show(fit("metrics_memory", "bytes", "account", metrics))
+    print_slope(fit("configuration_change_cpu", "us", "account", applied))
+    metrics = {size: measure_held_bytes(lambda size=size: make_metrics(size)) for size in sizes}
+    print_slope(fit("metrics_memory", "bytes", "account", metrics))
 
 
 if __name__ == "__main__":
-    show_accounts()
+    print_account_slopes()
--- a/scripts/slopes_nodes.py
+++ b/scripts/slopes_nodes.py
@@ -1,7 +1,7 @@
-"""Measures what a fleet of idle instances costs as it grows: whole programs in one process.
+"""Measures the cost of a fleet of idle instances as it grows, with all programs in one process.
 
-Each instance is a real entry and a real steward on a mock clock, linked by a network that counts
-bytes. The fleet has one account and one engine, so what is counted is control alone.
+Each instance is a real entry and a real steward on a mock clock, connected by a network that counts
+bytes. The fleet has one account and one engine service, so that only control is measured.
 """
 
 import time
@@ -13,13 +13,13 @@
 import trio.testing
 
 from egretstack.settings import Program
-from scripts._slope import MICROSECONDS, fit, show
+from scripts._slope import MICROSECONDS, fit, print_slope
 from standins.network import Network
 from standins.world import open_world
 
 FLEET_SIZES = (5, 20, 80)
-SETTLE_S = 60.0
-MEASURED_S = 60.0
+WARM_UP_S = 60.0
+MEASURE_S = 60.0
 CHANGES = 10
 CONTRACT = {"contract": {"account": "acme", "key_sha256": "f" * 64}}
 ENGINES = {"service": {"name": "llm", "kind": "engine"}, "engine": {"models": "story"}}
@@ -34,7 +34,7 @@
         self.links_by_host: Counter = Counter()
 
     async def connect(self, source: str, host: str, port: int) -> trio.abc.Stream:
-        """Open a stream whose bytes are counted both ways, unless it stays on one instance."""
+        """Open a stream; count its bytes in both directions unless it stays on one instance."""
         stream = await super().connect(source, host, port)
         if source == host:
             return stream
@@ -70,15 +70,15 @@
 
 
 @dataclass(frozen=True)
-class Idle:
-    """What a fleet cost while nothing was asked of it, and what one change cost.
+class FleetCost:
+    """The cost of an idle fleet, and of one configuration change.
 
-    Bytes and processor time are for one instance and second, calls for the whole fleet and
-    second; a change's bytes are for one instance and change.
+    Bytes and processor time are per instance and second, calls are per second for the whole fleet;
+    `change_bytes` is per instance and change.
     """
 
     sent_bytes: float
-    most_sent_bytes: float
+    busiest_sent_bytes: float
     cpu_us: float
     calls: float
     waiting_watches: int
@@ -88,8 +88,8 @@
     change_calls: float
 
 
-async def measure(instances: int) -> Idle:
-    """Run a fleet of that many instances for a while."""
+async def measure(instances: int) -> FleetCost:
+    """Run a fleet of this many instances, idle and then with changes; return its cost."""
     async with open_world() as world:
         network = CountingNetwork()
         world.network = network
@@ -98,39 +98,41 @@
         for number in range(instances):
             for program in (Program.STEWARD, Program.ENTRY):
                 await world.start(f"entry-{number}", program, zone=f"zone-{number % 10}")
-        await trio.sleep(SETTLE_S)
+        await trio.sleep(WARM_UP_S)
         after, _ = tracemalloc.get_traced_memory()
-        calm = await _window(world, network, instances)
-        changed = await _window(world, network, instances, CHANGES)
-        change_bytes = (changed[0] - calm[0]) * MEASURED_S / CHANGES
-        change_calls = (changed[3] - calm[3]) * MEASURED_S / CHANGES
+        idle = await _measure_window(world, network, instances)
+        changed = await _measure_window(world, network, instances, CHANGES)
+        change_bytes = (changed[0] - idle[0]) * MEASURE_S / CHANGES
+        change_calls = (changed[3] - idle[3]) * MEASURE_S / CHANGES
         watches = world.store.waiting_watches
         memory = (after - before) / instances
         links = max(network.links_by_host.values(), default=0)
-        return Idle(*calm, watches, links, memory, change_bytes, change_calls)
+        return FleetCost(*idle, watches, links, memory, change_bytes, change_calls)
 
 
-async def _window(world, network, instances, changes=0) -> tuple[float, float, float, float]:
+async def _measure_window(
+    world, network, instances, changes=0
+) -> tuple[float, float, float, float]:
     network.bytes_by_host.clear()
     calls = world.store.calls.total()
     started_s = time.process_time()
     for number in range(changes):
         limits = {"limits": {"burst": str(100 + number)}}
         await world.configure(contract__acme=CONTRACT | limits)
-        await trio.sleep(MEASURED_S / changes)
+        await trio.sleep(MEASURE_S / changes)
     if not changes:
-        await trio.sleep(MEASURED_S)
+        await trio.sleep(MEASURE_S)
     used_s = time.process_time() - started_s
-    share = instances * MEASURED_S
+    share = instances * MEASURE_S
     sent = network.bytes_by_host
-    most = max(sent.values(), default=0) / MEASURED_S
+    busiest = max(sent.values(), default=0) / MEASURE_S
     cpu_us = used_s * MICROSECONDS / share
-    called = (world.store.calls.total() - calls) / MEASURED_S
-    return sum(sent.values()) / share, most, cpu_us, called
+    called = (world.store.calls.total() - calls) / MEASURE_S
+    return sum(sent.values()) / share, busiest, cpu_us, called
 
 
-def run(instances: int, *, memory: bool) -> Idle:
-    """Measure one fleet; memory is traced only when asked for, since tracing costs time."""
+def run_fleet(instances: int, *, memory: bool) -> FleetCost:
+    """Measure one fleet; trace memory only on request, because tracing costs processor time."""
     clock = trio.testing.MockClock(autojump_threshold=0)
     if memory:
         tracemalloc.start()
@@ -141,11 +143,11 @@
 
 
 def main() -> None:
-    """Measure fleets of every size."""
-    timed = {size: run(size, memory=False) for size in FLEET_SIZES}
+    """Measure fleets of every size and print the slopes."""
+    timed = {size: run_fleet(size, memory=False) for size in FLEET_SIZES}
     for field, name, unit in (
         ("sent_bytes", "idle_bytes", "bytes/s an instance"),
-        ("most_sent_bytes", "idle_bytes_busiest", "bytes/s an instance"),
+        ("busiest_sent_bytes", "idle_bytes_busiest", "bytes/s an instance"),
         ("cpu_us", "idle_cpu", "us/s an instance"),
         ("calls", "idle_object_api_calls", "calls/s"),
         ("waiting_watches", "idle_waiting_watches", "watches"),
@@ -154,7 +156,7 @@
         ("change_calls", "change_object_api_calls", "calls a change"),
     ):
         values = {size: getattr(idle, field) for size, idle in timed.items()}
-        show(fit(name, unit, "instance", values))
+        print_slope(fit(name, unit, "instance", values))
 
 
 if __name__ == "__main__":
--- a/scripts/slopes_runners.py
+++ b/scripts/slopes_runners.py
@@ -1,4 +1,4 @@
-"""Measures what one more runner or instance costs: the list, load reports and the policy."""
+"""Measures the cost of a runner or instance: instance list, load reports and policy."""
 
 import json
 import random
@@ -22,13 +22,13 @@
     make_policy,
 )
 from egretstack.upstreams import HttpEngine
-from scripts._slope import OBJECT_SIZES, cpu_us, fit, held_bytes, show
+from scripts._slope import OBJECT_SIZES, fit, measure_cpu_us, measure_held_bytes, print_slope
 
 MODELS = 27
 
 
-def endpoint_list(members: int) -> bytes:
-    """Make the platform's answer that lists that many runners."""
+def make_endpoint_list(members: int) -> bytes:
+    """Make the platform's response that lists this many runners."""
     endpoints = [
         {
             "addresses": [f"10.1.{number // 250}.{number % 250}"],
@@ -45,7 +45,7 @@
 
 
 def read_list(body: bytes) -> None:
-    """Read a listed answer through the real client, without a socket."""
+    """Read an instance list through the real client, without a socket."""
 
     async def read() -> None:
         transport = httpx.MockTransport(lambda request: httpx.Response(200, content=body))
@@ -60,8 +60,8 @@
 READS = 10
 
 
-def policy_with(runners: int) -> Policy:
-    """Make the policy in use with that many runners, spread over the models."""
+def make_policy_with(runners: int) -> Policy:
+    """Make the default policy with this many runners, spread over the models."""
     policy = make_policy(DEFAULT_POLICY, random.Random(1))
     for number in range(runners):
         runner_id = RunnerId(f"engine-{number}")
@@ -75,9 +75,9 @@
 
 
 def serve_requests(policy: Policy) -> None:
-    """Let the policy place and end a number of requests."""
+    """Let the policy dispatch a number of requests, and end them."""
     for number in range(REQUESTS):
-        work = SchedulingRequest(
+        request = SchedulingRequest(
             id=RequestId(f"work-{number}"),
             account=AccountId(f"account-{number % 10}"),
             service=ServiceName("llm"),
@@ -89,33 +89,36 @@
             deadline_s=10.0,
             streamed=True,
         )
-        policy.handle(0.0, Arrived(work))
-        policy.handle(0.0, Ended(work.id, 500, EndReason.FINISHED))
+        policy.handle(0.0, Arrived(request))
+        policy.handle(0.0, Ended(request.id, 500, EndReason.FINISHED))
 
 
 REQUESTS = 50
 
 
-def show_members() -> None:
-    """Measure instances and runners."""
-    bodies = {size: endpoint_list(size) for size in OBJECT_SIZES}
+def print_member_slopes() -> None:
+    """Measure and print the slopes per member and runner."""
+    bodies = {size: make_endpoint_list(size) for size in OBJECT_SIZES}
     wire = {size: len(body) for size, body in bodies.items()}
-    show(fit("instance_list_answer", "bytes", "member", wire))
+    print_slope(fit("instance_list_answer", "bytes", "member", wire))
     read = {
-        size: cpu_us(lambda body=body: read_list(body)) / READS for size, body in bodies.items()
+        size: measure_cpu_us(lambda body=body: read_list(body)) / READS
+        for size, body in bodies.items()
     }
-    show(fit("instance_list_read_cpu", "us", "member", read))
-    held = {size: held_bytes(lambda size=size: policy_with(size)) for size in OBJECT_SIZES}
-    show(fit("policy_memory", "bytes", "runner", held))
+    print_slope(fit("instance_list_read_cpu", "us", "member", read))
+    held = {
+        size: measure_held_bytes(lambda size=size: make_policy_with(size)) for size in OBJECT_SIZES
+    }
+    print_slope(fit("policy_memory", "bytes", "runner", held))
     placed = {}
     for size in OBJECT_SIZES:
-        policy = policy_with(size)
-        placed[size] = cpu_us(lambda policy=policy: serve_requests(policy)) / REQUESTS
-    show(fit("policy_request_cpu", "us", "runner", placed))
+        policy = make_policy_with(size)
+        placed[size] = measure_cpu_us(lambda policy=policy: serve_requests(policy)) / REQUESTS
+    print_slope(fit("policy_request_cpu", "us", "runner", placed))
 
 
 def read_reports(count: int) -> None:
-    """Read load reports of engines through the real client, without a socket."""
+    """Read this many load reports through the real client, without a socket."""
 
     async def read() -> None:
         transport = httpx.MockTransport(lambda request: httpx.Response(200, text=LOAD_REPORT))
@@ -134,20 +137,20 @@
 egret_engine_report_age_seconds 0.25
 """
 REPORT_HEAD_BYTES = 300
-"""Request line and headers of a report's request and answer, as httpx and hypercorn send them."""
+"""Size of the request line, status line and headers of a report, with httpx and hypercorn."""
 
 
-def show_reports() -> None:
-    """Measure load reports of engines."""
+def print_report_slopes() -> None:
+    """Measure and print the slopes per load report."""
     sizes = (5, 20, 80)
-    read = {size: cpu_us(lambda size=size: read_reports(size)) for size in sizes}
-    show(fit("load_report_read_cpu", "us", "report", read))
+    read = {size: measure_cpu_us(lambda size=size: read_reports(size)) for size in sizes}
+    print_slope(fit("load_report_read_cpu", "us", "report", read))
     wire = {size: size * (len(LOAD_REPORT) + REPORT_HEAD_BYTES) for size in sizes}
-    show(fit("load_report_wire", "bytes", "report", wire))
+    print_slope(fit("load_report_wire", "bytes", "report", wire))
 
 
-class NoStream(trio.abc.Stream):
-    """The stream of a link that nothing is sent over."""
+class ClosedStream(trio.abc.Stream):
+    """The stream of a link that carries no data."""
 
     async def send_all(self, data: bytes) -> None:
         """Do nothing."""
@@ -156,23 +159,23 @@
         """Do nothing."""
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Say that the peer closed."""
+        """Return the end of the stream."""
         return b""
 
     async def aclose(self) -> None:
         """Do nothing."""
 
 
-def show_links() -> None:
-    """Measure what one end of a link holds."""
+def print_link_slopes() -> None:
+    """Measure and print the memory of one end of a link."""
     held = {
-        size: held_bytes(lambda size=size: [PeerLink(NoStream()) for _ in range(size)])
+        size: measure_held_bytes(lambda size=size: [PeerLink(ClosedStream()) for _ in range(size)])
         for size in OBJECT_SIZES
     }
-    show(fit("link_memory", "bytes", "link end", held))
+    print_slope(fit("link_memory", "bytes", "link end", held))
 
 
 if __name__ == "__main__":
-    show_members()
-    show_reports()
-    show_links()
+    print_member_slopes()
+    print_report_slopes()
+    print_link_slopes()
--- a/tests/test_fleet_news.py
+++ b/tests/test_fleet_news.py
@@ -207,7 +207,7 @@
 
 @on_real_clock
 async def test_rows_are_never_sent_with_a_later_revision_than_theirs():
-    # A home has read that a runner is gone and has not sent it yet, when a report shows that its
+    # A home has read that a runner is missing and has not sent it yet, when a report shows that its
     # sender lacks something. That sender gets the rows as they were sent last: with the new
     # revision they would count as the new list, and a home that has just started would send that
     # all runners are missing.
@@ -233,7 +233,7 @@
 
 @on_real_clock
 async def test_invalid_updates_end_no_process():
-    # Anyone who reaches the port may send anything. Rows that are no runner, invalid marks and
+    # Anyone who reaches the port may send anything. Rows that are no runner, invalid flags and
     # versions out of order are rejected with a log line; the instance goes on as before.
     async with platform_site(entries=1, plain=1) as site:
         kernel = site.kernels[0]
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -66,7 +66,7 @@
 
 
 def test_a_repeated_request_gets_the_same_placement():
-    # If the first answer is lost and the question is repeated, the run must not count twice.
+    # If the first answer is lost and the request is repeated, the run must not count twice.
     placer, _ = make_placer("a", "b", "c")
     check.assertEqual(place(placer, "w1"), place(placer, "w1", 0.05))
 
@@ -167,7 +167,7 @@
     permits = MovePermits()
     source = RunnerId("a")
     permits.request(0.0, source, "first", 1.0)
-    permits.request(0.0, source, "gone", 0.0)
+    permits.request(0.0, source, "ended", 0.0)
     permits.release(source, "first")
     check.assertTrue(permits.request(0.6, source, "here", 9.0))
 
@@ -352,10 +352,10 @@
     placer, _ = make_placer("a")
     full = [Run(generation_request(f"r{n}"), RunnerId("a"), None, 100, True) for n in range(10)]
     placer.registry.record_report(OWN, full)
-    placer.enqueue(0.0, generation_request("gone", rank=0), ENGINE)
+    placer.enqueue(0.0, generation_request("ended", rank=0), ENGINE)
     placer.enqueue(0.0, generation_request("silent", rank=1), ENGINE)
     placer.enqueue(0.7, generation_request("here", rank=5), ENGINE)
-    placer.remove("gone")
+    placer.remove("ended")
     placer.registry.record_report(OWN, full[:8])
     check.assertEqual([placed.attempt for placed in placer.place_waiting(0.9)], ["here"])
 
@@ -373,8 +373,8 @@
 
 
 def test_an_engine_that_refused_a_connection_is_not_chosen_again():
-    # The first answer is kept for repeated questions: the same dead engine would be returned at
-    # each try.
+    # The first placement is kept for repeated requests: without the exclusion the same dead engine
+    # would be returned at each try.
     placer, _ = make_placer("a", "b")
     first = place(placer, "w1")
     check.assertNotEqual(place(placer, "w1", excluded=(first.runner,)).runner, first.runner)
